--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 BIN := $(VENV)/bin
 STAMP := $(VENV)/.installed
 PACKAGES := core adapters daemon cli standins trials
-TOOLS := behave black flake8 hacking
+TOOLS := behave black flake8 hacking rope
 SOURCES := packages platform features .ci
 
 PIP := PIP_CONSTRAINT=constraints.txt $(BIN)/python -m pip -qq \
