--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -13,7 +13,7 @@
 from dunlintide_core import lending
 from dunlintide_core import limits as core
 from dunlintide_core import outcomes
-from dunlintide_daemon.entry import exchange
+from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon.entry import limits
 from dunlintide_daemon.entry import shares
 import hypothesis
@@ -127,7 +127,7 @@
         self.address = f'127.0.0.1:{self.limits.exchange.port}'
 
     def connect(self, take):
-        return exchange.Exchange(self.name, '127.0.0.1:0', self.hello, take)
+        return entrylinks.Exchange(self.name, '127.0.0.1:0', self.hello, take)
 
     def hello(self):
         return link_pb2.Hello(name=self.name, role='entry', incarnation=1)
--- a/packages/daemon/src/dunlintide_daemon/entry/jobs.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/jobs.py
@@ -9,8 +9,8 @@
 from dunlintide_core import budget
 from dunlintide_core import outcomes
 from dunlintide_daemon.entry import fleet
+from dunlintide_daemon.entry import memorybudget
 from dunlintide_daemon.entry import planning
-from dunlintide_daemon.entry import room
 from dunlintide_daemon.entry import sessions
 
 __all__ = [
@@ -59,7 +59,7 @@
     retries: budget.RetryBudget
     clock: Callable[[], float] = time.monotonic
     count_retry: Callable[[], None] = lambda: None
-    answer_room: room.Room = attrs.field(factory=room.Room)
+    answer_room: memorybudget.Room = attrs.field(factory=memorybudget.Room)
     replays: bool = True
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
--- a/packages/daemon/src/dunlintide_daemon/entry/limits.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/limits.py
@@ -18,7 +18,7 @@
 from dunlintide_core import configuration
 from dunlintide_core import limits
 from dunlintide_core import outcomes
-from dunlintide_daemon.entry import exchange
+from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon.entry import shares
 
 __all__ = [
@@ -108,7 +108,7 @@
 
     def __init__(
         self,
-        connect: Callable[[Take], exchange.Exchange],
+        connect: Callable[[Take], entrylinks.Exchange],
         clock: Callable[[], float] = time.monotonic,
         grant_wait: float = GRANT_WAIT_SECONDS,
     ) -> None:
@@ -252,14 +252,14 @@
         self._urgent = max(0, self._urgent - 1)
         with self._changed:
             needs = self._measure()
-        for shard in range(exchange.SHARDS):
+        for shard in range(entrylinks.SHARDS):
             self._shares.ask(shard, needs[shard], self.exchange)
 
     def _measure(self) -> list[dict[limits.Key, limits.Need]]:
         now = self._clock()
         seconds = max(now - self._measured, _LEAST_PERIOD_SECONDS)
         self._measured = now
-        needs: list[dict] = [{} for _ in range(exchange.SHARDS)]
+        needs: list[dict] = [{} for _ in range(entrylinks.SHARDS)]
         for key, use in list(self._uses.items()):
             if use.is_idle(now):
                 del self._uses[key]
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -22,26 +22,26 @@
 from dunlintide_core import fleet as core_fleet
 from dunlintide_core import poison
 from dunlintide_core import settings as settings_module
+from dunlintide_daemon.entry import application
 from dunlintide_daemon.entry import claims
 from dunlintide_daemon.entry import configuration
 from dunlintide_daemon.entry import crashes
 from dunlintide_daemon.entry import dump
-from dunlintide_daemon.entry import exchange
+from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon.entry import fleet
-from dunlintide_daemon.entry import front
 from dunlintide_daemon.entry import hellos
 from dunlintide_daemon.entry import history
 from dunlintide_daemon.entry import jobs
 from dunlintide_daemon.entry import limits
 from dunlintide_daemon.entry import masking
+from dunlintide_daemon.entry import memorybudget
 from dunlintide_daemon.entry import meter
 from dunlintide_daemon.entry import owners
 from dunlintide_daemon.entry import placement
 from dunlintide_daemon.entry import planning
-from dunlintide_daemon.entry import prefixes
+from dunlintide_daemon.entry import prefixmetrics
 from dunlintide_daemon.entry import problems
 from dunlintide_daemon.entry import readiness
-from dunlintide_daemon.entry import room
 from dunlintide_daemon.entry import roster
 from dunlintide_daemon.entry import router
 from dunlintide_daemon.entry import sessions
@@ -94,7 +94,7 @@
         self._metrics = metrics.Metrics.from_registry(
             self._registry, core_fleet.Role.ENTRY
         )
-        self._room = room.Room()
+        self._room = memorybudget.Room()
         self._transport = transports.build(settings)
         self._registry.register(transports.Collector(self._transport))
         self._meter = meter.Meter(self._metrics)
@@ -125,10 +125,10 @@
             self._rng,
             settings.routing is settings_module.Routing.ROUND_ROBIN,
         )
-        counter = prefixes.Collector(self._planner.count_prompts)
+        counter = prefixmetrics.Collector(self._planner.count_prompts)
         counter.register(self._registry)
         self._limits = limits.Limits(
-            lambda take: exchange.Exchange(
+            lambda take: entrylinks.Exchange(
                 settings.name,
                 settings.link_listen,
                 self._build_hello,
@@ -205,7 +205,7 @@
             answer_room=self._room,
             replays=settings.recovery is settings_module.Recovery.REPLAY,
         )
-        parts = front.Parts(
+        parts = application.Parts(
             context,
             self._holder,
             route,
@@ -216,7 +216,7 @@
             settings.timing.heartbeat,
         )
         return httpserver.HttpServer.from_config(
-            front.Front(parts),
+            application.Front(parts),
             settings.listen,
             settings.limits.threads,
             settings.limits.max_body_bytes,
--- a/packages/daemon/src/dunlintide_daemon/entry/shares.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/shares.py
@@ -12,7 +12,7 @@
 from dunlintide_core import hashing
 from dunlintide_core import lending
 from dunlintide_core import limits
-from dunlintide_daemon.entry import exchange
+from dunlintide_daemon.entry import entrylinks
 
 __all__ = [
     'Shares',
@@ -28,7 +28,7 @@
 
 def find_shard(key: limits.Key) -> int:
     """Return the shard of a key; all of a team's are in one."""
-    return hashing.hash_text(key[0]) % exchange.SHARDS
+    return hashing.hash_text(key[0]) % entrylinks.SHARDS
 
 
 def _order(item: tuple[limits.Key, limits.Need]) -> tuple[int, float]:
@@ -75,7 +75,7 @@
         :param after: called after a change, under it, with whether any
             key got less than before
         """
-        shards = range(exchange.SHARDS)
+        shards = range(entrylinks.SHARDS)
         self._lock = lock
         self._clock = clock
         self._before = before
@@ -97,7 +97,9 @@
         """Tell whether a grant under a key is in force."""
         return self._leases[find_shard(key)].covers(key, self._clock())
 
-    def ask(self, shard: int, needs: Needs, peers: exchange.Exchange) -> None:
+    def ask(
+        self, shard: int, needs: Needs, peers: entrylinks.Exchange
+    ) -> None:
         """Tell the coordinator of a shard what is needed."""
         # Alone, an entry owns all and has nothing to lend.
         chosen = peers.choose(shard) if peers.count > 1 else ''
@@ -150,16 +152,16 @@
         """Take in frames of other entries."""
         for frame in frames:
             body = frame.WhichOneof('body')
-            if body == 'demand' and frame.demand.shard < exchange.SHARDS:
+            if body == 'demand' and frame.demand.shard < entrylinks.SHARDS:
                 self._take_demand(link, frame.demand)
-            elif body == 'grant' and frame.grant.shard < exchange.SHARDS:
+            elif body == 'grant' and frame.grant.shard < entrylinks.SHARDS:
                 self._take_grant(frame.grant)
 
     def _take_demand(self, link: links.Link, message: link_pb2.Demand) -> None:
         needs = _read_needs(message)
         with self._lock:
             granted = self._coordinators[message.shard].answer(
-                exchange.identify(link.peer),
+                entrylinks.identify(link.peer),
                 message.fraction,
                 message.sequence,
                 message.acknowledged,
--- a/packages/daemon/src/dunlintide_daemon/entry/states.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/states.py
@@ -3,7 +3,7 @@
 from dunlintide_adapters import peers as peer_calls
 from dunlintide_adapters import transports
 from dunlintide_core import settings as settings_module
-from dunlintide_daemon.entry import exchange
+from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon import lives
 from dunlintide_daemon import peers
 from dunlintide_daemon import watching
@@ -16,7 +16,7 @@
 def build(
     settings: settings_module.Settings,
     incarnation: int,
-    served: exchange.Exchange,
+    served: entrylinks.Exchange,
     outside: watching.Outside | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
--- a/packages/trials/src/dunlintide_trials/cases/limits.py
+++ b/packages/trials/src/dunlintide_trials/cases/limits.py
@@ -14,7 +14,7 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import configuration
 from dunlintide_core import limits as core_limits
-from dunlintide_daemon.entry import exchange
+from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon.entry import limits
 from dunlintide_trials import figures
 
@@ -101,7 +101,7 @@
         return f'{self._number}@1'
 
     def choose(self, shard: int) -> str:
-        return f'{shard % exchange.CHOICES}@1'
+        return f'{shard % entrylinks.CHOICES}@1'
 
     def send(self, coordinator: str, frame: link_pb2.Frame) -> None:
         target = int(coordinator.partition('@')[0])
