--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -23,7 +23,7 @@
 
     def run(*_arguments):
         try:
-            yield completions.Piece(['soup'])
+            yield completions.TokenBatch(['soup'])
             yield _ENDINGS[ending]
         finally:
             context.closed.append(True)
@@ -38,17 +38,17 @@
 def give_answer(context, kind):
     gc.disable()
     context.stack.callback(gc.enable)
-    rendering = mock.Mock(spec=openai.Rendering)
-    rendering.render_whole.return_value = {}
-    rendering.render_token.return_value = b'soup'
-    rendering.render_end.return_value = b'end'
+    renderer = mock.Mock(spec=openai.CompletionRenderer)
+    renderer.render_body.return_value = {}
+    renderer.render_token.return_value = b'soup'
+    renderer.render_end.return_value = b'end'
     answer = answers.CompletionAnswer(
         mock.Mock(),
         mock.Mock(),
         routes.Caller('request', 'diner', ''),
         mock.Mock(include_usage=False),
         mock.Mock(),
-        rendering,
+        renderer,
         5.0,
     )
     if kind == 'whole':
--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -354,19 +354,19 @@
 def fill_room(context):
     room = context.entry.role._room
     context.taken = room.limit // 2 + 1
-    assert room.take(context.taken)
-    assert not room.take(context.taken)
+    assert room.reserve(context.taken)
+    assert not room.reserve(context.taken)
 
 
 @behave.when('the entry has room for answers again')
 def empty_room(context):
-    context.entry.role._room.give_back(context.taken)
+    context.entry.role._room.release(context.taken)
 
 
 @behave.then('the entry holds no answer any more')
 def check_room(context):
     room = context.entry.role._room
-    wait_until(lambda: room.held == 0)
+    wait_until(lambda: room.reserved == 0)
 
 
 @behave.given('reading the host list breaks unexpectedly {count:d} times')
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -120,14 +120,16 @@
     def __init__(self, stack, name, grant_wait=0.0):
         self.name = name
         self.admitted = []
-        self.limits = limits.Limits(self.connect, grant_wait=grant_wait)
-        self.limits.exchange.start()
-        stack.callback(self.limits.exchange.stop)
+        self.limits = limits.Limiter(self.connect, grant_wait=grant_wait)
+        self.limits.entry_links.start()
+        stack.callback(self.limits.entry_links.stop)
         self.role = 'entry'
-        self.address = f'127.0.0.1:{self.limits.exchange.port}'
+        self.address = f'127.0.0.1:{self.limits.entry_links.port}'
 
     def connect(self, take):
-        return entrylinks.Exchange(self.name, '127.0.0.1:0', self.hello, take)
+        return entrylinks.EntryLinks(
+            self.name, '127.0.0.1:0', self.hello, take
+        )
 
     def hello(self):
         return link_pb2.Hello(name=self.name, role='entry', incarnation=1)
@@ -160,7 +162,7 @@
         for node in context.nodes:
             node.address = '127.0.0.1:1'
     for node in context.nodes:
-        node.limits.exchange.update(context.nodes)
+        node.limits.entry_links.update(context.nodes)
 
 
 @behave.given('three linked entries that share limits')
@@ -171,8 +173,10 @@
     ]
     done = threading.Event()
     for node in context.nodes:
-        node.limits.exchange.update(context.nodes)
-        follower = threading.Thread(target=node.limits.follow, args=(done,))
+        node.limits.entry_links.update(context.nodes)
+        follower = threading.Thread(
+            target=node.limits.run_renewals, args=(done,)
+        )
         follower.start()
         stack.callback(follower.join)
     stack.callback(done.set)
@@ -259,7 +263,7 @@
     first = context.nodes[0].limits
     key = ('member', RULE.name)
     deadline = time.monotonic() + WAIT_SECONDS
-    while first._find_grant(key, first._uses[key]).slots <= count:
+    while first._find_grant(key, first._usages[key]).slots <= count:
         assert time.monotonic() < deadline, 'no room for a burst'
         for one in context.nodes:
             one.limits.renew()
--- a/packages/daemon/src/dunlintide_daemon/entry/answers.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/answers.py
@@ -25,7 +25,7 @@
 __all__ = [
     'STREAMED_OUTCOME',
     'CompletionAnswer',
-    'Ledger',
+    'OutcomeRecorder',
     'respond_json',
     'respond_service',
 ]
@@ -49,7 +49,7 @@
     return problems.Response(problems.render_status(200), headers, [body])
 
 
-class _Held:
+class _ReleasingBody:
     """Body that says when it has been sent or dropped."""
 
     def __init__(self, body: bytes, release: Callable[[], None]) -> None:
@@ -74,24 +74,26 @@
         (problems.REQUEST_ID_HEADER, request_id),
     ]
     status = problems.render_status(answer.status)
-    return problems.Response(status, headers, _Held(answer.body, release))
+    return problems.Response(
+        status, headers, _ReleasingBody(answer.body, release)
+    )
 
 
 @attrs.frozen
-class Ledger:
+class OutcomeRecorder:
     """Where requests' outcomes are noted."""
 
     history: history.History
     router: router.Router
-    limiter: limits.Limits
+    limiter: limits.Limiter
     meter: meter.Meter
 
-    def end(
+    def record(
         self, caller: routes.Caller, refusal: outcomes.Refusal | None
     ) -> None:
         """Note an outcome; None stands for a whole answer."""
         self.limiter.release(caller.request_id)
-        self.meter.end(caller.arrived)
+        self.meter.observe_request(caller.arrived)
         self.history.end(caller.request_id, caller.team, refusal)
         logging.info(
             'request %s of %s: %s',
@@ -100,7 +102,7 @@
             refusal.code.value if refusal is not None else _COMPLETE,
         )
 
-    def release(
+    def release_claim(
         self,
         route: routes.CompletionRoute | routes.ServiceRoute,
         refusal: outcomes.Refusal,
@@ -110,8 +112,8 @@
         Only its executor can say so: another entry may have sent it the
         same claim.
         """
-        if route.bound is not None and refusal.sealed:
-            self.router.release(route.bound)
+        if route.bound_claim is not None and refusal.sealed:
+            self.router.release_claim(route.bound_claim)
 
 
 class CompletionAnswer:
@@ -120,35 +122,35 @@
     def __init__(
         self,
         context: jobs.Context,
-        ledger: Ledger,
+        recorder: OutcomeRecorder,
         caller: routes.Caller,
         completion: requests.Completion,
         route: routes.CompletionRoute,
-        rendering: openai.Rendering,
+        renderer: openai.CompletionRenderer,
         heartbeat: float,
     ) -> None:
         """Begin the run; nothing is sent before an answer is asked for.
 
         :param heartbeat: longest pause in a stream, in seconds
         """
-        self._ledger = ledger
+        self._recorder = recorder
         self._caller = caller
         self._completion = completion
         self._route = route
-        self._rendering = rendering
+        self._renderer = renderer
         self._heartbeat = heartbeat
-        self._meter = ledger.meter.begin(caller.arrived)
-        self._outlet = completions.Outlet()
+        self._meter = recorder.meter.begin_answer(caller.arrived)
+        self._direct_output = completions.DirectOutput()
         self._events = completions.run(
-            context, route.job, completion, route.plan, self._outlet
+            context, route.job, completion, route.plan, self._direct_output
         )
 
-    def _refuse(
+    def _end_refused(
         self, refusal: outcomes.Refusal
     ) -> result.Err[outcomes.Refusal]:
         self._events.close()
-        self._ledger.release(self._route, refusal)
-        self._ledger.end(self._caller, refusal)
+        self._recorder.release_claim(self._route, refusal)
+        self._recorder.record(self._caller, refusal)
         return result.Err(refusal)
 
     def gather(self) -> result.Result[problems.Response, outcomes.Refusal]:
@@ -163,27 +165,27 @@
     def _gather(self) -> result.Result[problems.Response, outcomes.Refusal]:
         texts: list[str] = []
 
-        def keep(text: str) -> bool:
-            self._meter.note(1, time.monotonic())
+        def collect(text: str) -> bool:
+            self._meter.record_tokens(1, time.monotonic())
             texts.append(text)
             return True
 
-        self._outlet.write = keep
+        self._direct_output.write = collect
         for event in self._events:
-            if isinstance(event, completions.Piece):
-                self._meter.note(len(event.texts), time.monotonic())
+            if isinstance(event, completions.TokenBatch):
+                self._meter.record_tokens(len(event.texts), time.monotonic())
                 texts += event.texts
             elif isinstance(event, outcomes.Refusal):
-                return self._refuse(event)
+                return self._end_refused(event)
             elif isinstance(event, completions.End):
-                body = self._rendering.render_whole(
+                body = self._renderer.render_body(
                     ''.join(texts),
                     event.finish_reason,
                     event.prompt_tokens,
                     event.tokens,
                 )
                 self._meter.close()
-                self._ledger.end(self._caller, None)
+                self._recorder.record(self._caller, None)
                 request_id = self._caller.request_id
                 return result.Ok(respond_json(body, request_id))
         raise AssertionError('a completion ended without an end')
@@ -195,10 +197,10 @@
         refused before gets a problem with its own status.
         """
         for event in self._events:
-            if isinstance(event, completions.Wait):
+            if isinstance(event, completions.Idle):
                 continue
             if isinstance(event, outcomes.Refusal):
-                return self._refuse(event)
+                return self._end_refused(event)
             headers = [
                 ('Content-Type', 'text/event-stream'),
                 ('Cache-Control', 'no-store'),
@@ -206,36 +208,40 @@
                 (problems.REQUEST_ID_HEADER, self._caller.request_id),
             ]
             status = problems.render_status(200)
-            body = _Stream(self._send(event), self._abandon)
+            body = _StreamBody(
+                self._generate_events(event), self._cancel_unstarted
+            )
             return result.Ok(problems.Response(status, headers, body))
         raise AssertionError('a completion ended without an end')
 
-    def _abandon(self) -> None:
+    def _cancel_unstarted(self) -> None:
         """End a stream that was closed before it was begun."""
         self._events.close()
         refusal = outcomes.refuse(outcomes.FailCode.CANCELLED, ran=True)
-        self._ledger.end(self._caller, refusal)
+        self._recorder.record(self._caller, refusal)
 
-    def _pass_on(self, text: str) -> bool:
-        if not self._caller.send_now(self._rendering.render_token(text)):
+    def _send_token(self, text: str) -> bool:
+        if not self._caller.send_now(self._renderer.render_token(text)):
             return False
-        self._meter.note(1, time.monotonic())
+        self._meter.record_tokens(1, time.monotonic())
         return True
 
-    def _send(self, first: completions.Piece | completions.End):
+    def _generate_events(
+        self, first: completions.TokenBatch | completions.End
+    ):
         refusal = outcomes.refuse(outcomes.FailCode.CANCELLED, ran=True)
         finished = False
         event = first
-        said = time.monotonic()
-        render_token = self._rendering.render_token
+        last_sent = time.monotonic()
+        render_token = self._renderer.render_token
         # Each piece is written before the next event is asked for.
-        self._outlet.write = self._pass_on
+        self._direct_output.write = self._send_token
         try:
             while True:
                 now = time.monotonic()
-                if isinstance(event, completions.Piece):
-                    said = now
-                    self._meter.note(len(event.texts), now)
+                if isinstance(event, completions.TokenBatch):
+                    last_sent = now
+                    self._meter.record_tokens(len(event.texts), now)
                     yield b''.join(map(render_token, event.texts))
                 elif isinstance(event, outcomes.Refusal):
                     refusal = event
@@ -243,7 +249,7 @@
                     yield openai.render_error_event(event, request_id)
                     return
                 elif isinstance(event, completions.End):
-                    yield self._rendering.render_end(
+                    yield self._renderer.render_end(
                         event.finish_reason,
                         event.prompt_tokens,
                         event.tokens,
@@ -251,27 +257,30 @@
                     )
                     finished = True
                     return
-                elif now - max(said, self._meter.last) >= self._heartbeat:
-                    said = now
+                elif (
+                    now - max(last_sent, self._meter.last_tokens_at)
+                    >= self._heartbeat
+                ):
+                    last_sent = now
                     yield openai.HEARTBEAT
                 event = next(self._events)
         finally:
             self._events.close()
             self._meter.close()
-            self._ledger.end(self._caller, None if finished else refusal)
+            self._recorder.record(self._caller, None if finished else refusal)
 
 
-class _Stream:
+class _StreamBody:
     """Body whose closing also ends a completion that it never began.
 
     Closing a generator that was not started runs none of its code.
     """
 
     def __init__(
-        self, chunks: Iterator[bytes], abandon: Callable[[], None]
+        self, chunks: Iterator[bytes], cancel_unstarted: Callable[[], None]
     ) -> None:
         self._chunks = chunks
-        self._abandon = abandon
+        self._cancel_unstarted = cancel_unstarted
 
     def __iter__(self) -> Iterator[bytes]:
         return self._chunks
@@ -280,4 +289,4 @@
         state = inspect.getgeneratorstate(self._chunks)
         self._chunks.close()
         if state == inspect.GEN_CREATED:
-            self._abandon()
+            self._cancel_unstarted()
--- a/packages/daemon/src/dunlintide_daemon/entry/application.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/application.py
@@ -27,22 +27,22 @@
 from dunlintide_daemon.entry import table
 
 __all__ = [
-    'Front',
-    'Parts',
+    'Application',
+    'Dependencies',
 ]
 
 PRIORITY_HEADER = 'HTTP_DUNLINTIDE_PRIORITY'
 HEARTBEAT_SECONDS = 5.0
 # What is left to send at the deadline may take this long.
-SENDING_SECONDS = 1.0
+SEND_GRACE_SECONDS = 1.0
 _NO_CONFIGURATION_RETRY_SECONDS = 2.0
-_CROWDED_RETRY_SECONDS = 1.0
+_TEAM_LIMIT_RETRY_SECONDS = 1.0
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
 
 @attrs.frozen
-class Parts:
+class Dependencies:
     """What the front works with.
 
     :ivar heartbeat: longest pause in a stream, in seconds
@@ -52,14 +52,14 @@
     holder: holders.Holder
     router: router.Router
     history: history.History
-    limiter: limits.Limits
+    limiter: limits.Limiter
     meter: meter.Meter
     rng: random.Random
     heartbeat: float = HEARTBEAT_SECONDS
 
 
 @attrs.frozen
-class _Exchange:
+class _AuthenticatedRequest:
     """One request and the answer that it is given."""
 
     environ: Mapping[str, Any]
@@ -67,7 +67,7 @@
     snapshot: holders.Snapshot
 
 
-def _read_priority(
+def _parse_priority(
     environ: Mapping[str, Any],
 ) -> result.Result[int | None, outcomes.Refusal]:
     text = environ.get(PRIORITY_HEADER)
@@ -80,25 +80,27 @@
     return result.Err(outcomes.refuse(code, detail))
 
 
-def _watch_caller(environ: Mapping[str, Any]) -> Callable[[], bool]:
+def _build_connection_check(environ: Mapping[str, Any]) -> Callable[[], bool]:
     is_gone = environ.get('waitress.client_disconnected')
     if is_gone is None:
         return lambda: True
     return lambda: not is_gone()
 
 
-def _send_never(data: bytes) -> bool:
+def _never_send_now(data: bytes) -> bool:
     return False
 
 
-def _limit_sending(environ: Mapping[str, Any], deadline: float) -> None:
+def _set_send_deadline(environ: Mapping[str, Any], deadline: float) -> None:
     """Have a caller that reads too slowly cut off behind the deadline."""
     end_by = environ.get(httpchannel.END_BY)
     if end_by is not None:
-        end_by(deadline + SENDING_SECONDS)
+        end_by(deadline + SEND_GRACE_SECONDS)
 
 
-def _join(environ: Mapping[str, Any], team: str) -> outcomes.Refusal | None:
+def _count_for_team(
+    environ: Mapping[str, Any], team: str
+) -> outcomes.Refusal | None:
     """Count a request to its team; no team takes all threads."""
     join = environ.get(httpgate.JOIN)
     if join is None or join(team):
@@ -106,7 +108,7 @@
     return outcomes.refuse(
         outcomes.FailCode.QUEUE_FULL,
         'too many requests of the team are in flight at this entry',
-        retry_after=_CROWDED_RETRY_SECONDS,
+        retry_after=_TEAM_LIMIT_RETRY_SECONDS,
     )
 
 
@@ -116,14 +118,17 @@
     return result.Err(outcomes.refuse(code, detail))
 
 
-class Front:
+class Application:
     """Callers' requests in, answers out."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         """Serve with the given parts."""
-        self._parts = parts
-        self._ledger = answers.Ledger(
-            parts.history, parts.router, parts.limiter, parts.meter
+        self._dependencies = dependencies
+        self._recorder = answers.OutcomeRecorder(
+            dependencies.history,
+            dependencies.router,
+            dependencies.limiter,
+            dependencies.meter,
         )
 
     def __call__(
@@ -142,12 +147,12 @@
     def _render(
         self, refusal: outcomes.Refusal, request_id: str
     ) -> problems.Response:
-        return problems.render(refusal, request_id, self._parts.rng)
+        return problems.render(refusal, request_id, self._dependencies.rng)
 
     def _answer(
         self, environ: Mapping[str, Any], request_id: str
     ) -> result.Result[problems.Response, outcomes.Refusal]:
-        snapshot = self._parts.holder.snapshot
+        snapshot = self._dependencies.holder.snapshot
         if snapshot is None:
             return result.Err(
                 outcomes.refuse(
@@ -156,27 +161,29 @@
                     retry_after=_NO_CONFIGURATION_RETRY_SECONDS,
                 )
             )
-        exchange = self._identify(environ, request_id, snapshot)
-        if isinstance(exchange, result.Err):
-            return exchange
-        return self._dispatch(exchange.ok_value)
+        request = self._authenticate(environ, request_id, snapshot)
+        if isinstance(request, result.Err):
+            return request
+        return self._dispatch(request.ok_value)
 
-    def _identify(
+    def _authenticate(
         self,
         environ: Mapping[str, Any],
         request_id: str,
         snapshot: holders.Snapshot,
-    ) -> result.Result[_Exchange, outcomes.Refusal]:
+    ) -> result.Result[_AuthenticatedRequest, outcomes.Refusal]:
         team = snapshot.keys.find(environ.get('HTTP_AUTHORIZATION', ''))
         if isinstance(team, result.Err):
             return team
-        crowded = _join(environ, team.ok_value)
-        if crowded is not None:
-            return result.Err(crowded)
-        key = requests.check_key(environ.get('HTTP_IDEMPOTENCY_KEY'))
+        team_refusal = _count_for_team(environ, team.ok_value)
+        if team_refusal is not None:
+            return result.Err(team_refusal)
+        key = requests.validate_idempotency_key(
+            environ.get('HTTP_IDEMPOTENCY_KEY')
+        )
         if isinstance(key, result.Err):
             return key
-        priority = _read_priority(environ)
+        priority = _parse_priority(environ)
         if isinstance(priority, result.Err):
             return priority
         caller = routes.Caller(
@@ -184,58 +191,54 @@
             team=team.ok_value,
             key=key.ok_value,
             priority=priority.ok_value,
-            is_connected=_watch_caller(environ),
-            send_now=environ.get(httpchannel.SEND_NOW, _send_never),
+            is_connected=_build_connection_check(environ),
+            send_now=environ.get(httpchannel.SEND_NOW, _never_send_now),
         )
-        return result.Ok(_Exchange(environ, caller, snapshot))
+        return result.Ok(_AuthenticatedRequest(environ, caller, snapshot))
 
     def _dispatch(
-        self, exchange: _Exchange
+        self, request: _AuthenticatedRequest
     ) -> result.Result[problems.Response, outcomes.Refusal]:
-        environ = exchange.environ
+        environ = request.environ
         method = environ['REQUEST_METHOD']
         target = table.find_target(method, environ.get('PATH_INFO', ''))
         match target.endpoint:
             case table.Endpoint.COMPLETION:
-                return self._complete(exchange, chat=False)
+                return self._complete(request, chat=False)
             case table.Endpoint.CHAT:
-                return self._complete(exchange, chat=True)
+                return self._complete(request, chat=True)
             case table.Endpoint.SERVICE:
-                return self._call(exchange, target)
+                return self._call_service(request, target)
             case table.Endpoint.MODELS:
-                return self._list_models(exchange)
+                return self._list_models(request)
             case table.Endpoint.REQUEST:
-                return self._show_request(exchange, target.name)
+                return self._show_request(request, target.name)
             case table.Endpoint.WRONG_METHOD:
                 code = outcomes.FailCode.BAD_REQUEST
                 return _refuse(code, 'the path does not take this method')
         return _refuse(outcomes.FailCode.NOT_FOUND, 'there is no such path')
 
     def _list_models(
-        self, exchange: _Exchange
+        self, request: _AuthenticatedRequest
     ) -> result.Result[problems.Response, outcomes.Refusal]:
-        body = openai.list_models(sorted(exchange.snapshot.models))
-        return result.Ok(
-            answers.respond_json(body, exchange.caller.request_id)
-        )
+        body = openai.list_models(sorted(request.snapshot.models))
+        return result.Ok(answers.respond_json(body, request.caller.request_id))
 
     def _show_request(
-        self, exchange: _Exchange, request_id: str
+        self, request: _AuthenticatedRequest, request_id: str
     ) -> result.Result[problems.Response, outcomes.Refusal]:
-        team = exchange.caller.team
-        record = self._parts.history.find(request_id, team)
+        team = request.caller.team
+        record = self._dependencies.history.find(request_id, team)
         if record is None:
             code = outcomes.FailCode.NOT_FOUND
             return _refuse(code, 'this entry knows no such request')
         body = record.render(request_id)
-        return result.Ok(
-            answers.respond_json(body, exchange.caller.request_id)
-        )
+        return result.Ok(answers.respond_json(body, request.caller.request_id))
 
-    def _call(
-        self, exchange: _Exchange, target: table.Target
+    def _call_service(
+        self, request: _AuthenticatedRequest, target: table.Target
     ) -> result.Result[problems.Response, outcomes.Refusal]:
-        environ, caller = exchange.environ, exchange.caller
+        environ, caller = request.environ, request.caller
         body = requests.read_body(environ)
         if isinstance(body, result.Err):
             return body
@@ -247,66 +250,66 @@
             headers=headers.read_request_headers(environ),
             body=body.ok_value,
         )
-        self._parts.history.begin(caller.request_id, caller.team)
-        routed = self._parts.router.route_service(
-            exchange.snapshot, caller, call
+        self._dependencies.history.begin(caller.request_id, caller.team)
+        routed = self._dependencies.router.route_service(
+            request.snapshot, caller, call
         )
         if isinstance(routed, result.Err):
-            self._ledger.end(caller, routed.err_value)
+            self._recorder.record(caller, routed.err_value)
             return routed
         route = routed.ok_value
-        _limit_sending(environ, route.job.deadline)
+        _set_send_deadline(environ, route.job.deadline)
         answer = services.run(
-            self._parts.context, route.job, call, route.choose
+            self._dependencies.context, route.job, call, route.choose
         )
         if isinstance(answer, outcomes.Refusal):
-            self._ledger.release(route, answer)
-            self._ledger.end(caller, answer)
+            self._recorder.release_claim(route, answer)
+            self._recorder.record(caller, answer)
             return result.Err(answer)
-        self._ledger.end(caller, None)
-        room = self._parts.context.answer_room
+        self._recorder.record(caller, None)
+        memory = self._dependencies.context.answer_memory
         return result.Ok(
             answers.respond_service(
                 answer,
                 caller.request_id,
-                lambda: room.give_back(len(answer.body)),
+                lambda: memory.release(len(answer.body)),
             )
         )
 
     def _complete(
-        self, exchange: _Exchange, *, chat: bool
+        self, request: _AuthenticatedRequest, *, chat: bool
     ) -> result.Result[problems.Response, outcomes.Refusal]:
-        caller = exchange.caller
-        body = requests.read_body(exchange.environ)
+        caller = request.caller
+        body = requests.read_body(request.environ)
         if isinstance(body, result.Err):
             return body
         parsed = requests.parse_completion(body.ok_value, chat=chat)
         if isinstance(parsed, result.Err):
             return parsed
         completion = parsed.ok_value
-        self._parts.history.begin(caller.request_id, caller.team)
-        routed = self._parts.router.route_completion(
-            exchange.snapshot,
+        self._dependencies.history.begin(caller.request_id, caller.team)
+        routed = self._dependencies.router.route_completion(
+            request.snapshot,
             caller,
             completion,
-            exchange.environ['PATH_INFO'],
+            request.environ['PATH_INFO'],
             body.ok_value,
         )
         if isinstance(routed, result.Err):
-            self._ledger.end(caller, routed.err_value)
+            self._recorder.record(caller, routed.err_value)
             return routed
         deadline = routed.ok_value.job.deadline
-        _limit_sending(exchange.environ, deadline)
-        rendering = openai.Rendering(
+        _set_send_deadline(request.environ, deadline)
+        renderer = openai.CompletionRenderer(
             caller.request_id, completion.model, int(time.time()), chat
         )
         answer = answers.CompletionAnswer(
-            self._parts.context,
-            self._ledger,
+            self._dependencies.context,
+            self._recorder,
             caller,
             completion,
             routed.ok_value,
-            rendering,
-            self._parts.heartbeat,
+            renderer,
+            self._dependencies.heartbeat,
         )
         return answer.stream() if completion.stream else answer.gather()
--- a/packages/daemon/src/dunlintide_daemon/entry/chains.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/chains.py
@@ -7,53 +7,55 @@
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
+    'AgentInstance',
     'Chain',
-    'Life',
     'build_stages',
     'choose_chain',
-    'choose_least',
-    'pick_avoiding',
-    'tell_life',
+    'choose_least_loaded',
+    'choose_with_fallback',
+    'get_instance',
 ]
 
 Chain = tuple[fleet.Agent, ...]
 # More than any load, so that as few agents as possible are replaced.
 _REPLACEMENT_COST = 1_000_000
 # Name and incarnation: an agent that was started anew is another one.
-Life = tuple[str, int]
+AgentInstance = tuple[str, int]
 
 
-def tell_life(agent: fleet.Agent) -> Life:
+def get_instance(agent: fleet.Agent) -> AgentInstance:
     """Return the name and incarnation of an agent."""
     return agent.peer.name, agent.peer.incarnation
 
 
-def _tell_load(agent: fleet.Agent) -> int:
+def _estimate_load(agent: fleet.Agent) -> int:
     # The report includes this entry's own work once it has arrived, so
     # the larger of the two is taken rather than the sum.
     reported = agent.load.running + agent.load.queued
     return max(agent.outstanding, reported)
 
 
-def choose_least(
-    agents: Iterable[fleet.Agent], avoid: Collection[Life] = ()
+def choose_least_loaded(
+    agents: Iterable[fleet.Agent], avoid: Collection[AgentInstance] = ()
 ) -> fleet.Agent | None:
     """Return the least loaded agent, or None when there is none.
 
     :param avoid: agents that are not to be chosen
     """
-    usable = [one for one in agents if tell_life(one) not in avoid]
-    return min(usable, key=_tell_load, default=None)
+    usable = [one for one in agents if get_instance(one) not in avoid]
+    return min(usable, key=_estimate_load, default=None)
 
 
-def _fits(endpoint: core_fleet.Endpoint, accelerators: Collection[str]):
+def _has_allowed_accelerator(
+    endpoint: core_fleet.Endpoint, accelerators: Collection[str]
+):
     return not accelerators or endpoint.accelerator in accelerators
 
 
-def _tell_cost(agent: fleet.Agent, keep: Collection[Life]) -> int:
-    if tell_life(agent) in keep:
+def _compute_cost(agent: fleet.Agent, keep: Collection[AgentInstance]) -> int:
+    if get_instance(agent) in keep:
         return 0
-    return 1 + _tell_load(agent) + (_REPLACEMENT_COST if keep else 0)
+    return 1 + _estimate_load(agent) + (_REPLACEMENT_COST if keep else 0)
 
 
 def choose_chain(
@@ -61,9 +63,9 @@
     layers: int,
     *,
     accelerators: Collection[str] = (),
-    avoid: Collection[Life] = (),
+    avoid: Collection[AgentInstance] = (),
     is_head: Callable[[fleet.Agent], bool] = lambda agent: True,
-    keep: Collection[Life] = (),
+    keep: Collection[AgentInstance] = (),
 ) -> Chain | None:
     """Tile the layers with the agents that have the least work.
 
@@ -81,15 +83,15 @@
     for agent in sorted(agents, key=lambda one: one.peer.endpoint.layer_start):
         endpoint = agent.peer.endpoint
         known = best.get(endpoint.layer_start)
-        if known is None or tell_life(agent) in avoid:
+        if known is None or get_instance(agent) in avoid:
             continue
-        if not _fits(endpoint, accelerators):
+        if not _has_allowed_accelerator(endpoint, accelerators):
             continue
         if endpoint.layer_start == 0 and not is_head(agent):
             continue
         if endpoint.layer_end <= endpoint.layer_start:
             continue
-        cost = known[0] + _tell_cost(agent, keep)
+        cost = known[0] + _compute_cost(agent, keep)
         reached = best.get(endpoint.layer_end)
         if reached is None or cost < reached[0]:
             best[endpoint.layer_end] = (cost, (*known[1], agent))
@@ -111,9 +113,9 @@
     ]
 
 
-def pick_avoiding(
-    choose: Callable[[Collection[Life]], Chain | None],
-    avoid: Collection[Life],
+def choose_with_fallback(
+    choose: Callable[[Collection[AgentInstance]], Chain | None],
+    avoid: Collection[AgentInstance],
 ) -> Chain | None:
     """Choose without the agents that failed, or with them if need be.
 
--- a/packages/daemon/src/dunlintide_daemon/entry/claims.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/claims.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     'Binder',
-    'Bound',
+    'BoundClaim',
     'Writer',
 ]
 
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Bound:
+class BoundClaim:
     """A claim that holds, and the executor that it names.
 
     :ivar executor: the agent, None when that life of it is gone
@@ -79,7 +79,7 @@
         proposed: fleet.Agent,
         retention: float,
         timeout: float,
-    ) -> result.Result[Bound, outcomes.Refusal]:
+    ) -> result.Result[BoundClaim, outcomes.Refusal]:
         """Bind a key to an executor, or find the one it is bound to.
 
         Nothing may be sent before this has succeeded.
@@ -104,15 +104,15 @@
                 detail = 'the key was used for a request with other content'
                 return result.Err(outcomes.refuse(code, detail))
             return _refuse_store('the request could not be bound')
-        held = answer.ok_value
-        executor = self.fleet.reach(held.executor, held.incarnation)
-        repeated = held.attempt != wanted.attempt
-        return result.Ok(Bound(held, executor, repeated))
+        stored = answer.ok_value
+        executor = self.fleet.reach(stored.executor, stored.incarnation)
+        repeated = stored.attempt != wanted.attempt
+        return result.Ok(BoundClaim(stored, executor, repeated))
 
-    def release(self, bound: Bound, timeout: float) -> bool:
+    def release(self, bound_claim: BoundClaim, timeout: float) -> bool:
         """Free a key whose request never ran and never will.
 
         :returns: whether that is known to have been done
         """
-        answer = self.writer.release(bound.binding, timeout)
+        answer = self.writer.release(bound_claim.binding, timeout)
         return isinstance(answer, result.Ok)
--- a/packages/daemon/src/dunlintide_daemon/entry/completions.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/completions.py
@@ -14,11 +14,11 @@
 from dunlintide_daemon.entry import sessions
 
 __all__ = [
+    'DirectOutput',
     'End',
-    'Outlet',
+    'Idle',
     'Plan',
-    'Piece',
-    'Wait',
+    'TokenBatch',
     'run',
 ]
 
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class Piece:
+class TokenBatch:
     """Texts of tokens that came together.
 
     Not frozen, as one is made for each token and that costs more.
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Wait:
+class Idle:
     """Nothing came for a while."""
 
 
@@ -58,7 +58,7 @@
 
 
 @attrs.define
-class Outlet:
+class DirectOutput:
     """Way of a token's text to the caller past the request's thread.
 
     :ivar write: takes a text without waiting, on the links' thread; False
@@ -84,10 +84,10 @@
     version: str
     adapter: str
     prefixes: link_pb2.Prefixes
-    choose: Callable[[Collection[chains.Life]], chains.Chain | None]
-    find_holder: Callable[[], fleet.Agent | None] = lambda: None
+    choose: Callable[[Collection[chains.AgentInstance]], chains.Chain | None]
+    find_executor: Callable[[], fleet.Agent | None] = lambda: None
     repair: Callable[
-        [chains.Chain, Collection[chains.Life]], chains.Chain | None
+        [chains.Chain, Collection[chains.AgentInstance]], chains.Chain | None
     ] = lambda chain, avoid: None
 
 
@@ -100,21 +100,21 @@
         job: jobs.Job,
         request: requests.Completion,
         plan: Plan,
-        outlet: Outlet,
+        direct_output: DirectOutput,
     ) -> None:
         self._context = context
-        self._outlet = outlet
+        self._direct_output = direct_output
         self._job = job
         self._request = request
         self._plan = plan
-        self._attempt = dispatch.Attempt(context, job)
+        self._dispatcher = dispatch.Dispatcher(context, job)
         self._tokens: list[int] = []
         self._chain: chains.Chain = ()
-        self._keeps = False
+        self._keep_state = False
 
     def _build_open(self, chain: chains.Chain, epoch: int) -> link_pb2.Frame:
         message = link_pb2.Open(
-            terms=self._attempt.build_terms(),
+            terms=self._dispatcher.build_terms(),
             epoch=epoch,
             chain=chains.build_stages(chain),
             prompt=self._request.prompt,
@@ -124,14 +124,14 @@
             model=self._plan.model,
             version=self._plan.version,
             adapter=self._plan.adapter,
-            keep_state=self._keeps,
+            keep_state=self._keep_state,
             prefixes=self._plan.prefixes,
         )
         return link_pb2.Frame(open=message)
 
     def _build_attach(self, epoch: int) -> link_pb2.Frame:
         message = link_pb2.Attach(
-            terms=self._attempt.build_terms(),
+            terms=self._dispatcher.build_terms(),
             epoch=epoch,
             claim=self._job.claim,
         )
@@ -142,28 +142,30 @@
 
         It may hold the answer, and if not, it will never run the claim.
         """
-        holder = self._plan.find_holder()
-        if holder is None:
+        executor = self._plan.find_executor()
+        if executor is None:
             return False
-        self._attempt.send((holder,), self._build_attach)
+        self._dispatcher.send((executor,), self._build_attach)
         return True
 
-    def _choose(self) -> chains.Chain | None:
-        avoid = self._attempt.avoid
-        if self._keeps:
-            chain = chains.pick_avoiding(
+    def _choose_chain(self) -> chains.Chain | None:
+        avoid = self._dispatcher.avoid
+        if self._keep_state:
+            chain = chains.choose_with_fallback(
                 lambda others: self._plan.repair(self._chain, others), avoid
             )
             if chain is not None:
                 return chain
-        return chains.pick_avoiding(self._plan.choose, avoid)
+        return chains.choose_with_fallback(self._plan.choose, avoid)
 
-    def _open(self) -> bool:
-        chain = self._choose()
+    def _dispatch(self) -> bool:
+        chain = self._choose_chain()
         if chain is None:
             return self._attach()
         self._chain = chain
-        self._attempt.send(chain, lambda epoch: self._build_open(chain, epoch))
+        self._dispatcher.send(
+            chain, lambda epoch: self._build_open(chain, epoch)
+        )
         return True
 
     def _accept(self, token: link_pb2.Token, texts: list[str]) -> bool:
@@ -172,55 +174,55 @@
         if token.index > expected:
             return False
         if token.index < expected:
-            self._attempt.drop_duplicate()
+            self._dispatcher.record_duplicate()
             return True
         self._tokens.append(token.id)
         texts.append(token.text)
         return True
 
-    def _read(
+    def _process_events(
         self, events: list[sessions.Event], texts: list[str]
-    ) -> End | link_pb2.Fail | sessions.Lost | None:
+    ) -> End | link_pb2.Fail | sessions.LinkLost | None:
         """Gather texts; return what ends the attempt, if anything."""
         for event in events:
             if isinstance(event, link_pb2.Token):
                 if not self._accept(event, texts):
-                    return self._attempt.drop_gap()
+                    return self._dispatcher.record_gap()
             elif isinstance(event, link_pb2.Done):
                 if event.tokens != len(self._tokens):
-                    return self._attempt.drop_gap()
-                self._attempt.settle()
+                    return self._dispatcher.record_gap()
+                self._dispatcher.mark_ended()
                 return End(
                     event.finish_reason, event.prompt_tokens, event.tokens
                 )
             elif isinstance(event, link_pb2.Fail):
                 if not event.held:
-                    self._attempt.settle()
+                    self._dispatcher.mark_ended()
                 return event
-            elif isinstance(event, sessions.Lost):
+            elif isinstance(event, sessions.LinkLost):
                 return event
         return None
 
     def _relay(self, token: link_pb2.Token) -> bool:
         """Pass the next token on; any other is for the run itself."""
-        if token.epoch != self._attempt.epoch:
+        if token.epoch != self._dispatcher.epoch:
             return False
         if token.index != len(self._tokens):
             return False
-        if not self._outlet.write(token.text):
+        if not self._direct_output.write(token.text):
             return False
         self._tokens.append(token.id)
-        self._attempt.note_tokens(1)
+        self._dispatcher.record_tokens(1)
         return True
 
-    def _take(self) -> list[sessions.Event]:
-        passes_on = self._outlet.write is not None
-        return self._attempt.take(self._relay if passes_on else None)
+    def _take_events(self) -> list[sessions.Event]:
+        passes_on = self._direct_output.write is not None
+        return self._dispatcher.take_events(self._relay if passes_on else None)
 
-    def _is_whole(self) -> bool:
+    def _has_all_tokens(self) -> bool:
         return len(self._tokens) >= self._request.max_tokens
 
-    def _end(self) -> End:
+    def _build_end(self) -> End:
         """Build the end that the head could not tell.
 
         The size of the prompt is an estimate here.
@@ -228,44 +230,47 @@
         prompt = requests.estimate_tokens(self._request.prompt)
         return End('length', prompt, len(self._tokens))
 
-    def _may_keep(self, failure: outcomes.Refusal) -> bool:
+    def _can_keep_state(self, failure: outcomes.Refusal) -> bool:
         """Tell whether stages may go on with what they hold."""
-        if not self._context.replays or not self._attempt.ran:
+        if (
+            not self._context.keeps_stage_state
+            or not self._dispatcher.may_have_run
+        ):
             return False
         return failure.held or failure.code in _RECOVERABLE
 
-    def run(self) -> Iterator[Piece | Wait | End | outcomes.Refusal]:
-        if not self._open():
-            yield self._attempt.refuse_unsent(
+    def run(self) -> Iterator[TokenBatch | Idle | End | outcomes.Refusal]:
+        if not self._dispatch():
+            yield self._dispatcher.refuse_unsent(
                 'no chain of endpoints holds all layers of the model'
             )
             return
         while True:
             texts: list[str] = []
-            ending = self._read(self._take(), texts)
+            ending = self._process_events(self._take_events(), texts)
             if texts:
-                self._attempt.note_tokens(len(texts))
-                yield Piece(texts)
+                self._dispatcher.record_tokens(len(texts))
+                yield TokenBatch(texts)
             if isinstance(ending, End):
                 yield ending
                 return
-            if ending is not None and self._is_whole():
+            if ending is not None and self._has_all_tokens():
                 # Only the word that it is whole was lost.
-                yield self._end()
+                yield self._build_end()
                 return
-            refusal = self._attempt.check()
+            refusal = self._dispatcher.check_termination()
             if refusal is None and ending is not None:
-                failure = self._attempt.read_failure(ending)
-                self._keeps = self._may_keep(failure)
-                refusal = self._attempt.recover(failure, self._open)
+                failure = self._dispatcher.convert_failure(ending)
+                self._keep_state = self._can_keep_state(failure)
+                refusal = self._dispatcher.recover(failure, self._dispatch)
             if refusal is not None:
                 yield refusal
                 return
             if not texts:
-                yield Wait()
+                yield Idle()
 
     def close(self) -> None:
-        self._attempt.close()
+        self._dispatcher.close()
 
 
 def run(
@@ -273,14 +278,14 @@
     job: jobs.Job,
     request: requests.Completion,
     plan: Plan,
-    outlet: Outlet,
-) -> Iterator[Piece | Wait | End | outcomes.Refusal]:
+    direct_output: DirectOutput,
+) -> Iterator[TokenBatch | Idle | End | outcomes.Refusal]:
     """Run a completion; closing the iterator cancels it.
 
     :param outlet: way of tokens past this iterator, which yields the rest
     :returns: pieces and waits, then an end or a refusal
     """
-    one = _Run(context, job, request, plan, outlet)
+    one = _Run(context, job, request, plan, direct_output)
     try:
         yield from one.run()
     finally:
--- a/packages/daemon/src/dunlintide_daemon/entry/entrylinks.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/entrylinks.py
@@ -20,23 +20,23 @@
 from dunlintide_daemon.entry import threads
 
 __all__ = [
-    'CHOICES',
-    'SHARDS',
-    'Exchange',
+    'CANDIDATES_PER_SHARD',
+    'SHARD_COUNT',
+    'EntryLinks',
     'Host',
-    'identify',
+    'build_instance_id',
 ]
 
-SHARDS = 4
-CHOICES = 2
+SHARD_COUNT = 4
+CANDIDATES_PER_SHARD = 2
 # Demands follow each other by about a second, so pings only serve links
 # on which nothing else is said.
-TIMING = links.LinkTiming(ping=2.0, silence=6.0, redial=2.0)
+LINK_TIMING = links.LinkTiming(ping=2.0, silence=6.0, redial=2.0)
 
 
 # How long the first choice may be out of reach before another is taken;
 # entries that turn to different ones only divide among themselves.
-PATIENCE_SECONDS = 4.0
+FAILOVER_DELAY_SECONDS = 4.0
 
 
 class Host(Protocol):
@@ -47,28 +47,28 @@
     address: str
 
 
-def identify(hello: link_pb2.Hello) -> str:
+def build_instance_id(hello: link_pb2.Hello) -> str:
     """Name a process in one life of it."""
     return f'{hello.name}@{hello.incarnation}'
 
 
-def _rank(names: Iterable[str], shard: int) -> tuple[str, ...]:
+def _rank_candidates(names: Iterable[str], shard: int) -> tuple[str, ...]:
     ranked = sorted(names, key=lambda name: hashing.hash_text(name, shard))
-    return tuple(ranked[:CHOICES])
+    return tuple(ranked[:CANDIDATES_PER_SHARD])
 
 
 @attrs.frozen
-class _View:
+class _Membership:
     """The entries as listed.
 
     :ivar choices: names that may coordinate, by shard
     """
 
-    count: int
-    choices: tuple[tuple[str, ...], ...]
+    entry_count: int
+    candidates: tuple[tuple[str, ...], ...]
 
 
-class Exchange:
+class EntryLinks:
     """Accepts links of other entries and dials those that coordinate."""
 
     def __init__(
@@ -76,7 +76,7 @@
         name: str,
         listen: str,
         hello: Callable[[], link_pb2.Hello],
-        take: Callable[[links.Link, list[link_pb2.Frame]], None],
+        handle_frames: Callable[[links.Link, list[link_pb2.Frame]], None],
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
         """Bind the address.
@@ -88,18 +88,18 @@
         self._name = name
         self._transport = transport
         self._hello = hello
-        self._take = threads.guard_frames(take)
+        self._handle_frames = threads.guard_frames(handle_frames)
         self._lock = threading.Lock()
         self._dialers: dict[str, links.Dialer] = {}
-        self._linked: dict[str, links.Link] = {}
+        self._links_by_name: dict[str, links.Link] = {}
         self._stopped = False
-        self._reached = [time.monotonic()] * SHARDS
-        self._view = self._build_view(())
+        self._last_reached = [time.monotonic()] * SHARD_COUNT
+        self._membership = self._build_membership(())
         accepted = links.Handlers(
-            lambda link: None, self._take, lambda link, reason: None
+            lambda link: None, self._handle_frames, lambda link, reason: None
         )
         self._server = linkserver.LinkServer(
-            listen, hello, accepted, TIMING, transport=transport
+            listen, hello, accepted, LINK_TIMING, transport=transport
         )
 
     @property
@@ -113,14 +113,16 @@
         return self._server.server
 
     @property
-    def count(self) -> int:
+    def entry_count(self) -> int:
         """Number of entries, this one included."""
-        return self._view.count
+        return self._membership.entry_count
 
-    def _build_view(self, names: Iterable[str]) -> _View:
+    def _build_membership(self, names: Iterable[str]) -> _Membership:
         known = {self._name, *names}
-        choices = tuple(_rank(known, shard) for shard in range(SHARDS))
-        return _View(len(known), choices)
+        candidates = tuple(
+            _rank_candidates(known, shard) for shard in range(SHARD_COUNT)
+        )
+        return _Membership(len(known), candidates)
 
     def update(self, hosts: Iterable[Host]) -> None:
         """Take in the host list."""
@@ -129,17 +131,17 @@
             for host in hosts
             if host.role == fleet.Role.ENTRY
         }
-        view = self._build_view(listed)
+        membership = self._build_membership(listed)
         wanted = {
             listed[name]
-            for ranked in view.choices
+            for ranked in membership.candidates
             for name in ranked
             if name != self._name
         }
         with self._lock:
             if self._stopped:
                 return
-            self._view = view
+            self._membership = membership
             gone = [
                 self._dialers.pop(address)
                 for address in self._dialers.keys() - wanted
@@ -154,58 +156,63 @@
             dialer.start()
 
     def _dial(self, address: str) -> links.Dialer:
-        handlers = links.Handlers(self._up, self._take, self._down)
+        handlers = links.Handlers(
+            self._add_link, self._handle_frames, self._remove_link
+        )
         dialer = links.Dialer(
             address,
             self._hello,
             handlers,
-            TIMING,
+            LINK_TIMING,
             transport=self._transport,
             role=fleet.Role.ENTRY,
         )
         self._dialers[address] = dialer
         return dialer
 
-    def _up(self, link: links.Link) -> None:
+    def _add_link(self, link: links.Link) -> None:
         with self._lock:
-            self._linked[link.peer.name] = link
+            self._links_by_name[link.peer.name] = link
 
-    def _down(self, link: links.Link, reason: str) -> None:
+    def _remove_link(self, link: links.Link, reason: str) -> None:
         with self._lock:
-            if self._linked.get(link.peer.name) is link:
-                del self._linked[link.peer.name]
+            if self._links_by_name.get(link.peer.name) is link:
+                del self._links_by_name[link.peer.name]
 
-    def choose(self, shard: int) -> str:
+    def choose_coordinator(self, shard: int) -> str:
         """Return who should coordinate a shard, in this life of it.
 
         :returns: empty when that is not known, or nobody is reachable
         """
         now = time.monotonic()
         with self._lock:
-            first, *others = self._view.choices[shard]
-            found = self._find(first)
+            first, *others = self._membership.candidates[shard]
+            found = self._find_instance_id(first)
             if found:
-                self._reached[shard] = now
-            if found or now < self._reached[shard] + PATIENCE_SECONDS:
+                self._last_reached[shard] = now
+            if (
+                found
+                or now < self._last_reached[shard] + FAILOVER_DELAY_SECONDS
+            ):
                 return found
-            return next(filter(None, map(self._find, others)), '')
+            return next(filter(None, map(self._find_instance_id, others)), '')
 
-    def _find(self, name: str) -> str:
+    def _find_instance_id(self, name: str) -> str:
         if name == self._name:
-            return self.identify()
-        link = self._linked.get(name)
-        return identify(link.peer) if link is not None else ''
+            return self.get_instance_id()
+        link = self._links_by_name.get(name)
+        return build_instance_id(link.peer) if link is not None else ''
 
-    def identify(self) -> str:
+    def get_instance_id(self) -> str:
         """Name this entry in this life of it."""
-        return identify(self._hello())
+        return build_instance_id(self._hello())
 
     def send(self, coordinator: str, frame: link_pb2.Frame) -> bool:
         """Send a frame; False when that life is not reachable."""
         name = coordinator.rpartition('@')[0]
         with self._lock:
-            link = self._linked.get(name)
-        if link is None or identify(link.peer) != coordinator:
+            link = self._links_by_name.get(name)
+        if link is None or build_instance_id(link.peer) != coordinator:
             return False
         return link.send(frame)
 
--- a/packages/daemon/src/dunlintide_daemon/entry/headers.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/headers.py
@@ -65,7 +65,7 @@
     return tuple(headers)
 
 
-def _is_safe(name: str, value: str) -> bool:
+def _has_no_line_break(name: str, value: str) -> bool:
     # waitress raises on these, after the service has run.
     return not any(mark in name + value for mark in '\r\n')
 
@@ -78,5 +78,5 @@
         (name, value)
         for name, value in headers
         if name.lower() not in _DROPPED_ANSWER_HEADERS
-        and _is_safe(name, value)
+        and _has_no_line_break(name, value)
     ]
--- a/packages/daemon/src/dunlintide_daemon/entry/jobs.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/jobs.py
@@ -14,7 +14,7 @@
 from dunlintide_daemon.entry import sessions
 
 __all__ = [
-    'FINAL',
+    'NON_RETRYABLE',
     'RETRY_AFTER_SECONDS',
     'Context',
     'Job',
@@ -24,7 +24,7 @@
 RETRY_AFTER_SECONDS = 2.0
 
 # Failures that another attempt would only meet again.
-FINAL = frozenset(
+NON_RETRYABLE = frozenset(
     (
         outcomes.FailCode.BAD_REQUEST,
         outcomes.FailCode.UNAUTHENTICATED,
@@ -59,8 +59,10 @@
     retries: budget.RetryBudget
     clock: Callable[[], float] = time.monotonic
     count_retry: Callable[[], None] = lambda: None
-    answer_room: memorybudget.Room = attrs.field(factory=memorybudget.Room)
-    replays: bool = True
+    answer_memory: memorybudget.MemoryBudget = attrs.field(
+        factory=memorybudget.MemoryBudget
+    )
+    keeps_stage_state: bool = True
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
         """Count work of agents; negative when it ends."""
--- a/packages/daemon/src/dunlintide_daemon/entry/limits.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/limits.py
@@ -22,47 +22,47 @@
 from dunlintide_daemon.entry import shares
 
 __all__ = [
-    'Limits',
+    'Limiter',
 ]
 
-PERIOD_SECONDS = 1.0
+RENEWAL_PERIOD_SECONDS = 1.0
 # A coordinator answers each entry once in a period, so in a large fleet
 # the period grows to bound what a coordinator spends.
-_ENTRIES_PER_SECOND = 200
-MAX_PERIOD_SECONDS = 2.0
-_LEAST_PERIOD_SECONDS = 0.1
+_MAX_DEMANDS_PER_SECOND = 200
+MAX_RENEWAL_PERIOD_SECONDS = 2.0
+_MIN_RENEWAL_PERIOD_SECONDS = 0.1
 # After a jump in demand the next renewals follow quickly, as the others
 # give way only step by step.
-_URGENT_SECONDS = 0.25
+_URGENT_PERIOD_SECONDS = 0.25
 _URGENT_RENEWALS = 12
-_JUMP = 2.0
+_DEMAND_JUMP_RATIO = 2.0
 # Demand follows a change at once when it is larger than chance explains,
 # in standard deviations of a count.
-_NOISE = 3.0
-_SMOOTHING = 0.3
+_NOISE_DEVIATIONS = 3.0
+_DEMAND_SMOOTHING = 0.3
 # Share of a debt that is asked for on top of the demand, a second.
-_REPAYMENT = 0.25
+_DEBT_REPAYMENT_PER_SECOND = 0.25
 # A first request under a key waits for its first grant, but few do.
 GRANT_WAIT_SECONDS = 1.0
-_MAX_WAITING = 8
-_KEEP_SECONDS = 30.0
-_HEADROOM = 1.1
+_MAX_GRANT_WAITERS = 8
+_USAGE_RETENTION_SECONDS = 30.0
+_DEMAND_HEADROOM = 1.1
 _MAX_RETRY_SECONDS = 60.0
 
 
-Take = Callable[[links.Link, list[link_pb2.Frame]], None]
+HandleFrames = Callable[[links.Link, list[link_pb2.Frame]], None]
 
 
 @attrs.define
-class _Use:
+class _Usage:
     """What a team does here under one rule."""
 
     then: configuration.Then
     bucket: limits.Bucket
-    touched: float
-    asked: int = 0
+    last_used: float
+    request_count: int = 0
     demand: float = 0.0
-    short: int = 0
+    slot_refusals: int = 0
     in_flight: int = 0
     waiting: int = 0
 
@@ -71,28 +71,34 @@
         """Limit in flight, 0 for none."""
         return self.then.concurrency or 0
 
-    def measure(self, seconds: float) -> limits.Need:
+    def measure_need(self, seconds: float) -> limits.Need:
         """Return what it needs by what was asked in the last seconds."""
-        recent = self.asked / seconds
-        noise = _NOISE * math.sqrt(max(self.demand, recent) / seconds)
+        recent = self.request_count / seconds
+        noise = _NOISE_DEVIATIONS * math.sqrt(
+            max(self.demand, recent) / seconds
+        )
         if abs(recent - self.demand) > noise:
             self.demand = recent
         else:
-            self.demand += _SMOOTHING * (recent - self.demand)
-        wanted = self.in_flight + self.short + self.waiting
-        self.asked = self.short = 0
+            self.demand += _DEMAND_SMOOTHING * (recent - self.demand)
+        wanted = self.in_flight + self.slot_refusals + self.waiting
+        self.request_count = self.slot_refusals = 0
         rate = 0.0
         if self.then.rate:
-            debt = max(0.0, -self.bucket.tokens) * _REPAYMENT
-            rate = min(1.0, (self.demand * _HEADROOM + debt) / self.then.rate)
-        spare = 1 if wanted or self.demand > 1 / _KEEP_SECONDS else 0
+            debt = max(0.0, -self.bucket.tokens) * _DEBT_REPAYMENT_PER_SECOND
+            rate = min(
+                1.0, (self.demand * _DEMAND_HEADROOM + debt) / self.then.rate
+            )
+        spare = (
+            1 if wanted or self.demand > 1 / _USAGE_RETENTION_SECONDS else 0
+        )
         slots = min(self.slots, wanted + spare)
         return limits.Need(rate, slots, self.in_flight, self.slots)
 
     def is_idle(self, now: float) -> bool:
         """Tell whether it may be forgotten without a loss."""
         busy = self.in_flight or self.waiting or self.bucket.tokens < 0
-        return not busy and now - self.touched > _KEEP_SECONDS
+        return not busy and now - self.last_used > _USAGE_RETENTION_SECONDS
 
 
 def _refuse(detail: str, seconds: float) -> outcomes.Refusal:
@@ -103,12 +109,12 @@
     )
 
 
-class Limits:
+class Limiter:
     """Admits requests, and keeps this entry's shares of the limits."""
 
     def __init__(
         self,
-        connect: Callable[[Take], entrylinks.Exchange],
+        connect: Callable[[HandleFrames], entrylinks.EntryLinks],
         clock: Callable[[], float] = time.monotonic,
         grant_wait: float = GRANT_WAIT_SECONDS,
     ) -> None:
@@ -123,44 +129,48 @@
         self._grant_wait = grant_wait
         self._changed = threading.Condition()
         self._wake = threading.Event()
-        self._uses: dict[limits.Key, _Use] = {}
-        self._held: dict[str, limits.Key] = {}
+        self._usages: dict[limits.Key, _Usage] = {}
+        self._keys_in_flight: dict[str, limits.Key] = {}
         self._shares = shares.Shares(
-            self._changed, clock, self._refill_shard, self._note_grants
+            self._changed, clock, self._refill_shard, self._handle_grant_change
         )
-        self._measured = clock()
-        self._refused = 0
-        self._urgent = 0
-        self.exchange = connect(self._shares.take)
+        self._last_measured = clock()
+        self._refused_count = 0
+        self._urgent_renewals_left = 0
+        self.entry_links = connect(self._shares.handle_frames)
 
     @property
-    def _fraction(self) -> float:
-        return 1.0 / self.exchange.count
+    def _entry_fraction(self) -> float:
+        return 1.0 / self.entry_links.entry_count
 
     @property
-    def _period(self) -> float:
-        wanted = self.exchange.count / _ENTRIES_PER_SECOND
-        return min(MAX_PERIOD_SECONDS, max(PERIOD_SECONDS, wanted))
+    def _renewal_period(self) -> float:
+        wanted = self.entry_links.entry_count / _MAX_DEMANDS_PER_SECOND
+        return min(
+            MAX_RENEWAL_PERIOD_SECONDS, max(RENEWAL_PERIOD_SECONDS, wanted)
+        )
 
-    def _find_grant(self, key: limits.Key, use: _Use) -> limits.Grant:
-        return self._shares.find(key, self._fraction, use.slots)
+    def _find_grant(self, key: limits.Key, usage: _Usage) -> limits.Grant:
+        return self._shares.find_grant(key, self._entry_fraction, usage.slots)
 
-    def _build_use(
+    def _build_usage(
         self, key: limits.Key, then: configuration.Then, now: float
-    ) -> _Use:
-        grant = self._shares.find(key, self._fraction, then.concurrency or 0)
+    ) -> _Usage:
+        grant = self._shares.find_grant(
+            key, self._entry_fraction, then.concurrency or 0
+        )
         rate = grant.rate * (then.rate or 0.0)
-        return _Use(then, limits.Bucket.from_share(now, rate), now)
+        return _Usage(then, limits.Bucket.from_share(now, rate), now)
 
-    def _find_use(self, key: limits.Key, then: configuration.Then) -> _Use:
+    def _find_usage(self, key: limits.Key, then: configuration.Then) -> _Usage:
         now = self._clock()
-        use = self._uses.get(key)
-        if use is None:
-            use = self._uses[key] = self._build_use(key, then, now)
+        usage = self._usages.get(key)
+        if usage is None:
+            usage = self._usages[key] = self._build_usage(key, then, now)
             self._wake.set()
-        use.then = then
-        use.touched = now
-        return use
+        usage.then = then
+        usage.last_used = now
+        return usage
 
     def admit(
         self, request_id: str, team: str, rule: configuration.Rule
@@ -175,113 +185,123 @@
             return None
         key = (team, rule.name)
         with self._changed:
-            use = self._find_use(key, then)
-            use.asked += 1
-            refusal = self._decide(key, use)
-            if refusal is not None and self._await_grant(key, use):
-                refusal = self._decide(key, use)
+            usage = self._find_usage(key, then)
+            usage.request_count += 1
+            refusal = self._check_grant(key, usage)
+            if refusal is not None and self._await_grant(key, usage):
+                refusal = self._check_grant(key, usage)
             if refusal is not None:
-                self._refused += 1
+                self._refused_count += 1
                 return refusal
-            if use.slots:
-                use.in_flight += 1
-                self._held[request_id] = key
+            if usage.slots:
+                usage.in_flight += 1
+                self._keys_in_flight[request_id] = key
         return None
 
-    def _decide(self, key: limits.Key, use: _Use) -> outcomes.Refusal | None:
-        grant = self._find_grant(key, use)
-        if use.slots and use.in_flight >= grant.slots:
-            use.short += 1
+    def _check_grant(
+        self, key: limits.Key, usage: _Usage
+    ) -> outcomes.Refusal | None:
+        grant = self._find_grant(key, usage)
+        if usage.slots and usage.in_flight >= grant.slots:
+            usage.slot_refusals += 1
             detail = 'too many requests of the team are in flight'
-            return _refuse(detail, self._period)
-        if use.then.rate is None:
+            return _refuse(detail, self._renewal_period)
+        if usage.then.rate is None:
             return None
-        rate = grant.rate * use.then.rate
-        wait = use.bucket.take(self._clock(), rate)
+        rate = grant.rate * usage.then.rate
+        wait = usage.bucket.take(self._clock(), rate)
         if not wait:
             return None
-        if use.asked > _JUMP * use.demand + 1:
-            self._hurry()
+        if usage.request_count > _DEMAND_JUMP_RATIO * usage.demand + 1:
+            self._start_urgent_renewals()
         # Without a share the next one comes with the next exchange.
-        seconds = wait if rate else self._period
+        seconds = wait if rate else self._renewal_period
         return _refuse('the rate of the team is used up', seconds)
 
-    def _hurry(self) -> None:
-        self._urgent = _URGENT_RENEWALS
+    def _start_urgent_renewals(self) -> None:
+        self._urgent_renewals_left = _URGENT_RENEWALS
         self._wake.set()
 
-    def _await_grant(self, key: limits.Key, use: _Use) -> bool:
+    def _await_grant(self, key: limits.Key, usage: _Usage) -> bool:
         """Wait for a key's first grant; False when none came."""
-        alone = self.exchange.count == 1
-        if alone or use.waiting >= _MAX_WAITING or self._shares.covers(key):
+        is_only_entry = self.entry_links.entry_count == 1
+        if (
+            is_only_entry
+            or usage.waiting >= _MAX_GRANT_WAITERS
+            or self._shares.has_grant(key)
+        ):
             return False
-        use.waiting += 1
+        usage.waiting += 1
         self._wake.set()
         try:
             return self._changed.wait_for(
-                lambda: self._shares.covers(key), self._grant_wait
+                lambda: self._shares.has_grant(key), self._grant_wait
             )
         finally:
-            use.waiting -= 1
+            usage.waiting -= 1
 
     def release(self, request_id: str) -> None:
         """Take note that a request has ended; others are ignored."""
         with self._changed:
-            key = self._held.pop(request_id, None)
-            use = self._uses.get(key) if key is not None else None
-            if use is not None:
-                use.in_flight -= 1
-                use.touched = self._clock()
+            key = self._keys_in_flight.pop(request_id, None)
+            usage = self._usages.get(key) if key is not None else None
+            if usage is not None:
+                usage.in_flight -= 1
+                usage.last_used = self._clock()
 
     @property
-    def pause(self) -> float:
+    def renewal_delay(self) -> float:
         """Seconds from one renewal to the next, as things are now."""
         if self._wake.is_set():
-            return _LEAST_PERIOD_SECONDS
-        return _URGENT_SECONDS if self._urgent else self._period
+            return _MIN_RENEWAL_PERIOD_SECONDS
+        return (
+            _URGENT_PERIOD_SECONDS
+            if self._urgent_renewals_left
+            else self._renewal_period
+        )
 
-    def follow(self, done: threading.Event) -> None:
+    def run_renewals(self, done: threading.Event) -> None:
         """Renew the shares until the event is set."""
-        while not done.wait(_LEAST_PERIOD_SECONDS):
-            self._wake.wait(self.pause - _LEAST_PERIOD_SECONDS)
+        while not done.wait(_MIN_RENEWAL_PERIOD_SECONDS):
+            self._wake.wait(self.renewal_delay - _MIN_RENEWAL_PERIOD_SECONDS)
             self.renew()
 
     def renew(self) -> None:
         """Tell the coordinators what is needed."""
         self._wake.clear()
-        self._urgent = max(0, self._urgent - 1)
+        self._urgent_renewals_left = max(0, self._urgent_renewals_left - 1)
         with self._changed:
-            needs = self._measure()
-        for shard in range(entrylinks.SHARDS):
-            self._shares.ask(shard, needs[shard], self.exchange)
+            needs = self._measure_needs()
+        for shard in range(entrylinks.SHARD_COUNT):
+            self._shares.request_grants(shard, needs[shard], self.entry_links)
 
-    def _measure(self) -> list[dict[limits.Key, limits.Need]]:
+    def _measure_needs(self) -> list[dict[limits.Key, limits.Need]]:
         now = self._clock()
-        seconds = max(now - self._measured, _LEAST_PERIOD_SECONDS)
-        self._measured = now
-        needs: list[dict] = [{} for _ in range(entrylinks.SHARDS)]
-        for key, use in list(self._uses.items()):
-            if use.is_idle(now):
-                del self._uses[key]
+        seconds = max(now - self._last_measured, _MIN_RENEWAL_PERIOD_SECONDS)
+        self._last_measured = now
+        needs: list[dict] = [{} for _ in range(entrylinks.SHARD_COUNT)]
+        for key, usage in list(self._usages.items()):
+            if usage.is_idle(now):
+                del self._usages[key]
                 continue
-            self._refill(key, use)
-            need = use.measure(seconds)
+            self._refill(key, usage)
+            need = usage.measure_need(seconds)
             if need.rate or need.slots or need.in_flight:
                 needs[shares.find_shard(key)][key] = need
         return needs
 
-    def _refill(self, key: limits.Key, use: _Use) -> None:
-        if use.then.rate is not None:
-            rate = self._find_grant(key, use).rate * use.then.rate
-            use.bucket.refill(self._clock(), rate)
+    def _refill(self, key: limits.Key, usage: _Usage) -> None:
+        if usage.then.rate is not None:
+            rate = self._find_grant(key, usage).rate * usage.then.rate
+            usage.bucket.refill(self._clock(), rate)
 
     def _refill_shard(self, shard: int) -> None:
         """Fill buckets by the old shares before new ones apply."""
-        for key, use in self._uses.items():
+        for key, usage in self._usages.items():
             if shares.find_shard(key) == shard:
-                self._refill(key, use)
+                self._refill(key, usage)
 
-    def _note_grants(self, shrunk: bool) -> None:
+    def _handle_grant_change(self, shrunk: bool) -> None:
         if shrunk:
             # Others get what was given up once that is acknowledged.
             self._wake.set()
@@ -291,9 +311,9 @@
         """Return the state for a dump, without teams' names."""
         with self._changed:
             return {
-                'entries': self.exchange.count,
-                'keys': len(self._uses),
-                'in_flight': len(self._held),
-                'refused': self._refused,
+                'entries': self.entry_links.entry_count,
+                'keys': len(self._usages),
+                'in_flight': len(self._keys_in_flight),
+                'refused': self._refused_count,
                 'shards': self._shares.describe(),
             }
--- a/packages/daemon/src/dunlintide_daemon/entry/memorybudget.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/memorybudget.py
@@ -5,14 +5,14 @@
 import attrs
 
 __all__ = [
-    'Room',
+    'MemoryBudget',
 ]
 
 MAX_BYTES = 64 << 20
 
 
 @attrs.define
-class Room:
+class MemoryBudget:
     """Bytes that gathered answers hold together.
 
     :ivar limit: most of them, in bytes
@@ -20,25 +20,25 @@
     """
 
     limit: int = MAX_BYTES
-    held: int = 0
+    reserved: int = 0
     _lock: threading.Lock = attrs.field(factory=threading.Lock)
 
-    def is_scarce(self) -> bool:
+    def is_low(self) -> bool:
         """Tell whether nothing more should be begun.
 
         Half is kept for the answers that are on their way.
         """
-        return self.held > self.limit // 2
+        return self.reserved > self.limit // 2
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Hold more bytes; False, and none held, when they do not fit."""
         with self._lock:
-            if self.held + size > self.limit:
+            if self.reserved + size > self.limit:
                 return False
-            self.held += size
+            self.reserved += size
             return True
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Hold fewer bytes."""
         with self._lock:
-            self.held -= size
+            self.reserved -= size
--- a/packages/daemon/src/dunlintide_daemon/entry/meter.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/meter.py
@@ -21,20 +21,20 @@
     """
 
     shared: metrics.Metrics
-    last: float
+    last_tokens_at: float
     tokens: int = 0
 
-    def note(self, count: int, now: float) -> None:
+    def record_tokens(self, count: int, now: float) -> None:
         """Take note of tokens that came together.
 
         They count as one observation of their mean distance.
         """
-        gap = now - self.last
+        gap = now - self.last_tokens_at
         if self.tokens:
             self.shared.inter_token_seconds.observe(gap / count)
         else:
             self.shared.first_token_seconds.observe(gap)
-        self.last = now
+        self.last_tokens_at = now
         self.tokens += count
 
     def close(self) -> None:
@@ -48,14 +48,14 @@
 
     shared: metrics.Metrics
 
-    def begin(self, arrived: float) -> TokenMeter:
+    def begin_answer(self, arrived: float) -> TokenMeter:
         """Begin to measure an answer.
 
         :param arrived: monotonic time of the request, in seconds
         """
         return TokenMeter(self.shared, arrived)
 
-    def end(self, arrived: float) -> None:
+    def observe_request(self, arrived: float) -> None:
         """Take note that a request has ended."""
         self.shared.request_seconds.observe(time.monotonic() - arrived)
 
@@ -71,7 +71,7 @@
         """Count a request by its outcome; no code for a whole answer."""
         self.shared.requests.labels(outcome, code or metrics.OK_CODE).inc()
 
-    def watch(
+    def register_gauges(
         self,
         in_flight: Callable[[], int],
         links: Callable[[], int],
--- a/packages/daemon/src/dunlintide_daemon/entry/openai.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/openai.py
@@ -11,7 +11,7 @@
 __all__ = [
     'END_MARK',
     'HEARTBEAT',
-    'Rendering',
+    'CompletionRenderer',
     'list_models',
     'render_error_event',
 ]
@@ -20,7 +20,7 @@
 HEARTBEAT = b':\n\n'
 END_MARK = b'data: [DONE]\n\n'
 _CHUNK_KIND = {True: 'chat.completion.chunk', False: 'text_completion'}
-_WHOLE_KIND = {True: 'chat.completion', False: 'text_completion'}
+_BODY_KIND = {True: 'chat.completion', False: 'text_completion'}
 _ID_PREFIX = {True: 'chatcmpl-', False: 'cmpl-'}
 _OWNER = 'dunlintide'
 _encode = msgspec.json.Encoder().encode
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Rendering:
+class CompletionRenderer:
     """How one completion is rendered.
 
     :ivar created: time of the request in whole seconds since the epoch
@@ -62,17 +62,17 @@
     model: str
     created: int
     chat: bool
-    prefix: bytes = attrs.field(init=False)
-    suffix: bytes = attrs.field(init=False)
+    token_prefix: bytes = attrs.field(init=False)
+    token_suffix: bytes = attrs.field(init=False)
 
-    @prefix.default
-    def _build_prefix(self) -> bytes:
+    @token_prefix.default
+    def _build_token_prefix(self) -> bytes:
         head = json.dumps(self._build_head(_CHUNK_KIND[self.chat]))[:-1]
         field = '"delta":{"content":' if self.chat else '"text":'
         return f'data: {head},"choices":[{{"index":0,{field}'.encode()
 
-    @suffix.default
-    def _build_suffix(self) -> bytes:
+    @token_suffix.default
+    def _build_token_suffix(self) -> bytes:
         closing = b'}' if self.chat else b''
         return closing + b',"finish_reason":null}]}\n\n'
 
@@ -97,7 +97,7 @@
         It is put together from parts encoded once, since this runs for
         each token.
         """
-        return self.prefix + _encode(text) + self.suffix
+        return self.token_prefix + _encode(text) + self.token_suffix
 
     def render_end(
         self,
@@ -118,7 +118,7 @@
             data += _encode_event(chunk | {'choices': [], 'usage': usage})
         return data + END_MARK
 
-    def render_whole(
+    def render_body(
         self, text: str, finish_reason: str, prompt_tokens: int, tokens: int
     ) -> bytes:
         """Return the JSON body of a whole answer."""
@@ -128,7 +128,7 @@
         else:
             choice['text'] = text
         choice['finish_reason'] = finish_reason
-        body = self._build_head(_WHOLE_KIND[self.chat])
+        body = self._build_head(_BODY_KIND[self.chat])
         body['choices'] = [choice]
         body['usage'] = self._build_usage(prompt_tokens, tokens)
         return msgspec.json.encode(body)
--- a/packages/daemon/src/dunlintide_daemon/entry/planning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/planning.py
@@ -69,7 +69,7 @@
         self,
         model: str,
         version: str,
-        avoid: Collection[chains.Life],
+        avoid: Collection[chains.AgentInstance],
         blocks: Sequence[int] = (),
     ) -> chains.Chain | None:
         """Choose a chain by the plan; None when it has none that lives.
--- a/packages/daemon/src/dunlintide_daemon/entry/problems.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/problems.py
@@ -26,9 +26,9 @@
 CONTENT_TYPE = 'application/problem+json'
 _TYPE_PREFIX = 'urn:dunlintide:problem:'
 # Callers that were refused together must not come back together.
-_JITTER = (0.5, 1.5)
-_LEAST_RETRY_SECONDS = 1
-_BUSY_RETRY_SECONDS = 1.0
+_RETRY_JITTER_RANGE = (0.5, 1.5)
+_MIN_RETRY_AFTER_SECONDS = 1
+_NO_CAPACITY_RETRY_SECONDS = 1.0
 # What the HTTP server refuses by itself, by its status.
 _SERVER_CODES = {
     413: outcomes.FailCode.TOO_LARGE,
@@ -98,8 +98,8 @@
     if refusal.code is outcomes.FailCode.UNAUTHENTICATED:
         headers.append(('WWW-Authenticate', 'Bearer'))
     if refusal.retry_after is not None:
-        seconds = refusal.retry_after * rng.uniform(*_JITTER)
-        seconds = max(_LEAST_RETRY_SECONDS, math.ceil(seconds))
+        seconds = refusal.retry_after * rng.uniform(*_RETRY_JITTER_RANGE)
+        seconds = max(_MIN_RETRY_AFTER_SECONDS, math.ceil(seconds))
         headers.append(('Retry-After', str(seconds)))
     return Response(render_status(refusal.status), headers, [body])
 
@@ -112,9 +112,11 @@
     :param rng: source of the jitter on ``Retry-After``
     """
     code = _SERVER_CODES.get(status, outcomes.FailCode.BAD_REQUEST)
-    busy = code is outcomes.FailCode.NO_CAPACITY
+    has_no_capacity = code is outcomes.FailCode.NO_CAPACITY
     refusal = outcomes.refuse(
-        code, detail, retry_after=_BUSY_RETRY_SECONDS if busy else None
+        code,
+        detail,
+        retry_after=_NO_CAPACITY_RETRY_SECONDS if has_no_capacity else None,
     )
     page = render(refusal, '', rng)
     headers = tuple(
--- a/packages/daemon/src/dunlintide_daemon/entry/requests.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/requests.py
@@ -13,11 +13,11 @@
 __all__ = [
     'Completion',
     'ServiceCall',
-    'check_key',
     'compute_fingerprint',
     'estimate_tokens',
     'parse_completion',
     'read_body',
+    'validate_idempotency_key',
 ]
 
 MAX_BODY_BYTES = 1 << 20
@@ -39,7 +39,7 @@
     include_usage: bool = False
 
 
-class _Common(msgspec.Struct, kw_only=True):
+class _CompletionBody(msgspec.Struct, kw_only=True):
     model: _Name
     max_tokens: _TokenCount | None = None
     max_completion_tokens: _TokenCount | None = None
@@ -49,7 +49,7 @@
     adapter: str = ''
 
 
-class _Prompted(_Common, kw_only=True):
+class _PromptBody(_CompletionBody, kw_only=True):
     prompt: Annotated[str, msgspec.Meta(min_length=1)]
 
 
@@ -63,7 +63,7 @@
     content: str | list[_Part] | None = None
 
 
-class _Chat(_Common, kw_only=True):
+class _ChatBody(_CompletionBody, kw_only=True):
     messages: Annotated[list[_Message], msgspec.Meta(min_length=1)]
 
 
@@ -130,7 +130,7 @@
     :param chat: whether it holds messages rather than a prompt
     :returns: the request, or a refusal that names the faulty field
     """
-    kind = _Chat if chat else _Prompted
+    kind = _ChatBody if chat else _PromptBody
     try:
         parsed: Any = msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -171,7 +171,9 @@
     return result.Ok(body)
 
 
-def check_key(key: str | None) -> result.Result[str, outcomes.Refusal]:
+def validate_idempotency_key(
+    key: str | None,
+) -> result.Result[str, outcomes.Refusal]:
     """Check an ``Idempotency-Key``.
 
     :param key: the header's value, None when there was none
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -94,7 +94,7 @@
         self._metrics = metrics.Metrics.from_registry(
             self._registry, core_fleet.Role.ENTRY
         )
-        self._room = memorybudget.Room()
+        self._room = memorybudget.MemoryBudget()
         self._transport = transports.build(settings)
         self._registry.register(transports.Collector(self._transport))
         self._meter = meter.Meter(self._metrics)
@@ -127,8 +127,8 @@
         )
         counter = prefixmetrics.Collector(self._planner.count_prompts)
         counter.register(self._registry)
-        self._limits = limits.Limits(
-            lambda take: entrylinks.Exchange(
+        self._limits = limits.Limiter(
+            lambda take: entrylinks.EntryLinks(
                 settings.name,
                 settings.link_listen,
                 self._build_hello,
@@ -141,7 +141,7 @@
             outside.writer, self._owners.find, transport=self._transport
         )
         claimroutes.add_service(
-            self._limits.exchange.server, outside.writer, self._transport
+            self._limits.entry_links.server, outside.writer, self._transport
         )
         self._http = self._build_server()
         self._admin = admin.AdminServer.from_config(
@@ -155,14 +155,14 @@
         self._state = states.build(
             settings,
             self._incarnation,
-            self._limits.exchange,
+            self._limits.entry_links,
             shared,
             self._transport,
         )
         self._placement = placement.Placement(
             settings, outside.leaders, self._fleet, self._holder
         )
-        self._meter.watch(
+        self._meter.register_gauges(
             lambda: len(self._sessions.list()),
             lambda: len(self._fleet.list_agents()),
             lambda: self._holder.revision,
@@ -202,10 +202,11 @@
             self._sessions,
             self._retries,
             count_retry=self._meter.count_retry,
-            answer_room=self._room,
-            replays=settings.recovery is settings_module.Recovery.REPLAY,
+            answer_memory=self._room,
+            keeps_stage_state=settings.recovery
+            is settings_module.Recovery.REPLAY,
         )
-        parts = application.Parts(
+        parts = application.Dependencies(
             context,
             self._holder,
             route,
@@ -216,7 +217,7 @@
             settings.timing.heartbeat,
         )
         return httpserver.HttpServer.from_config(
-            application.Front(parts),
+            application.Application(parts),
             settings.listen,
             settings.limits.threads,
             settings.limits.max_body_bytes,
@@ -263,7 +264,7 @@
         return admin.Readiness(tuple(reasons))
 
     def _lose_link(self, link: links.Link) -> None:
-        self._sessions.lose(link)
+        self._sessions.report_link_loss(link)
         if self._state is not None:
             # Whoever places layers waits for others that miss it too.
             self._state.probe(link.peer.name)
@@ -287,7 +288,7 @@
                 self._placement.note_hosts(known.hosts)
             if known.map_entries() != entries:
                 entries = known.map_entries()
-                self._limits.exchange.update(known.hosts)
+                self._limits.entry_links.update(known.hosts)
                 self._claims.keep(self._owners.update(known.hosts))
             self._fleet.drop_idle(now)
             self.done.wait(pause)
@@ -322,8 +323,8 @@
             stack.callback(self._claims.close)
             stack.callback(self._fleet.stop)
             self._start_configuration()
-            self._limits.exchange.start()
-            stack.callback(self._limits.exchange.stop)
+            self._limits.entry_links.start()
+            stack.callback(self._limits.entry_links.stop)
             self._admin.start()
             stack.callback(self._admin.stop)
             self._start('hosts', self._follow_fleet)
@@ -331,7 +332,7 @@
             if self._outside.leaders is not None:
                 stack.callback(self._placement.stop)
                 self._start('placement', self._placement.run, self.done)
-            self._start('limits', self._limits.follow, self.done)
+            self._start('limits', self._limits.run_renewals, self.done)
             stack.callback(self.done.set)
             self._http.start()
             # Runs first: what is in flight still needs all the rest.
--- a/packages/daemon/src/dunlintide_daemon/entry/router.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/router.py
@@ -28,7 +28,7 @@
 
 # Claims whose request never ran are freed, but no caller waits for long
 # until that is done.
-_RELEASE_SECONDS = 1.0
+_CLAIM_RELEASE_TIMEOUT_SECONDS = 1.0
 
 
 class Router:
@@ -40,7 +40,7 @@
         planner: planning.Planner,
         holder: holders.Holder,
         binder: claims.Binder,
-        limiter: limits.Limits,
+        limiter: limits.Limiter,
         failure_domain: str,
         is_quarantined: Callable[[bytes], bool] = lambda digest: False,
     ) -> None:
@@ -58,7 +58,7 @@
         self._limiter = limiter
         self._failure_domain = failure_domain
 
-    def _match(
+    def _match_rule(
         self,
         snapshot: holders.Snapshot,
         caller: routes.Caller,
@@ -89,10 +89,10 @@
 
         :param content: the body, for the fingerprint
         """
-        request = routes.describe_completion(
+        request = routes.build_completion_query(
             caller, completion, path, self._failure_domain
         )
-        matched = self._match(snapshot, caller, request)
+        matched = self._match_rule(snapshot, caller, request)
         if isinstance(matched, result.Err):
             return matched
         rule = matched.ok_value
@@ -100,11 +100,11 @@
         if model is None:
             code = outcomes.FailCode.NOT_FOUND
             return routes.refuse(code, 'there is no such model')
-        return self._place_completion(
+        return self._build_completion_route(
             snapshot, caller, completion, (path, content), rule, model
         )
 
-    def _place_completion(
+    def _build_completion_route(
         self,
         snapshot: holders.Snapshot,
         caller: routes.Caller,
@@ -120,9 +120,9 @@
         blocks = affinity.hash_blocks(f'{salt}/{adapter}', completion.prompt)
 
         def choose(
-            avoid: Collection[chains.Life],
+            avoid: Collection[chains.AgentInstance],
             is_head: Callable[[fleet.Agent], bool] | None = None,
-            keep: Collection[chains.Life] = (),
+            keep: Collection[chains.AgentInstance] = (),
         ) -> chains.Chain | None:
             if is_head is None and not keep and not then.accelerators:
                 found = self._planner.choose(
@@ -139,15 +139,17 @@
                 keep=keep,
             )
 
-        def repair(chain: chains.Chain, avoid: Collection[chains.Life]):
-            keep = {chains.tell_life(agent) for agent in chain}
+        def repair(
+            chain: chains.Chain, avoid: Collection[chains.AgentInstance]
+        ):
+            keep = {chains.get_instance(agent) for agent in chain}
             return choose(avoid, keep=keep - set(avoid))
 
-        once = bool(caller.key) or then.repeatable is False
-        caller = routes.give_key(caller, once)
+        at_most_once = bool(caller.key) or then.repeatable is False
+        caller = routes.ensure_key(caller, at_most_once)
         fingerprint = requests.compute_fingerprint(caller.team, *parts)
         # Under a key it may have run before, which its executor knows.
-        if not once and self._is_quarantined(fingerprint):
+        if not at_most_once and self._is_quarantined(fingerprint):
             code = outcomes.FailCode.QUARANTINED
             return routes.refuse(code, 'the request has crashed endpoints')
         job = jobs.Job(
@@ -155,7 +157,7 @@
                 caller, rule, snapshot.revision, fingerprint, salt
             ),
             deadline=caller.arrived + then.deadline_seconds,
-            repeatable=not once,
+            repeatable=not at_most_once,
             is_connected=caller.is_connected,
         )
         plan = completions.Plan(
@@ -168,43 +170,58 @@
             choose,
             repair=repair,
         )
-        if not once:
+        if not at_most_once:
             return result.Ok(routes.CompletionRoute(job, plan))
         chain = choose(())
         if chain is None:
-            return routes.refuse_capacity(
+            return routes.refuse_no_capacity(
                 'no chain holds all layers of the model'
             )
         bound = self._bind(caller, rule, job, chain[0])
         if isinstance(bound, result.Err):
             return bound
-        held = bound.ok_value
+        bound_claim = bound.ok_value
 
-        def choose_held(avoid: Collection[chains.Life]):
+        def choose_claimed(avoid: Collection[chains.AgentInstance]):
             names = [agent.peer.name for agent in chain]
             current = self._fleet.pick_usable(names)
-            if not avoid and current and routes.is_held(held, current[0]):
+            if (
+                not avoid
+                and current
+                and routes.is_executor(bound_claim, current[0])
+            ):
                 return current
-            return choose(avoid, lambda agent: routes.is_held(held, agent))
+            return choose(
+                avoid, lambda agent: routes.is_executor(bound_claim, agent)
+            )
 
-        def repair_held(chain: chains.Chain, avoid: Collection[chains.Life]):
-            life = (held.binding.executor, held.binding.incarnation)
-            keep = {chains.tell_life(agent) for agent in chain} | {life}
-            avoid = set(avoid) - {life}
+        def repair_claimed(
+            chain: chains.Chain, avoid: Collection[chains.AgentInstance]
+        ):
+            executor_instance = (
+                bound_claim.binding.executor,
+                bound_claim.binding.incarnation,
+            )
+            keep = {chains.get_instance(agent) for agent in chain} | {
+                executor_instance
+            }
+            avoid = set(avoid) - {executor_instance}
             return choose(
-                avoid, lambda agent: routes.is_held(held, agent), keep - avoid
+                avoid,
+                lambda agent: routes.is_executor(bound_claim, agent),
+                keep - avoid,
             )
 
         return result.Ok(
             routes.CompletionRoute(
-                routes.bind_job(job, held),
+                routes.bind_job(job, bound_claim),
                 attrs.evolve(
                     plan,
-                    choose=choose_held,
-                    repair=repair_held,
-                    find_holder=lambda: self._find_held(held),
+                    choose=choose_claimed,
+                    repair=repair_claimed,
+                    find_executor=lambda: self._find_executor(bound_claim),
                 ),
-                held,
+                bound_claim,
             )
         )
 
@@ -215,21 +232,23 @@
         call: requests.ServiceCall,
     ) -> result.Result[routes.ServiceRoute, outcomes.Refusal]:
         """Route a service call; a non-idempotent one is bound first."""
-        request = routes.describe_call(caller, call, self._failure_domain)
+        request = routes.build_call_query(caller, call, self._failure_domain)
         service = snapshot.services.get(call.service)
         if service is None:
             code = outcomes.FailCode.NOT_FOUND
             return routes.refuse(code, 'there is no such service')
-        matched = self._match(snapshot, caller, request)
+        matched = self._match_rule(snapshot, caller, request)
         if isinstance(matched, result.Err):
             return matched
         rule = matched.ok_value
         repeatable = rule.then.repeatable
         if repeatable is None:
             repeatable = service.repeatable
-        return self._place_call(snapshot, caller, call, rule, repeatable)
+        return self._build_service_route(
+            snapshot, caller, call, rule, repeatable
+        )
 
-    def _place_call(
+    def _build_service_route(
         self,
         snapshot: holders.Snapshot,
         caller: routes.Caller,
@@ -237,8 +256,8 @@
         rule: configuration.Rule,
         repeatable: bool,
     ) -> result.Result[routes.ServiceRoute, outcomes.Refusal]:
-        once = not repeatable
-        caller = routes.give_key(caller, once)
+        at_most_once = not repeatable
+        caller = routes.ensure_key(caller, at_most_once)
         fingerprint = requests.compute_fingerprint(
             caller.team, call.service, call.method, call.path, call.body
         )
@@ -255,31 +274,35 @@
             is_connected=caller.is_connected,
         )
 
-        def choose(avoid: Collection[chains.Life]) -> fleet.Agent | None:
+        def choose(
+            avoid: Collection[chains.AgentInstance],
+        ) -> fleet.Agent | None:
             agents = self._fleet.list_services(call.service)
-            return chains.choose_least(agents, avoid)
+            return chains.choose_least_loaded(agents, avoid)
 
-        if not once:
+        if not at_most_once:
             return result.Ok(routes.ServiceRoute(job, choose))
         proposed = choose(())
         if proposed is None:
-            return routes.refuse_capacity(
+            return routes.refuse_no_capacity(
                 'no endpoint of the service is reachable'
             )
         bound = self._bind(caller, rule, job, proposed)
         if isinstance(bound, result.Err):
             return bound
-        held = bound.ok_value
+        bound_claim = bound.ok_value
         return result.Ok(
             routes.ServiceRoute(
-                routes.bind_job(job, held),
-                lambda avoid: self._find_held(held),
-                held,
+                routes.bind_job(job, bound_claim),
+                lambda avoid: self._find_executor(bound_claim),
+                bound_claim,
             )
         )
 
-    def _find_held(self, bound: claims.Bound) -> fleet.Agent | None:
-        binding = bound.binding
+    def _find_executor(
+        self, bound_claim: claims.BoundClaim
+    ) -> fleet.Agent | None:
+        binding = bound_claim.binding
         return self._fleet.reach(binding.executor, binding.incarnation)
 
     def _bind(
@@ -288,7 +311,7 @@
         rule: configuration.Rule,
         job: jobs.Job,
         proposed: fleet.Agent,
-    ) -> result.Result[claims.Bound, outcomes.Refusal]:
+    ) -> result.Result[claims.BoundClaim, outcomes.Refusal]:
         left = job.deadline - time.monotonic()
         bound = self._binder.bind(
             caller.team,
@@ -299,9 +322,9 @@
             max(0.0, left),
         )
         if isinstance(bound, result.Ok) and bound.ok_value.executor is None:
-            return routes.refuse_gone()
+            return routes.refuse_executor_gone()
         return bound
 
-    def release(self, bound: claims.Bound) -> None:
+    def release_claim(self, bound_claim: claims.BoundClaim) -> None:
         """Free the key of a request that never ran and never will."""
-        self._binder.release(bound, _RELEASE_SECONDS)
+        self._binder.release(bound_claim, _CLAIM_RELEASE_TIMEOUT_SECONDS)
--- a/packages/daemon/src/dunlintide_daemon/entry/routes.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/routes.py
@@ -23,14 +23,14 @@
     'CompletionRoute',
     'ServiceRoute',
     'bind_job',
+    'build_call_query',
+    'build_completion_query',
     'build_terms',
-    'describe_call',
-    'describe_completion',
-    'give_key',
-    'is_held',
+    'ensure_key',
+    'is_executor',
     'refuse',
-    'refuse_capacity',
-    'refuse_gone',
+    'refuse_executor_gone',
+    'refuse_no_capacity',
 ]
 
 
@@ -60,7 +60,7 @@
 
     job: jobs.Job
     plan: completions.Plan
-    bound: claims.Bound | None = None
+    bound_claim: claims.BoundClaim | None = None
 
 
 @attrs.frozen
@@ -68,8 +68,8 @@
     """Where and on what terms a service call runs."""
 
     job: jobs.Job
-    choose: Callable[[Collection[chains.Life]], fleet.Agent | None]
-    bound: claims.Bound | None = None
+    choose: Callable[[Collection[chains.AgentInstance]], fleet.Agent | None]
+    bound_claim: claims.BoundClaim | None = None
 
 
 def refuse(
@@ -83,13 +83,13 @@
     return result.Err(outcomes.refuse(code, detail, retry_after=retry_after))
 
 
-def refuse_capacity(detail: str) -> result.Err[outcomes.Refusal]:
+def refuse_no_capacity(detail: str) -> result.Err[outcomes.Refusal]:
     """Refuse a request that no agent can run now."""
     code = outcomes.FailCode.NO_CAPACITY
     return refuse(code, detail, jobs.RETRY_AFTER_SECONDS)
 
 
-def refuse_gone() -> result.Err[outcomes.Refusal]:
+def refuse_executor_gone() -> result.Err[outcomes.Refusal]:
     """Refuse a repeat whose executor is gone; it may have run there."""
     code = outcomes.FailCode.EXECUTOR_GONE
     detail = 'the endpoint that the key is bound to is gone'
@@ -124,7 +124,7 @@
     )
 
 
-def describe_completion(
+def build_completion_query(
     caller: Caller,
     completion: requests.Completion,
     path: str,
@@ -146,7 +146,7 @@
     )
 
 
-def describe_call(
+def build_call_query(
     caller: Caller, call: requests.ServiceCall, failure_domain: str
 ) -> matching.Query:
     """Describe a service call to the rules.
@@ -168,25 +168,28 @@
     return max(then.priority, caller.priority or 0)
 
 
-def give_key(caller: Caller, once: bool) -> Caller:
+def ensure_key(caller: Caller, at_most_once: bool) -> Caller:
     """Give a request that must not run twice a key of its own.
 
     It was sent without one, so no repeat can be told from a new request;
     the key only keeps the router itself from running it again.
     """
-    if not once or caller.key:
+    if not at_most_once or caller.key:
         return caller
     return attrs.evolve(caller, key=f'server-{uuid_utils.uuid7()}')
 
 
-def bind_job(job: jobs.Job, bound: claims.Bound) -> jobs.Job:
+def bind_job(job: jobs.Job, bound_claim: claims.BoundClaim) -> jobs.Job:
     """Return a job that is bound to the executor of its claim."""
     return attrs.evolve(
-        job, claim=bound.build_claim(), repeated=bound.repeated
+        job, claim=bound_claim.build_claim(), repeated=bound_claim.repeated
     )
 
 
-def is_held(bound: claims.Bound, agent: fleet.Agent) -> bool:
+def is_executor(bound_claim: claims.BoundClaim, agent: fleet.Agent) -> bool:
     """Tell whether an agent is the executor of a claim, in its life."""
-    binding = bound.binding
-    return chains.tell_life(agent) == (binding.executor, binding.incarnation)
+    binding = bound_claim.binding
+    return chains.get_instance(agent) == (
+        binding.executor,
+        binding.incarnation,
+    )
--- a/packages/daemon/src/dunlintide_daemon/entry/services.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/services.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class _Parts:
+class _PartialAnswer:
     """What has come of an answer."""
 
     status: int = 0
@@ -58,12 +58,12 @@
         return Answer(self.status, self.headers, b''.join(self.chunks))
 
 
-def _refuse_large() -> outcomes.Refusal:
+def _refuse_too_large() -> outcomes.Refusal:
     code = outcomes.FailCode.TOO_LARGE
     return outcomes.refuse(code, 'the answer is too large', ran=True)
 
 
-def _refuse_full(*, ran: bool) -> outcomes.Refusal:
+def _refuse_no_memory(*, ran: bool) -> outcomes.Refusal:
     return outcomes.refuse(
         outcomes.FailCode.NO_CAPACITY,
         'the entry holds too many answers at the same time',
@@ -80,14 +80,16 @@
         context: jobs.Context,
         job: jobs.Job,
         call: requests.ServiceCall,
-        choose: Callable[[Collection[chains.Life]], fleet.Agent | None],
+        choose: Callable[
+            [Collection[chains.AgentInstance]], fleet.Agent | None
+        ],
     ) -> None:
         self._job = job
         self._call = call
         self._choose = choose
-        self._attempt = dispatch.Attempt(context, job)
-        self._room = context.answer_room
-        self._held = 0
+        self._dispatcher = dispatch.Dispatcher(context, job)
+        self._memory = context.answer_memory
+        self._reserved_bytes = 0
 
     def _build_call(self, epoch: int) -> link_pb2.Frame:
         headers = [
@@ -95,7 +97,7 @@
             for name, value in self._call.headers
         ]
         message = link_pb2.Call(
-            terms=self._attempt.build_terms(),
+            terms=self._dispatcher.build_terms(),
             epoch=epoch,
             method=self._call.method,
             path=self._call.path,
@@ -105,85 +107,91 @@
         )
         return link_pb2.Frame(call=message)
 
-    def _pick(self, avoid: Collection[chains.Life]) -> chains.Chain | None:
+    def _choose_chain(
+        self, avoid: Collection[chains.AgentInstance]
+    ) -> chains.Chain | None:
         agent = self._choose(avoid)
         return (agent,) if agent is not None else None
 
-    def _open(self) -> bool:
-        chain = chains.pick_avoiding(self._pick, self._attempt.avoid)
+    def _dispatch(self) -> bool:
+        chain = chains.choose_with_fallback(
+            self._choose_chain, self._dispatcher.avoid
+        )
         if chain is None:
             return False
-        self._attempt.send(chain, self._build_call)
+        self._dispatcher.send(chain, self._build_call)
         return True
 
-    def _read(
-        self, events: list[sessions.Event], parts: _Parts
-    ) -> Answer | outcomes.Refusal | link_pb2.Fail | sessions.Lost | None:
+    def _process_events(
+        self, events: list[sessions.Event], partial: _PartialAnswer
+    ) -> Answer | outcomes.Refusal | link_pb2.Fail | sessions.LinkLost | None:
         for event in events:
             if isinstance(event, link_pb2.Reply):
-                if not parts.add(event):
-                    return self._attempt.drop_gap()
-                if parts.size > MAX_ANSWER_BYTES:
-                    return _refuse_large()
-                if not self._room.take(len(event.body)):
-                    return _refuse_full(ran=True)
-                self._held += len(event.body)
+                if not partial.add(event):
+                    return self._dispatcher.record_gap()
+                if partial.size > MAX_ANSWER_BYTES:
+                    return _refuse_too_large()
+                if not self._memory.reserve(len(event.body)):
+                    return _refuse_no_memory(ran=True)
+                self._reserved_bytes += len(event.body)
                 if event.last:
-                    self._attempt.settle()
-                    return parts.build()
+                    self._dispatcher.mark_ended()
+                    return partial.build()
             elif isinstance(event, link_pb2.Fail):
-                self._attempt.settle()
+                self._dispatcher.mark_ended()
                 return event
-            elif isinstance(event, sessions.Lost):
+            elif isinstance(event, sessions.LinkLost):
                 return event
         return None
 
     def run(self) -> Answer | outcomes.Refusal:
         answer = None
         try:
-            answer = self._run()
+            answer = self._run_attempts()
         finally:
             if not isinstance(answer, Answer):
-                self._give_back()
+                self._release_memory()
         return answer
 
-    def _give_back(self) -> None:
-        self._room.give_back(self._held)
-        self._held = 0
+    def _release_memory(self) -> None:
+        self._memory.release(self._reserved_bytes)
+        self._reserved_bytes = 0
 
-    def _run(self) -> Answer | outcomes.Refusal:
-        if self._room.is_scarce():
-            return _refuse_full(ran=False)
-        if not self._open():
-            return self._attempt.refuse_unsent(
+    def _run_attempts(self) -> Answer | outcomes.Refusal:
+        if self._memory.is_low():
+            return _refuse_no_memory(ran=False)
+        if not self._dispatch():
+            return self._dispatcher.refuse_unsent(
                 'no endpoint of the service is reachable'
             )
-        parts = _Parts()
+        partial = _PartialAnswer()
         while True:
-            ending = self._read(self._attempt.take(), parts)
+            ending = self._process_events(
+                self._dispatcher.take_events(), partial
+            )
             if isinstance(ending, (Answer, outcomes.Refusal)):
                 return ending
-            refusal = self._attempt.check()
+            refusal = self._dispatcher.check_termination()
             if refusal is not None:
                 return refusal
             if ending is None:
                 continue
-            failure = self._attempt.read_failure(ending)
-            refusal = self._attempt.recover(failure, self._open)
+            failure = self._dispatcher.convert_failure(ending)
+            refusal = self._dispatcher.recover(failure, self._dispatch)
             if refusal is not None:
                 return refusal
-            self._give_back()
-            parts = _Parts()
+            self._release_memory()
+            partial = _PartialAnswer()
 
     def close(self) -> None:
-        self._attempt.close()
+        self._dispatcher.close()
 
 
 def run(
     context: jobs.Context,
     job: jobs.Job,
     call: requests.ServiceCall,
-    choose: Callable[[Collection[chains.Life]], fleet.Agent | None],
+    choose: Callable[[Collection[chains.AgentInstance]], fleet.Agent | None],
 ) -> Answer | outcomes.Refusal:
     """Run a call and wait for its whole answer.
 
--- a/packages/daemon/src/dunlintide_daemon/entry/sessions.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sessions.py
@@ -18,20 +18,20 @@
 from dunlintide_adapters.wire import link_pb2
 
 __all__ = [
-    'Counts',
     'Event',
-    'Lost',
+    'FrameCounts',
+    'LinkLost',
     'Relay',
     'Session',
     'Sessions',
 ]
 
-MAX_TAKEN = 256
-_ROUTED = frozenset(('token', 'done', 'fail', 'reply'))
+MAX_EVENTS_PER_TAKE = 256
+_ROUTED_BODIES = frozenset(('token', 'done', 'fail', 'reply'))
 
 
 @attrs.frozen
-class Lost:
+class LinkLost:
     """The link to a request's head was lost.
 
     :ivar epoch: the attempt that ran over it
@@ -40,15 +40,17 @@
     epoch: int
 
 
-Observe = Callable[[metrics.DropReason, int], None]
+ObserveDrop = Callable[[metrics.DropReason, int], None]
 # Takes a token on the reader's thread without waiting; False leaves it to
 # the request's own.
 Relay = Callable[[link_pb2.Token], bool]
-Event = link_pb2.Token | link_pb2.Done | link_pb2.Fail | link_pb2.Reply | Lost
+Event = (
+    link_pb2.Token | link_pb2.Done | link_pb2.Fail | link_pb2.Reply | LinkLost
+)
 
 
 @attrs.define
-class Counts:
+class FrameCounts:
     """Frames that were dropped, by reason.
 
     :ivar observe: called with each reason and the number of frames
@@ -65,24 +67,24 @@
     orphan: int = 0
     gaps: int = 0
     relayed: int = 0
-    observe: Observe = lambda reason, count: None
+    observe: ObserveDrop = lambda reason, count: None
 
-    def drop_stale(self, count: int) -> None:
+    def count_stale(self, count: int) -> None:
         """Count frames of an older epoch."""
         self.stale += count
         self.observe(metrics.DropReason.STALE_EPOCH, count)
 
-    def drop_duplicate(self) -> None:
+    def count_duplicate(self) -> None:
         """Count a token that had come before."""
         self.duplicate += 1
         self.observe(metrics.DropReason.DUPLICATE, 1)
 
-    def drop_orphan(self) -> None:
+    def count_orphan(self) -> None:
         """Count a frame of a request that has ended here."""
         self.orphan += 1
         self.observe(metrics.DropReason.UNKNOWN_REQUEST, 1)
 
-    def drop_gap(self) -> None:
+    def count_gap(self) -> None:
         """Count an epoch that failed for a missing token."""
         self.gaps += 1
         self.observe(metrics.DropReason.GAP, 1)
@@ -109,7 +111,7 @@
     team: str
     rule: str
     deadline: float
-    counts: Counts
+    counts: FrameCounts
     epoch: int = 0
     link: links.Link | None = None
     _events: queue.SimpleQueue = attrs.field(factory=queue.SimpleQueue)
@@ -133,11 +135,11 @@
             self._relay = None
             self._events.put(token)
 
-    def lose(self, link: links.Link) -> None:
+    def report_link_loss(self, link: links.Link) -> None:
         """Queue the loss of a link, if the request runs over it."""
         epoch = self.epoch
         if self.link is link:
-            self.put(Lost(epoch))
+            self.put(LinkLost(epoch))
 
     def _wait(self, timeout: float, relay: Relay | None) -> Event | None:
         with self._lock:
@@ -164,19 +166,21 @@
             return []
         taken = [first]
         # Only this thread takes, so what the queue holds stays there.
-        for _ in range(min(events.qsize(), MAX_TAKEN)):
+        for _ in range(min(events.qsize(), MAX_EVENTS_PER_TAKE)):
             taken.append(events.get())
         current = [event for event in taken if event.epoch == self.epoch]
         if len(current) < len(taken):
-            self.counts.drop_stale(len(taken) - len(current))
+            self.counts.count_stale(len(taken) - len(current))
         return current
 
 
 class Sessions:
     """All running requests by their ids."""
 
-    def __init__(self, observe: Observe = lambda reason, count: None) -> None:
-        self.counts = Counts(observe=observe)
+    def __init__(
+        self, observe: ObserveDrop = lambda reason, count: None
+    ) -> None:
+        self.counts = FrameCounts(observe=observe)
         self._sessions: dict[str, Session] = {}
         self._lock = threading.Lock()
 
@@ -202,21 +206,21 @@
         find = self._sessions.get
         for frame in frames:
             body = frame.WhichOneof('body')
-            if body not in _ROUTED:
+            if body not in _ROUTED_BODIES:
                 continue
             event = getattr(frame, body)
             session = find(event.request_id)
             if session is None:
-                self.counts.drop_orphan()
+                self.counts.count_orphan()
             elif body == 'token':
                 session.put_token(event)
             else:
                 session.put(event)
 
-    def lose(self, link: links.Link) -> None:
+    def report_link_loss(self, link: links.Link) -> None:
         """Tell the requests that run over a link that it was lost."""
         for session in self.list():
-            session.lose(link)
+            session.report_link_loss(link)
 
     def list(self) -> list[Session]:
         """Return the running requests."""
--- a/packages/daemon/src/dunlintide_daemon/entry/shares.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/shares.py
@@ -28,10 +28,10 @@
 
 def find_shard(key: limits.Key) -> int:
     """Return the shard of a key; all of a team's are in one."""
-    return hashing.hash_text(key[0]) % entrylinks.SHARDS
+    return hashing.hash_text(key[0]) % entrylinks.SHARD_COUNT
 
 
-def _order(item: tuple[limits.Key, limits.Need]) -> tuple[int, float]:
+def _rank_need(item: tuple[limits.Key, limits.Need]) -> tuple[int, float]:
     return item[1].in_flight, item[1].rate
 
 
@@ -65,8 +65,8 @@
         self,
         lock: threading.Condition,
         clock: Callable[[], float],
-        before: Callable[[int], None],
-        after: Callable[[bool], None],
+        before_change: Callable[[int], None],
+        after_change: Callable[[bool], None],
     ) -> None:
         """Begin with what the entry owns.
 
@@ -75,37 +75,39 @@
         :param after: called after a change, under it, with whether any
             key got less than before
         """
-        shards = range(entrylinks.SHARDS)
+        shards = range(entrylinks.SHARD_COUNT)
         self._lock = lock
         self._clock = clock
-        self._before = before
-        self._after = after
+        self._before_change = before_change
+        self._after_change = after_change
         self._leases = [limits.Lease() for _ in shards]
         self._coordinators = [lending.Coordinator() for _ in shards]
-        self._asked: list[dict[int, tuple[limits.Key, ...]]] = [
+        self._requested_keys: list[dict[int, tuple[limits.Key, ...]]] = [
             {} for _ in shards
         ]
 
-    def find(
+    def find_grant(
         self, key: limits.Key, fraction: float, limit: int
     ) -> limits.Grant:
         """Return what may be used under a key now."""
         lease = self._leases[find_shard(key)]
         return lease.find(key, fraction, limit, self._clock())
 
-    def covers(self, key: limits.Key) -> bool:
+    def has_grant(self, key: limits.Key) -> bool:
         """Tell whether a grant under a key is in force."""
         return self._leases[find_shard(key)].covers(key, self._clock())
 
-    def ask(
-        self, shard: int, needs: Needs, peers: entrylinks.Exchange
+    def request_grants(
+        self, shard: int, needs: Needs, peers: entrylinks.EntryLinks
     ) -> None:
         """Tell the coordinator of a shard what is needed."""
         # Alone, an entry owns all and has nothing to lend.
-        chosen = peers.choose(shard) if peers.count > 1 else ''
-        own = peers.identify()
-        fraction = 1.0 / peers.count
-        largest = sorted(needs.items(), key=_order, reverse=True)
+        chosen = (
+            peers.choose_coordinator(shard) if peers.entry_count > 1 else ''
+        )
+        own_id = peers.get_instance_id()
+        fraction = 1.0 / peers.entry_count
+        largest = sorted(needs.items(), key=_rank_need, reverse=True)
         needs = dict(largest[:MAX_NEEDS])
         with self._lock:
             lease = self._leases[shard]
@@ -115,14 +117,14 @@
             if not needs and lease.is_quiet(now):
                 return
             sequence = lease.send(now)
-            self._asked[shard][sequence] = tuple(needs)
+            self._requested_keys[shard][sequence] = tuple(needs)
             acknowledged = lease.acknowledged
             coordinator = lease.coordinator
-            if coordinator == own:
+            if coordinator == own_id:
                 granted = self._coordinators[shard].answer(
-                    own, fraction, sequence, acknowledged, needs, now
+                    own_id, fraction, sequence, acknowledged, needs, now
                 )
-                self._accept(shard, sequence, granted)
+                self._accept_grants(shard, sequence, granted)
                 return
         message = link_pb2.Demand(
             sequence=sequence,
@@ -133,35 +135,46 @@
         )
         peers.send(coordinator, link_pb2.Frame(demand=message))
 
-    def _accept(self, shard: int, sequence: int, granted: Grants) -> None:
-        asked = self._asked[shard].get(sequence)
-        if asked is None:
+    def _accept_grants(
+        self, shard: int, sequence: int, granted: Grants
+    ) -> None:
+        requested = self._requested_keys[shard].get(sequence)
+        if requested is None:
             return
-        self._before(shard)
+        self._before_change(shard)
         shrunk = self._leases[shard].is_shrunk_by(granted)
         if not self._leases[shard].accept(sequence, granted):
             return
-        self._asked[shard] = {
+        self._requested_keys[shard] = {
             number: keys
-            for number, keys in self._asked[shard].items()
+            for number, keys in self._requested_keys[shard].items()
             if number > sequence
         }
-        self._after(shrunk)
+        self._after_change(shrunk)
 
-    def take(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(
+        self, link: links.Link, frames: list[link_pb2.Frame]
+    ) -> None:
         """Take in frames of other entries."""
         for frame in frames:
             body = frame.WhichOneof('body')
-            if body == 'demand' and frame.demand.shard < entrylinks.SHARDS:
-                self._take_demand(link, frame.demand)
-            elif body == 'grant' and frame.grant.shard < entrylinks.SHARDS:
-                self._take_grant(frame.grant)
-
-    def _take_demand(self, link: links.Link, message: link_pb2.Demand) -> None:
+            if (
+                body == 'demand'
+                and frame.demand.shard < entrylinks.SHARD_COUNT
+            ):
+                self._answer_demand(link, frame.demand)
+            elif (
+                body == 'grant' and frame.grant.shard < entrylinks.SHARD_COUNT
+            ):
+                self._handle_grant(frame.grant)
+
+    def _answer_demand(
+        self, link: links.Link, message: link_pb2.Demand
+    ) -> None:
         needs = _read_needs(message)
         with self._lock:
             granted = self._coordinators[message.shard].answer(
-                entrylinks.identify(link.peer),
+                entrylinks.build_instance_id(link.peer),
                 message.fraction,
                 message.sequence,
                 message.acknowledged,
@@ -180,19 +193,21 @@
         )
         link.send(link_pb2.Frame(grant=answer))
 
-    def _take_grant(self, message: link_pb2.Grant) -> None:
+    def _handle_grant(self, message: link_pb2.Grant) -> None:
         grants = [
             limits.Grant(rate, slots)
             for rate, slots in zip(message.rates, message.slots)
         ]
         lent = tuple((one.team, one.rule) for one in message.lent)
         with self._lock:
-            asked = self._asked[message.shard].get(message.sequence, ())
-            keys = asked + lent
+            requested = self._requested_keys[message.shard].get(
+                message.sequence, ()
+            )
+            keys = requested + lent
             if len(keys) != len(grants):
                 return
             granted = dict(zip(keys, grants))
-            self._accept(message.shard, message.sequence, granted)
+            self._accept_grants(message.shard, message.sequence, granted)
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the state of each shard for a dump."""
--- a/packages/daemon/src/dunlintide_daemon/entry/states.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/states.py
@@ -16,7 +16,7 @@
 def build(
     settings: settings_module.Settings,
     incarnation: int,
-    served: entrylinks.Exchange,
+    served: entrylinks.EntryLinks,
     outside: watching.Outside | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
--- a/packages/trials/src/dunlintide_trials/cases/limits.py
+++ b/packages/trials/src/dunlintide_trials/cases/limits.py
@@ -92,16 +92,16 @@
 
     def __init__(self, network: _Network, number: int, take) -> None:
         self.take = take
-        self.count = ENTRIES
+        self.entry_count = ENTRIES
         self._network = network
         self._number = number
         network.nodes.append(self)
 
-    def identify(self) -> str:
+    def get_instance_id(self) -> str:
         return f'{self._number}@1'
 
-    def choose(self, shard: int) -> str:
-        return f'{shard % entrylinks.CHOICES}@1'
+    def choose_coordinator(self, shard: int) -> str:
+        return f'{shard % entrylinks.CANDIDATES_PER_SHARD}@1'
 
     def send(self, coordinator: str, frame: link_pb2.Frame) -> None:
         target = int(coordinator.partition('@')[0])
@@ -129,7 +129,7 @@
 def _run_shared(is_cut: Callable[[float], bool]) -> list[float]:
     network = _Network(is_cut)
     entries = [
-        limits.Limits(
+        limits.Limiter(
             lambda take, number=number: _Node(network, number, take),
             lambda: network.now,
             grant_wait=0.0,
@@ -140,7 +140,7 @@
     last = [number / ENTRIES - 1 for number in range(ENTRIES)]
 
     def tell_due(number: int) -> float:
-        return last[number] + entries[number].pause
+        return last[number] + entries[number].renewal_delay
 
     def advance(now: float) -> None:
         while tell_due(first := min(range(ENTRIES), key=tell_due)) <= now:
--- a/packages/trials/src/dunlintide_trials/cases/limits_bytes.py
+++ b/packages/trials/src/dunlintide_trials/cases/limits_bytes.py
@@ -51,16 +51,16 @@
 
     def __init__(self, nodes: list, counts: _Counts, size: int, take) -> None:
         self.take = take
-        self.count = size
+        self.entry_count = size
         self._number = len(nodes)
         self._nodes = nodes
         self._counts = counts
         nodes.append(self)
 
-    def identify(self) -> str:
+    def get_instance_id(self) -> str:
         return f'{self._number}@1'
 
-    def choose(self, shard: int) -> str:
+    def choose_coordinator(self, shard: int) -> str:
         return '0@1' if shard == SHARD else ''
 
     @property
@@ -87,7 +87,7 @@
     """Return messages and bytes a second of the coordinator."""
     now, nodes, counts = 0.0, [], _Counts()
     entries = [
-        limits.Limits(
+        limits.Limiter(
             lambda take: _Node(nodes, counts, size, take),
             lambda: now,
             grant_wait=0.0,
@@ -103,7 +103,7 @@
         for name in names:
             entries[number].admit('', name, _RULE)
         entries[number].renew()
-        heapq.heappush(due, (now + entries[number].pause, number))
+        heapq.heappush(due, (now + entries[number].renewal_delay, number))
     return counts.messages / _SECONDS, counts.bytes / _SECONDS
 
 
