--- a/packages/daemon/src/dunlintide_daemon/entry/answers.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers of completions and services, and the outcomes they settle."""
+"""HTTP answers of completions and services, and recording of outcomes."""
 
 import inspect
 import time
@@ -30,8 +30,8 @@
     'respond_service',
 ]
 
-# A stream's headers go out before its outcome is known; its end mark, or
-# the lack of one, tells it.
+# A stream's headers are sent before its outcome is known. Its caller takes
+# the outcome from the end mark, or from its absence.
 STREAMED_OUTCOME = 'in-stream'
 _COMPLETE = outcomes.Outcome.COMPLETE.value
 
@@ -39,7 +39,7 @@
 def respond_json(
     body: bytes, request_id: str, outcome: str = _COMPLETE
 ) -> problems.Response:
-    """Build the answer for a JSON body."""
+    """Build the response for a JSON body."""
     headers = [
         ('Content-Type', 'application/json'),
         ('Content-Length', str(len(body))),
@@ -50,7 +50,7 @@
 
 
 class _ReleasingBody:
-    """Body that says when it has been sent or dropped."""
+    """Body that calls ``release`` when the server closes it, sent or not."""
 
     def __init__(self, body: bytes, release: Callable[[], None]) -> None:
         self._body = body
@@ -63,9 +63,9 @@
 def respond_service(
     answer: services.Answer, request_id: str, release: Callable[[], None]
 ) -> problems.Response:
-    """Build the answer for a plain service's answer.
+    """Build the response for a plain service's answer.
 
-    :param release: called when the answer is held no more
+    :param release: called when the body is no longer kept in memory
     """
     headers = [
         *filtering.filter_answer_headers(answer.headers),
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class OutcomeRecorder:
-    """Where requests' outcomes are noted."""
+    """Records the outcomes of requests and ends their accounting."""
 
     history: history.History
     router: router.Router
@@ -91,12 +91,15 @@
     def record(
         self, caller: routes.Caller, refusal: outcomes.Refusal | None
     ) -> None:
-        """Note an outcome; None stands for a whole answer."""
+        """Record how a request ended.
+
+        :param refusal: why it got no complete answer; None for a complete one
+        """
         self.limiter.release(caller.request_id)
         self.meter.observe_request(caller.arrived)
         self.history.end(caller.request_id, caller.team, refusal)
         logging.info(
-            'request %s of %s: %s',
+            'request %s of team %s ended: %s',
             caller.request_id,
             caller.team,
             refusal.code.value if refusal is not None else _COMPLETE,
@@ -107,17 +110,17 @@
         route: routes.CompletionRoute | routes.ServiceRoute,
         refusal: outcomes.Refusal,
     ) -> None:
-        """Free the key of a request that never ran and never will.
+        """Release the key of a request that never ran and never will.
 
-        Only its executor can say so: another entry may have sent it the
-        same claim.
+        Only the claim's executor can confirm that, by a sealed refusal:
+        another entry may have sent it the same claim.
         """
         if route.bound_claim is not None and refusal.sealed:
             self.router.release_claim(route.bound_claim)
 
 
 class CompletionAnswer:
-    """One completion on its way to the caller."""
+    """Answer of one completion, as one JSON body or as a stream."""
 
     def __init__(
         self,
@@ -129,7 +132,7 @@
         renderer: openai.CompletionRenderer,
         heartbeat: float,
     ) -> None:
-        """Begin the run; nothing is sent before an answer is asked for.
+        """Prepare the run, which starts when an answer is requested.
 
         :param heartbeat: longest pause in a stream, in seconds
         """
@@ -154,9 +157,9 @@
         return result.Err(refusal)
 
     def gather(self) -> result.Result[problems.Response, outcomes.Refusal]:
-        """Return the answer as one JSON body."""
-        # The run must not be left to the garbage collector: it ends under
-        # locks, and the collector may run on a thread that holds them.
+        """Run to the end and return the answer as one JSON body."""
+        # Close the run here rather than in the garbage collector: closing
+        # takes locks, which the thread that collects may already hold.
         try:
             return self._gather()
         finally:
@@ -188,13 +191,13 @@
                 self._recorder.record(self._caller, None)
                 request_id = self._caller.request_id
                 return result.Ok(respond_json(body, request_id))
-        raise AssertionError('a completion ended without an end')
+        raise AssertionError('the completion yielded no end and no refusal')
 
     def stream(self) -> result.Result[problems.Response, outcomes.Refusal]:
-        """Return the answer as events.
+        """Return the answer as server-sent events.
 
-        Headers wait for the first token, so that a request that is
-        refused before gets a problem with its own status.
+        The headers are sent with the first token, so that a request that
+        is refused before it gets a problem response with its own status.
         """
         for event in self._events:
             if isinstance(event, completions.Idle):
@@ -212,10 +215,10 @@
                 self._generate_events(event), self._cancel_unstarted
             )
             return result.Ok(problems.Response(status, headers, body))
-        raise AssertionError('a completion ended without an end')
+        raise AssertionError('the completion yielded no end and no refusal')
 
     def _cancel_unstarted(self) -> None:
-        """End a stream that was closed before it was begun."""
+        """End a completion whose stream was closed before its first event."""
         self._events.close()
         refusal = outcomes.refuse(outcomes.FailCode.CANCELLED, ran=True)
         self._recorder.record(self._caller, refusal)
@@ -234,7 +237,8 @@
         event = first
         last_sent = time.monotonic()
         render_token = self._renderer.render_token
-        # Each piece is written before the next event is asked for.
+        # The server sends each chunk before it asks for the next, so a token
+        # that is sent directly cannot overtake a chunk.
         self._direct_output.write = self._send_token
         try:
             while True:
@@ -271,9 +275,10 @@
 
 
 class _StreamBody:
-    """Body whose closing also ends a completion that it never began.
+    """Body that ends its completion even when it is closed unstarted.
 
-    Closing a generator that was not started runs none of its code.
+    Closing a generator that was not started runs none of its code, so its
+    ``finally`` block alone would not be enough.
     """
 
     def __init__(
--- a/packages/daemon/src/dunlintide_daemon/entry/application.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/application.py
@@ -33,7 +33,7 @@
 
 PRIORITY_HEADER = 'HTTP_DUNLINTIDE_PRIORITY'
 HEARTBEAT_SECONDS = 5.0
-# What is left to send at the deadline may take this long.
+# Time after the deadline for sending the rest of an answer.
 SEND_GRACE_SECONDS = 1.0
 _NO_CONFIGURATION_RETRY_SECONDS = 2.0
 _TEAM_LIMIT_RETRY_SECONDS = 1.0
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Dependencies:
-    """What the front works with.
+    """Objects that the application works with.
 
     :ivar heartbeat: longest pause in a stream, in seconds
     """
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class _AuthenticatedRequest:
-    """One request and the answer that it is given."""
+    """A request whose team is known, and the configuration that applies."""
 
     environ: Mapping[str, Any]
     caller: routes.Caller
@@ -92,7 +92,10 @@
 
 
 def _set_send_deadline(environ: Mapping[str, Any], deadline: float) -> None:
-    """Have a caller that reads too slowly cut off behind the deadline."""
+    """Have the server cut off a caller that reads too slowly.
+
+    :param deadline: monotonic time of the request's deadline, in seconds
+    """
     end_by = environ.get(httpchannel.END_BY)
     if end_by is not None:
         end_by(deadline + SEND_GRACE_SECONDS)
@@ -101,7 +104,10 @@
 def _count_for_team(
     environ: Mapping[str, Any], team: str
 ) -> outcomes.Refusal | None:
-    """Count a request to its team; no team takes all threads."""
+    """Count a request for its team, so that no team takes all threads.
+
+    :returns: None when the team may run another request
+    """
     join = environ.get(httpgate.JOIN)
     if join is None or join(team):
         return None
@@ -119,10 +125,10 @@
 
 
 class Application:
-    """Callers' requests in, answers out."""
+    """Answers callers' requests, as a WSGI application."""
 
     def __init__(self, dependencies: Dependencies) -> None:
-        """Serve with the given parts."""
+        """Initialize with the objects that requests work with."""
         self._dependencies = dependencies
         self._recorder = answers.OutcomeRecorder(
             dependencies.history,
@@ -134,7 +140,7 @@
     def __call__(
         self, environ: Mapping[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer a request, as WSGI has it."""
+        """Answer one request, as WSGI defines it."""
         request_id = str(uuid_utils.uuid7())
         response = self._answer(environ, request_id)
         if isinstance(response, result.Err):
@@ -157,7 +163,7 @@
             return result.Err(
                 outcomes.refuse(
                     outcomes.FailCode.NO_CAPACITY,
-                    'this entry has no configuration yet',
+                    'this entry has not received a configuration yet',
                     retry_after=_NO_CONFIGURATION_RETRY_SECONDS,
                 )
             )
@@ -215,7 +221,7 @@
                 return self._show_request(request, target.name)
             case table.Endpoint.WRONG_METHOD:
                 code = outcomes.FailCode.BAD_REQUEST
-                return _refuse(code, 'the path does not take this method')
+                return _refuse(code, 'the method is not allowed for this path')
         return _refuse(outcomes.FailCode.NOT_FOUND, 'there is no such path')
 
     def _list_models(
--- a/packages/daemon/src/dunlintide_daemon/entry/chains.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/chains.py
@@ -1,4 +1,4 @@
-"""Choice of the chain of agents that runs a request."""
+"""Selection of the chain of agents that runs a request."""
 
 from typing import Callable, Collection, Iterable
 
@@ -17,9 +17,9 @@
 ]
 
 Chain = tuple[fleet.Agent, ...]
-# More than any load, so that as few agents as possible are replaced.
+# Larger than any load, so that as few agents as possible are replaced.
 _REPLACEMENT_COST = 1_000_000
-# Name and incarnation: an agent that was started anew is another one.
+# Agent name and incarnation: a restarted agent is another instance.
 AgentInstance = tuple[str, int]
 
 
@@ -29,8 +29,8 @@
 
 
 def _estimate_load(agent: fleet.Agent) -> int:
-    # The report includes this entry's own work once it has arrived, so
-    # the larger of the two is taken rather than the sum.
+    # The agent's load report also counts the requests of this entry that
+    # have reached it, so a sum would count them twice.
     reported = agent.load.running + agent.load.queued
     return max(agent.outstanding, reported)
 
@@ -40,7 +40,7 @@
 ) -> fleet.Agent | None:
     """Return the least loaded agent, or None when there is none.
 
-    :param avoid: agents that are not to be chosen
+    :param avoid: agents that must not be chosen
     """
     usable = [one for one in agents if get_instance(one) not in avoid]
     return min(usable, key=_estimate_load, default=None)
@@ -67,19 +67,20 @@
     is_head: Callable[[fleet.Agent], bool] = lambda agent: True,
     keep: Collection[AgentInstance] = (),
 ) -> Chain | None:
-    """Tile the layers with the agents that have the least work.
+    """Choose the least loaded chain that holds all layers.
 
     :param agents: usable agents of one model version
     :param layers: number of layers of the model
-    :param accelerators: kinds that may serve, empty for any
-    :param avoid: agents that are not to be chosen
-    :param keep: agents to be chosen wherever that is possible
-    :param is_head: tells whether an agent may hold the first layers
-    :returns: agents whose ranges tile all layers, or None
+    :param accelerators: allowed kinds of accelerator, empty for any
+    :param avoid: agents that must not be chosen
+    :param is_head: returns whether an agent may hold the first layers
+    :param keep: agents to choose wherever possible
+    :returns: agents whose adjacent ranges cover all layers, or None
     """
     best: dict[int, tuple[int, Chain]] = {0: (0, ())}
-    # A range ends behind its start, so in this order the best way to a
-    # boundary is known before any range that starts there.
+    # Cheapest chain from layer 0 to each boundary. Ranges are visited by
+    # their start, so the cheapest chain to a boundary is final before any
+    # range that starts there.
     for agent in sorted(agents, key=lambda one: one.peer.endpoint.layer_start):
         endpoint = agent.peer.endpoint
         known = best.get(endpoint.layer_start)
@@ -100,7 +101,7 @@
 
 
 def build_stages(chain: Chain) -> list[link_pb2.Stage]:
-    """Return a chain in the form of the wire."""
+    """Build the protobuf stages of a chain."""
     return [
         link_pb2.Stage(
             agent=agent.peer.name,
@@ -117,8 +118,12 @@
     choose: Callable[[Collection[AgentInstance]], Chain | None],
     avoid: Collection[AgentInstance],
 ) -> Chain | None:
-    """Choose without the agents that failed, or with them if need be.
+    """Choose without the given agents, or with them if there is no other.
 
-    A lost link often leaves the agent well, and it may be the only one.
+    An agent whose link was lost is often still sound, and it may be the
+    only one that holds its layers.
+
+    :param choose: returns a chain without the given agents, or None
+    :param avoid: agents that failed the request
     """
     return choose(avoid) or (choose(()) if avoid else None)
--- a/packages/daemon/src/dunlintide_daemon/entry/claims.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/claims.py
@@ -1,4 +1,4 @@
-"""Binding of a non-idempotent request to its one executor."""
+"""Binding of a non-idempotent request to the one agent that may run it."""
 
 from typing import Callable, Protocol
 import uuid
@@ -19,24 +19,24 @@
 
 
 class Writer(Protocol):
-    """Makes claims in the platform's store."""
+    """Writes claims to the platform's store."""
 
     def bind(
         self, wanted: claims.Binding, timeout: float
     ) -> result.Result[claims.Binding, object]:
-        """Make a claim or return the one that holds."""
+        """Write a claim, or return the one that the key already has."""
 
     def release(
         self, binding: claims.Binding, timeout: float
     ) -> result.Result[claims.Binding, object]:
-        """Free the key of a claim that never ran and never will."""
+        """Delete a claim whose request never ran and never will."""
 
 
 @attrs.frozen
 class BoundClaim:
-    """A claim that holds, and the executor that it names.
+    """The stored claim of a request, and the executor that it names.
 
-    :ivar executor: the agent, None when that life of it is gone
+    :ivar executor: the agent, None when that incarnation cannot be reached
     :ivar repeated: whether an earlier request made the claim
     """
 
@@ -45,7 +45,7 @@
     repeated: bool
 
     def build_claim(self) -> link_pb2.Claim:
-        """Return the claim in the form of the wire."""
+        """Build the protobuf form of the claim."""
         return link_pb2.Claim(
             key_digest=self.binding.key_digest,
             fingerprint=self.binding.fingerprint,
@@ -62,9 +62,9 @@
 
 @attrs.frozen
 class Binder:
-    """Binds requests through a writer of claims.
+    """Binds requests to executors by claims in the store.
 
-    :ivar wall_clock: seconds since the epoch
+    :ivar wall_clock: returns the seconds since the epoch
     """
 
     writer: Writer
@@ -80,9 +80,10 @@
         retention: float,
         timeout: float,
     ) -> result.Result[BoundClaim, outcomes.Refusal]:
-        """Bind a key to an executor, or find the one it is bound to.
+        """Bind a key to an executor, or find the one that it is bound to.
+
+        The request must not be sent to any agent before this succeeds.
 
-        Nothing may be sent before this has succeeded.
         :param proposed: the executor of a new claim
         :param retention: seconds for which the claim is kept
         :param timeout: seconds to wait for the store
@@ -103,16 +104,17 @@
                 code = outcomes.FailCode.KEY_REUSED
                 detail = 'the key was used for a request with other content'
                 return result.Err(outcomes.refuse(code, detail))
-            return _refuse_store('the request could not be bound')
+            return _refuse_store('the store did not accept the claim')
         stored = answer.ok_value
         executor = self.fleet.reach(stored.executor, stored.incarnation)
         repeated = stored.attempt != wanted.attempt
         return result.Ok(BoundClaim(stored, executor, repeated))
 
     def release(self, bound_claim: BoundClaim, timeout: float) -> bool:
-        """Free a key whose request never ran and never will.
+        """Release a key whose request never ran and never will.
 
-        :returns: whether that is known to have been done
+        :param timeout: seconds to wait for the store
+        :returns: whether the store confirmed the release
         """
         answer = self.writer.release(bound_claim.binding, timeout)
         return isinstance(answer, result.Ok)
--- a/packages/daemon/src/dunlintide_daemon/entry/completions.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/completions.py
@@ -1,4 +1,4 @@
-"""Running a completion: tokens out, attempts behind them."""
+"""Running a completion: its attempts, and the tokens that they yield."""
 
 from typing import Callable, Collection, Iterator
 
@@ -23,7 +23,7 @@
 ]
 
 
-# Failures of a stage that leave the state of the others usable.
+# Failures of one stage after which the other stages' state is usable.
 _RECOVERABLE = frozenset(
     (
         outcomes.FailCode.LINK_LOST,
@@ -35,9 +35,10 @@
 
 @attrs.define
 class TokenBatch:
-    """Texts of tokens that came together.
+    """Texts of the tokens that were taken from the queue together.
 
-    Not frozen, as one is made for each token and that costs more.
+    Not frozen: up to one is built for each token, and building a frozen
+    object is slower.
     """
 
     texts: list[str]
@@ -45,12 +46,16 @@
 
 @attrs.frozen
 class Idle:
-    """Nothing came for a while."""
+    """No token came within the poll interval."""
 
 
 @attrs.frozen
 class End:
-    """The whole answer has come."""
+    """End of a complete answer.
+
+    :ivar prompt_tokens: size of the prompt in tokens
+    :ivar tokens: number of generated tokens
+    """
 
     finish_reason: str
     prompt_tokens: int
@@ -59,11 +64,12 @@
 
 @attrs.define
 class DirectOutput:
-    """Way of a token's text to the caller past the request's thread.
+    """Path of a token's text to the caller that skips the request's thread.
 
-    :ivar write: takes a text without waiting, on the links' thread; False
-        when it could not. It is called only while the request's thread
-        waits for the run's next event; None for no such way.
+    :ivar write: sends a text without blocking, on the links' thread, and
+        returns False when it could not. It is called only while the
+        request's thread waits for the run's next event. None disables
+        direct output.
     """
 
     write: Callable[[str], bool] | None = None
@@ -71,12 +77,12 @@
 
 @attrs.frozen
 class Plan:
-    """What a completion runs on.
+    """Model of a completion, and the selection of its agents.
 
     :ivar prefixes: hashes of the prompt's blocks
     :ivar choose: returns a chain without the given agents, or None
-    :ivar find_holder: returns the executor of the claim, None when there
-        is no claim or no link to it
+    :ivar find_executor: returns the executor of the claim, None when
+        there is no claim or no link to its executor
     :ivar repair: replaces the given agents of a chain, or returns None
     """
 
@@ -92,7 +98,7 @@
 
 
 class _Run:
-    """State of one completion."""
+    """State of one running completion."""
 
     def __init__(
         self,
@@ -138,9 +144,10 @@
         return link_pb2.Frame(attach=message)
 
     def _attach(self) -> bool:
-        """Ask the claim's executor for what it has, though no run can start.
+        """Ask the claim's executor for an earlier run when no chain is usable.
 
-        It may hold the answer, and if not, it will never run the claim.
+        The executor either returns the answer that it has stored, or seals
+        the claim, so that the request never runs.
         """
         executor = self._plan.find_executor()
         if executor is None:
@@ -169,7 +176,12 @@
         return True
 
     def _accept(self, token: link_pb2.Token, texts: list[str]) -> bool:
-        """Take a token in; False when one before it is missing."""
+        """Append the next token.
+
+        A duplicate is counted and dropped.
+
+        :returns: False when a token before it is missing
+        """
         expected = len(self._tokens)
         if token.index > expected:
             return False
@@ -183,7 +195,10 @@
     def _process_events(
         self, events: list[sessions.Event], texts: list[str]
     ) -> End | link_pb2.Fail | sessions.LinkLost | None:
-        """Gather texts; return what ends the attempt, if anything."""
+        """Append the texts of tokens to ``texts``.
+
+        :returns: the event that ends the attempt, or None
+        """
         for event in events:
             if isinstance(event, link_pb2.Token):
                 if not self._accept(event, texts):
@@ -204,7 +219,10 @@
         return None
 
     def _relay(self, token: link_pb2.Token) -> bool:
-        """Pass the next token on; any other is for the run itself."""
+        """Send the next token in order to the caller, on the links' thread.
+
+        :returns: False when the run's thread has to process the token
+        """
         if token.epoch != self._dispatcher.epoch:
             return False
         if token.index != len(self._tokens):
@@ -223,7 +241,7 @@
         return len(self._tokens) >= self._request.max_tokens
 
     def _build_end(self) -> End:
-        """Build the end that the head could not tell.
+        """Build the end of an answer whose Done message was lost.
 
         The size of the prompt is an estimate here.
         """
@@ -231,7 +249,7 @@
         return End('length', prompt, len(self._tokens))
 
     def _can_keep_state(self, failure: outcomes.Refusal) -> bool:
-        """Tell whether stages may go on with what they hold."""
+        """Tell whether stages may continue from the state that they hold."""
         if (
             not self._context.keeps_stage_state
             or not self._dispatcher.may_have_run
@@ -255,7 +273,7 @@
                 yield ending
                 return
             if ending is not None and self._has_all_tokens():
-                # Only the word that it is whole was lost.
+                # All tokens have come; only the Done message was lost.
                 yield self._build_end()
                 return
             refusal = self._dispatcher.check_termination()
@@ -282,8 +300,9 @@
 ) -> Iterator[TokenBatch | Idle | End | outcomes.Refusal]:
     """Run a completion; closing the iterator cancels it.
 
-    :param outlet: way of tokens past this iterator, which yields the rest
-    :returns: pieces and waits, then an end or a refusal
+    :param direct_output: sends tokens that this iterator then skips
+    :returns: yields batches of tokens and idle marks, then an end or a
+        refusal
     """
     one = _Run(context, job, request, plan, direct_output)
     try:
--- a/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
@@ -1,7 +1,7 @@
-"""What all running requests share: one attempt after the other.
+"""Dispatch of a request to agents, with retries.
 
-An ``Attempt`` owns a request's session from the first dispatch to its
-final answer, whatever kind of request it is.
+A ``Dispatcher`` owns a request's session from the first attempt to the
+final answer, for completions and service calls alike.
 """
 
 import time
@@ -22,13 +22,13 @@
     'Dispatcher',
 ]
 
-# How often a request that waits looks whether its caller is still there;
-# one that sends learns it from the connection.
+# Interval at which a request that waits checks that its caller is still
+# connected; a request that sends learns that from the connection.
 CALLER_POLL_SECONDS = 0.5
-# An attempt that fails may be the request's own doing, so one request
-# gets few of them and cannot take down one endpoint after another.
+# The request itself may be what makes an endpoint fail, so the bound keeps
+# one request from crashing one endpoint after another.
 MAX_ATTEMPTS = 3
-# How long a request that lost its agents waits for others to appear.
+# Longest wait for other agents after a request has lost its own.
 RECOVERY_SECONDS = 5.0
 _RECOVERY_POLL_SECONDS = 0.05
 
@@ -41,9 +41,10 @@
 
 
 class Dispatcher:
-    """Attempts of one request, one at a time.
+    """Makes the attempts of one request, one at a time.
 
-    :ivar ran: whether any of the attempts may have run
+    :ivar may_have_run: whether anything of the request may have run, here
+        or under an earlier request with the same key
     :ivar avoid: agents that failed this request
     """
 
@@ -75,7 +76,7 @@
         return self._job.deadline - self._context.clock()
 
     def build_terms(self) -> link_pb2.Terms:
-        """Return the terms with the time that is left."""
+        """Build the terms with the time left until the deadline."""
         terms = link_pb2.Terms()
         terms.CopyFrom(self._job.terms)
         terms.deadline_ms = max(1, int(self.get_remaining_seconds() * 1000))
@@ -86,13 +87,16 @@
         chain: chains.Chain,
         build: Callable[[int], link_pb2.Frame],
     ) -> None:
-        """Begin the next attempt on a chain.
+        """Start the next attempt on a chain, ending the current one.
 
-        A link that is lost already shows as any later loss does.
-        :param build: makes the first frame from the attempt's number
+        If the link is already lost, that is queued as a failure of the
+        attempt, as a later loss would be.
+
+        :param build: builds the first frame, given the attempt's number
         """
         if self._state_held and self._has_same_head(chain):
-            # Its head goes on with the run that it holds.
+            # The head continues the run that it holds, so it must not be
+            # cancelled.
             self._executor_ended = True
         self._end_attempt()
         self._head = chain[0]
@@ -119,41 +123,49 @@
     def take_events(
         self, relay: sessions.Relay | None = None
     ) -> list[sessions.Event]:
-        """Wait a little for events of the current attempt.
+        """Wait for events of the current attempt, up to the poll interval.
 
         :param relay: takes tokens on the links' thread meanwhile
+        :returns: the events, none after a time-out
         """
         wait = min(CALLER_POLL_SECONDS, self.get_remaining_seconds())
         return self._session.take(wait, relay)
 
     def record_tokens(self, count: int) -> None:
-        """Take note of the pace of tokens that came together."""
+        """Report the pace of tokens that came together to the planner."""
         now = self._context.clock()
         interval = self._pace.note(count, now)
         if interval is not None:
             self._context.planner.observe(self._agent_names, interval, now)
 
     def check_termination(self) -> outcomes.Refusal | None:
-        """Tell whether the request must end now, and how."""
+        """Check the deadline and the caller's connection.
+
+        :returns: why the request must end now, None when it may go on
+        """
         if self.get_remaining_seconds() <= 0:
             code = outcomes.FailCode.DEADLINE
             return outcomes.refuse(code, 'the deadline passed', ran=True)
         if not self._job.is_connected():
             code = outcomes.FailCode.CANCELLED
-            return outcomes.refuse(code, 'the caller left', ran=True)
+            return outcomes.refuse(code, 'the caller disconnected', ran=True)
         return None
 
     def convert_failure(
         self, event: link_pb2.Fail | sessions.LinkLost
     ) -> outcomes.Refusal:
-        """Turn the end of an attempt into what the caller would hear."""
+        """Convert the failure of an attempt to a refusal.
+
+        The agent at fault is avoided by later attempts.
+        """
         if isinstance(event, sessions.LinkLost):
             self.may_have_run = True
             code = outcomes.FailCode.LINK_LOST
             return self._record_failure(
                 code, 'the link to the endpoint was lost', ''
             )
-        # Only the executor knows what became of the whole claim.
+        # The executor knows about all attempts under the claim: a sealed
+        # one never ran, whatever was unknown before.
         self.may_have_run = not event.sealed and (
             self.may_have_run or event.ran
         )
@@ -187,7 +199,7 @@
         )
 
     def _reserve_retry(self, refusal: outcomes.Refusal) -> bool:
-        """Tell whether the request may be dispatched again, and pay."""
+        """Tell whether to dispatch again, spending the retry budget if so."""
         if refusal.code in jobs.NON_RETRYABLE or self.epoch >= MAX_ATTEMPTS:
             return False
         if refusal.sealed:
@@ -202,7 +214,7 @@
         return True
 
     def refuse_unsent(self, detail: str) -> outcomes.Refusal:
-        """Build the answer when no agent was there to send it to."""
+        """Build the refusal of a request for which no agent was usable."""
         code = outcomes.FailCode.NO_CAPACITY
         if self.may_have_run:
             code = outcomes.FailCode.EXECUTOR_GONE
@@ -215,7 +227,7 @@
         )
 
     def _add_retry_after(self, refusal: outcomes.Refusal) -> outcomes.Refusal:
-        """Tell the caller of what may run again when to ask again."""
+        """Add a retry delay to the refusal of a repeatable request."""
         has_retry_after = refusal.retry_after is not None
         if (
             has_retry_after
@@ -231,8 +243,9 @@
         """Dispatch again after a failure, if that is allowed.
 
         :param refusal: how the last attempt ended
-        :param open_again: dispatches; False when no agents are there
-        :returns: None when it was dispatched, else the final answer
+        :param redispatch: starts an attempt; returns False when no agents
+            are usable
+        :returns: None when an attempt was started, else the final answer
         """
         if not self._reserve_retry(refusal):
             return self._add_retry_after(refusal)
@@ -251,13 +264,13 @@
             return True
         if refusal.held and self._context.keeps_stage_state:
             return True
-        # Under a claim the one executor attaches to the run that it has,
-        # so a lost link costs no second run.
+        # Under a claim, the bound executor attaches a repeat to the run
+        # that it already has, so a lost link causes no second run.
         lost = refusal.code is outcomes.FailCode.LINK_LOST
         return lost and self._job.claim is not None
 
     def record_gap(self) -> link_pb2.Fail:
-        """Take note of a missing token and return it as a failure."""
+        """Count a missing token and return it as a failure."""
         self._session.counts.count_gap()
         return link_pb2.Fail(
             code=outcomes.FailCode.GAP.value,
@@ -266,15 +279,15 @@
         )
 
     def record_duplicate(self) -> None:
-        """Take note of a token that had come before."""
+        """Count a token that had come before."""
         self._session.counts.count_duplicate()
 
     def mark_ended(self) -> None:
-        """Take note that the executor has ended the request itself."""
+        """Note that the executor has ended the attempt, so needs no cancel."""
         self._executor_ended = True
 
     def close(self) -> None:
-        """Forget the request; one that may still run is cancelled."""
+        """End the session, cancelling an attempt that may still run."""
         self._context.sessions.discard(self._session)
         self._end_attempt()
 
--- a/packages/daemon/src/dunlintide_daemon/entry/entrylinks.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/entrylinks.py
@@ -1,7 +1,8 @@
-"""Links between entries, for what they share about teams' limits.
+"""Links between entries, over which they share limits of teams.
 
-An entry dials a few others only: the two first choices to coordinate each
-shard of the teams, which all entries rank alike.
+Teams are divided into shards, each coordinated by one entry. An entry
+dials only the first two candidates of each shard; all entries rank the
+candidates in the same order.
 """
 
 import threading
@@ -29,18 +30,19 @@
 
 SHARD_COUNT = 4
 CANDIDATES_PER_SHARD = 2
-# Demands follow each other by about a second, so pings only serve links
-# on which nothing else is said.
+# Demands are sent about once a second, so pings only matter on links that
+# carry no demands.
 LINK_TIMING = links.LinkTiming(ping=2.0, silence=6.0, redial=2.0)
 
 
-# How long the first choice may be out of reach before another is taken;
-# entries that turn to different ones only divide among themselves.
+# Time for which the first candidate may be unreachable before the next is
+# used. Entries that use different coordinators share only among those that
+# use the same one.
 FAILOVER_DELAY_SECONDS = 4.0
 
 
 class Host(Protocol):
-    """One host of the platform's list, as far as it matters here."""
+    """Fields of a host in the platform's list that are used here."""
 
     name: str
     role: str
@@ -48,7 +50,7 @@
 
 
 def build_instance_id(hello: link_pb2.Hello) -> str:
-    """Name a process in one life of it."""
+    """Return the id of one incarnation of a process, NAME@INCARNATION."""
     return f'{hello.name}@{hello.incarnation}'
 
 
@@ -59,9 +61,10 @@
 
 @attrs.frozen
 class _Membership:
-    """The entries as listed.
+    """Entries of the host list.
 
-    :ivar choices: names that may coordinate, by shard
+    :ivar entry_count: number of entries, this one included
+    :ivar candidates: names that may coordinate, in order, by shard
     """
 
     entry_count: int
@@ -69,7 +72,7 @@
 
 
 class EntryLinks:
-    """Accepts links of other entries and dials those that coordinate."""
+    """Accepts links from other entries and dials the coordinators."""
 
     def __init__(
         self,
@@ -82,7 +85,9 @@
         """Bind the address.
 
         :param name: this entry's name
-        :param take: called with frames of other entries
+        :param listen: HOST:PORT to accept links on
+        :param hello: builds this entry's hello
+        :param handle_frames: called with frames of other entries
         :raises OSError: when the port is taken
         """
         self._name = name
@@ -104,7 +109,7 @@
 
     @property
     def port(self) -> int:
-        """Port for other processes."""
+        """Port on which links are accepted."""
         return self._server.port
 
     @property
@@ -125,7 +130,7 @@
         return _Membership(len(known), candidates)
 
     def update(self, hosts: Iterable[Host]) -> None:
-        """Take in the host list."""
+        """Update the membership and the dialers from a new host list."""
         listed = {
             host.name: host.address
             for host in hosts
@@ -180,9 +185,11 @@
                 del self._links_by_name[link.peer.name]
 
     def choose_coordinator(self, shard: int) -> str:
-        """Return who should coordinate a shard, in this life of it.
+        """Choose the coordinator of a shard.
 
-        :returns: empty when that is not known, or nobody is reachable
+        :returns: its instance id; empty while the first candidate is
+            unreachable for less than the failover delay, or when no
+            candidate is reachable
         """
         now = time.monotonic()
         with self._lock:
@@ -204,11 +211,15 @@
         return build_instance_id(link.peer) if link is not None else ''
 
     def get_instance_id(self) -> str:
-        """Name this entry in this life of it."""
+        """Return the id of this incarnation of this entry."""
         return build_instance_id(self._hello())
 
     def send(self, coordinator: str, frame: link_pb2.Frame) -> bool:
-        """Send a frame; False when that life is not reachable."""
+        """Send a frame to a coordinator.
+
+        :param coordinator: its instance id
+        :returns: False when there is no link to that incarnation
+        """
         name = coordinator.rpartition('@')[0]
         with self._lock:
             link = self._links_by_name.get(name)
--- a/packages/daemon/src/dunlintide_daemon/entry/headers.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/headers.py
@@ -1,4 +1,4 @@
-"""Headers that pass between callers and plain services."""
+"""Filtering of the headers between callers and plain services."""
 
 from typing import Any, Iterable, Mapping
 
@@ -7,8 +7,8 @@
     'read_request_headers',
 ]
 
-# Headers that concern one connection only, that name the caller to the
-# service in place of the agent, or that this entry sets itself.
+# Headers of a single connection, headers that would identify the caller to
+# the service in place of the agent, and headers that this entry sets.
 _DROPPED_REQUEST_HEADERS = frozenset(
     (
         'AUTHORIZATION',
@@ -50,9 +50,9 @@
 def read_request_headers(
     environ: Mapping[str, Any],
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers of a request that go on to a service.
+    """Return the headers of a request that are passed to a service.
 
-    :param environ: the request, as WSGI has it
+    :param environ: the request's WSGI environment
     """
     headers = [
         (name[5:].replace('_', '-').title(), value)
@@ -66,14 +66,15 @@
 
 
 def _has_no_line_break(name: str, value: str) -> bool:
-    # waitress raises on these, after the service has run.
+    # waitress raises on a line break in a header, and would do so only
+    # after the service has run.
     return not any(mark in name + value for mark in '\r\n')
 
 
 def filter_answer_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return the headers of a service's answer that go to the caller."""
+    """Return the headers of a service's answer to pass to the caller."""
     return [
         (name, value)
         for name, value in headers
--- a/packages/daemon/src/dunlintide_daemon/entry/jobs.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/jobs.py
@@ -1,4 +1,4 @@
-"""One request on its way, and what all requests run with."""
+"""A request to be run, and the objects shared by all requests."""
 
 import time
 from typing import Callable, Iterable
@@ -20,10 +20,10 @@
     'Job',
 ]
 
-# When a caller may ask again that found no agent for its request.
+# Advised delay before a retry when no agent could take a request.
 RETRY_AFTER_SECONDS = 2.0
 
-# Failures that another attempt would only meet again.
+# Failures that would recur in another attempt.
 NON_RETRYABLE = frozenset(
     (
         outcomes.FailCode.BAD_REQUEST,
@@ -45,12 +45,14 @@
 
 @attrs.frozen
 class Context:
-    """What requests run with.
+    """Objects that all running requests share.
 
-    :ivar retries: budget that all requests of this entry share
-    :ivar answer_room: memory that gathered answers share
-    :ivar count_retry: called for each attempt beyond a first
-    :ivar replays: whether stages that survive a failure keep their state
+    :ivar retries: retry budget of this entry
+    :ivar clock: returns the monotonic time in seconds
+    :ivar count_retry: called for each attempt after a request's first
+    :ivar answer_memory: memory for the buffered answers of services
+    :ivar keeps_stage_state: whether stages that survive a failure keep
+        their state for the next attempt
     """
 
     fleet: fleet.Fleet
@@ -65,23 +67,27 @@
     keeps_stage_state: bool = True
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
-        """Count work of agents; negative when it ends."""
+        """Add to the requests that run on agents.
+
+        :param names: the agents of one chain
+        :param amount: 1 when a request starts, -1 when it ends
+        """
         self.fleet.add_work(names, amount)
         self.planner.add_work(names, amount)
 
 
 @attrs.frozen
 class Job:
-    """One request on its way, apart from what kind it is.
+    """Properties of a request that do not depend on its kind.
 
-    :ivar terms: what is fixed for its life; the deadline is set anew
-        for each attempt
+    :ivar terms: the request's terms for agents; all but the deadline,
+        which is set again for each attempt, are the same in all attempts
     :ivar deadline: monotonic time in seconds
     :ivar repeatable: whether it may run again after it may have run
-    :ivar is_connected: tells whether the caller still waits
-    :ivar claim: binding to its one executor, if it needs one
-    :ivar repeated: whether an earlier request made that claim, so that
-        it may have run already
+    :ivar is_connected: returns whether the caller is still connected
+    :ivar claim: claim that binds it to its executor, if it needs one
+    :ivar repeated: whether an earlier request with the same key made the
+        claim, so that it may have run already
     """
 
     terms: link_pb2.Terms
--- a/packages/daemon/src/dunlintide_daemon/entry/limits.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/limits.py
@@ -1,8 +1,9 @@
-"""Admission by the limits that rules set for a team over all entries.
+"""Admission by the limits that rules set for a team across all entries.
 
-Requests are decided on in memory, by the shares that this entry holds;
-a thread renews the shares with the coordinators about each second. The
-arithmetic, and the bound on what is admitted, are in
+Requests are admitted or refused in memory, by the shares of the limits
+that this entry holds. A thread renews the shares with their coordinators
+about once a second. The arithmetic of shares, and the bound on the
+requests that all entries admit together, are in
 ``dunlintide_core.limits``.
 """
 
@@ -26,23 +27,25 @@
 ]
 
 RENEWAL_PERIOD_SECONDS = 1.0
-# A coordinator answers each entry once in a period, so in a large fleet
-# the period grows to bound what a coordinator spends.
+# A coordinator answers each entry once a period, so the period grows with
+# the number of entries to bound the coordinator's load.
 _MAX_DEMANDS_PER_SECOND = 200
 MAX_RENEWAL_PERIOD_SECONDS = 2.0
 _MIN_RENEWAL_PERIOD_SECONDS = 0.1
-# After a jump in demand the next renewals follow quickly, as the others
-# give way only step by step.
+# After a jump in demand the next renewals follow quickly, as the other
+# entries' shares shrink only step by step.
 _URGENT_PERIOD_SECONDS = 0.25
 _URGENT_RENEWALS = 12
 _DEMAND_JUMP_RATIO = 2.0
-# Demand follows a change at once when it is larger than chance explains,
-# in standard deviations of a count.
+# A change of demand beyond this many standard deviations of a Poisson count
+# is adopted at once; smaller changes are smoothed as noise.
 _NOISE_DEVIATIONS = 3.0
 _DEMAND_SMOOTHING = 0.3
-# Share of a debt that is asked for on top of the demand, a second.
+# Fraction of a bucket's debt that is requested each second on top of the
+# demand.
 _DEBT_REPAYMENT_PER_SECOND = 0.25
-# A first request under a key waits for its first grant, but few do.
+# The first requests under a key wait for its first grant; the number of
+# waiters is bounded, as each holds a thread.
 GRANT_WAIT_SECONDS = 1.0
 _MAX_GRANT_WAITERS = 8
 _USAGE_RETENTION_SECONDS = 30.0
@@ -55,7 +58,18 @@
 
 @attrs.define
 class _Usage:
-    """What a team does here under one rule."""
+    """Requests of one team under one rule at this entry.
+
+    :ivar then: the rule's limits
+    :ivar bucket: token bucket of this entry's share of the rate
+    :ivar last_used: monotonic time in seconds
+    :ivar request_count: requests since the last measurement
+    :ivar demand: smoothed requests a second
+    :ivar slot_refusals: requests refused for lack of a slot since the last
+        measurement
+    :ivar in_flight: admitted requests that have not ended
+    :ivar waiting: requests that wait for the first grant
+    """
 
     then: configuration.Then
     bucket: limits.Bucket
@@ -68,11 +82,14 @@
 
     @property
     def slots(self) -> int:
-        """Limit in flight, 0 for none."""
+        """Limit of requests in flight over all entries, 0 for none."""
         return self.then.concurrency or 0
 
     def measure_need(self, seconds: float) -> limits.Need:
-        """Return what it needs by what was asked in the last seconds."""
+        """Update the demand and return the shares that it needs.
+
+        :param seconds: time since the last measurement
+        """
         recent = self.request_count / seconds
         noise = _NOISE_DEVIATIONS * math.sqrt(
             max(self.demand, recent) / seconds
@@ -96,7 +113,7 @@
         return limits.Need(rate, slots, self.in_flight, self.slots)
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether it may be forgotten without a loss."""
+        """Tell whether no state would be lost by deleting it."""
         busy = self.in_flight or self.waiting or self.bucket.tokens < 0
         return not busy and now - self.last_used > _USAGE_RETENTION_SECONDS
 
@@ -110,7 +127,10 @@
 
 
 class Limiter:
-    """Admits requests, and keeps this entry's shares of the limits."""
+    """Admits requests by this entry's shares of the limits.
+
+    :ivar entry_links: links to the other entries
+    """
 
     def __init__(
         self,
@@ -118,10 +138,11 @@
         clock: Callable[[], float] = time.monotonic,
         grant_wait: float = GRANT_WAIT_SECONDS,
     ) -> None:
-        """Begin with what this entry owns.
+        """Start with the shares that this entry owns without a grant.
 
-        :param connect: makes the links to other entries
-        :param clock: monotonic time in seconds
+        :param connect: builds the links to other entries, given the handler
+            of their frames
+        :param clock: returns the monotonic time in seconds
         :param grant_wait: longest wait for a key's first grant, in seconds
         :raises OSError: when the port for other entries is taken
         """
@@ -177,7 +198,8 @@
     ) -> outcomes.Refusal | None:
         """Count a request against its team's limits.
 
-        One that is admitted must be released when it ends.
+        An admitted request must be released when it ends.
+
         :returns: None when it is admitted
         """
         then = rule.then
@@ -204,7 +226,10 @@
         grant = self._find_grant(key, usage)
         if usage.slots and usage.in_flight >= grant.slots:
             usage.slot_refusals += 1
-            detail = 'too many requests of the team are in flight'
+            detail = (
+                f'the team has {usage.in_flight} requests in flight at this'
+                f' entry, whose share of the limit is {grant.slots}'
+            )
             return _refuse(detail, self._renewal_period)
         if usage.then.rate is None:
             return None
@@ -214,16 +239,19 @@
             return None
         if usage.request_count > _DEMAND_JUMP_RATIO * usage.demand + 1:
             self._start_urgent_renewals()
-        # Without a share the next one comes with the next exchange.
+        # Without a share, the earliest token comes with the next renewal.
         seconds = wait if rate else self._renewal_period
-        return _refuse('the rate of the team is used up', seconds)
+        return _refuse('the share of the rate limit is used up', seconds)
 
     def _start_urgent_renewals(self) -> None:
         self._urgent_renewals_left = _URGENT_RENEWALS
         self._wake.set()
 
     def _await_grant(self, key: limits.Key, usage: _Usage) -> bool:
-        """Wait for a key's first grant; False when none came."""
+        """Wait for a key's first grant.
+
+        :returns: whether it came within the time-out
+        """
         is_only_entry = self.entry_links.entry_count == 1
         if (
             is_only_entry
@@ -241,7 +269,7 @@
             usage.waiting -= 1
 
     def release(self, request_id: str) -> None:
-        """Take note that a request has ended; others are ignored."""
+        """End a request; ids of requests that hold no slot are ignored."""
         with self._changed:
             key = self._keys_in_flight.pop(request_id, None)
             usage = self._usages.get(key) if key is not None else None
@@ -251,7 +279,7 @@
 
     @property
     def renewal_delay(self) -> float:
-        """Seconds from one renewal to the next, as things are now."""
+        """Seconds from the last renewal to the next."""
         if self._wake.is_set():
             return _MIN_RENEWAL_PERIOD_SECONDS
         return (
@@ -267,7 +295,7 @@
             self.renew()
 
     def renew(self) -> None:
-        """Tell the coordinators what is needed."""
+        """Send the current needs to the coordinators."""
         self._wake.clear()
         self._urgent_renewals_left = max(0, self._urgent_renewals_left - 1)
         with self._changed:
@@ -296,14 +324,15 @@
             usage.bucket.refill(self._clock(), rate)
 
     def _refill_shard(self, shard: int) -> None:
-        """Fill buckets by the old shares before new ones apply."""
+        """Refill buckets by the old shares before new shares apply."""
         for key, usage in self._usages.items():
             if shares.find_shard(key) == shard:
                 self._refill(key, usage)
 
     def _handle_grant_change(self, shrunk: bool) -> None:
         if shrunk:
-            # Others get what was given up once that is acknowledged.
+            # Others are granted what this entry gave up only after it has
+            # acknowledged that, which the next renewal does.
             self._wake.set()
         self._changed.notify_all()
 
--- a/packages/daemon/src/dunlintide_daemon/entry/memorybudget.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/memorybudget.py
@@ -1,4 +1,4 @@
-"""Bound on the memory of all answers that are gathered at the same time."""
+"""Bound on the memory of all answers that are buffered together."""
 
 import threading
 
@@ -13,10 +13,10 @@
 
 @attrs.define
 class MemoryBudget:
-    """Bytes that gathered answers hold together.
+    """Memory that buffered answers share.
 
-    :ivar limit: most of them, in bytes
-    :ivar held: what is held now, in bytes
+    :ivar limit: maximum of reserved memory, in bytes
+    :ivar reserved: memory reserved now, in bytes
     """
 
     limit: int = MAX_BYTES
@@ -24,14 +24,17 @@
     _lock: threading.Lock = attrs.field(factory=threading.Lock)
 
     def is_low(self) -> bool:
-        """Tell whether nothing more should be begun.
+        """Tell whether no further answer should be started.
 
-        Half is kept for the answers that are on their way.
+        Half of the memory is kept for the answers already in progress.
         """
         return self.reserved > self.limit // 2
 
     def reserve(self, size: int) -> bool:
-        """Hold more bytes; False, and none held, when they do not fit."""
+        """Reserve bytes.
+
+        :returns: False, with nothing reserved, when they exceed the limit
+        """
         with self._lock:
             if self.reserved + size > self.limit:
                 return False
@@ -39,6 +42,6 @@
             return True
 
     def release(self, size: int) -> None:
-        """Hold fewer bytes."""
+        """Release reserved bytes."""
         with self._lock:
             self.reserved -= size
--- a/packages/daemon/src/dunlintide_daemon/entry/meter.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/meter.py
@@ -1,4 +1,4 @@
-"""Times and tokens of answers, counted once for each batch of tokens."""
+"""Metrics of requests; tokens are counted once for each batch."""
 
 import time
 from typing import Callable
@@ -17,7 +17,7 @@
 class TokenMeter:
     """Measures the tokens of one answer.
 
-    :ivar last: monotonic time of the last tokens, or of the arrival
+    :ivar last_tokens_at: monotonic time of the last tokens, or of the arrival
     """
 
     shared: metrics.Metrics
@@ -25,9 +25,11 @@
     tokens: int = 0
 
     def record_tokens(self, count: int, now: float) -> None:
-        """Take note of tokens that came together.
+        """Record tokens that came together.
 
-        They count as one observation of their mean distance.
+        They count as one observation of their mean interval.
+
+        :param now: monotonic time in seconds
         """
         gap = now - self.last_tokens_at
         if self.tokens:
@@ -38,25 +40,28 @@
         self.tokens += count
 
     def close(self) -> None:
-        """Count the tokens of the whole answer."""
+        """Add the tokens of the answer to the total."""
         self.shared.tokens.inc(self.tokens)
 
 
 @attrs.frozen
 class Meter:
-    """Measures requests."""
+    """Records the metrics of requests."""
 
     shared: metrics.Metrics
 
     def begin_answer(self, arrived: float) -> TokenMeter:
-        """Begin to measure an answer.
+        """Start measuring the tokens of an answer.
 
         :param arrived: monotonic time of the request, in seconds
         """
         return TokenMeter(self.shared, arrived)
 
     def observe_request(self, arrived: float) -> None:
-        """Take note that a request has ended."""
+        """Observe the duration of a request that has ended.
+
+        :param arrived: monotonic time of the request, in seconds
+        """
         self.shared.request_seconds.observe(time.monotonic() - arrived)
 
     def count_drop(self, reason: metrics.DropReason, count: int) -> None:
@@ -68,7 +73,10 @@
         self.shared.retries.inc()
 
     def count_outcome(self, outcome: str, code: str) -> None:
-        """Count a request by its outcome; no code for a whole answer."""
+        """Count a request by its outcome.
+
+        :param code: why it was refused, empty for a complete answer
+        """
         self.shared.requests.labels(outcome, code or metrics.OK_CODE).inc()
 
     def register_gauges(
@@ -77,7 +85,7 @@
         links: Callable[[], int],
         revision: Callable[[], int],
     ) -> None:
-        """Show what is read off the entry at each scrape."""
+        """Register functions that are called at each scrape."""
         self.shared.in_flight.set_function(in_flight)
         self.shared.links.set_function(links)
         self.shared.config_revision.set_function(revision)
--- a/packages/daemon/src/dunlintide_daemon/entry/openai.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/openai.py
@@ -1,4 +1,4 @@
-"""Answers in the form of OpenAI's API, whole or as server-sent events."""
+"""Answers in OpenAI's format, as JSON bodies or server-sent events."""
 
 import json
 
@@ -16,7 +16,7 @@
     'render_error_event',
 ]
 
-# A comment, which clients skip; so a slow stream differs from a dead one.
+# A comment, which clients skip. It shows that a slow stream is alive.
 HEARTBEAT = b':\n\n'
 END_MARK = b'data: [DONE]\n\n'
 _CHUNK_KIND = {True: 'chat.completion.chunk', False: 'text_completion'}
@@ -31,7 +31,7 @@
 
 
 def render_error_event(refusal: outcomes.Refusal, request_id: str) -> bytes:
-    """Return the event that ends a stream that stays incomplete.
+    """Return the last event of an incomplete stream.
 
     No end mark follows it.
     """
@@ -41,7 +41,7 @@
 
 
 def list_models(names: list[str]) -> bytes:
-    """Return the body of the list of models."""
+    """Return the JSON body of the list of models."""
     models = [
         {'id': name, 'object': 'model', 'created': 0, 'owned_by': _OWNER}
         for name in names
@@ -51,11 +51,12 @@
 
 @attrs.frozen
 class CompletionRenderer:
-    """How one completion is rendered.
+    """Renders the answer of one completion.
 
-    :ivar created: time of the request in whole seconds since the epoch
-    :ivar chat: whether the caller asked in chat form
-    :ivar prefix: encoded event up to the text of a token
+    :ivar created: time of the request in seconds since the epoch
+    :ivar chat: whether to answer in the format of chat completions
+    :ivar token_prefix: encoded event up to the text of a token
+    :ivar token_suffix: encoded event after the text of a token
     """
 
     request_id: str
@@ -94,8 +95,8 @@
     def render_token(self, text: str) -> bytes:
         """Return the event of one token.
 
-        It is put together from parts encoded once, since this runs for
-        each token.
+        It is concatenated from parts that are encoded once for each
+        completion, as this runs for each token.
         """
         return self.token_prefix + _encode(text) + self.token_suffix
 
@@ -107,7 +108,7 @@
         *,
         include_usage: bool,
     ) -> bytes:
-        """Return the last events of a whole stream, with the end mark."""
+        """Return the last events of a complete stream and its end mark."""
         chunk = self._build_head(_CHUNK_KIND[self.chat])
         choice: dict[str, object] = {'index': 0}
         choice |= {'delta': {}} if self.chat else {'text': ''}
@@ -121,7 +122,7 @@
     def render_body(
         self, text: str, finish_reason: str, prompt_tokens: int, tokens: int
     ) -> bytes:
-        """Return the JSON body of a whole answer."""
+        """Return the JSON body of a complete answer."""
         choice: dict[str, object] = {'index': 0}
         if self.chat:
             choice['message'] = {'role': 'assistant', 'content': text}
--- a/packages/daemon/src/dunlintide_daemon/entry/prefixmetrics.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/prefixmetrics.py
@@ -1,4 +1,4 @@
-"""Counts of prompts whose prefix an agent was known to hold."""
+"""Metric of prompts, by whether an agent was known to hold the prefix."""
 
 from collections.abc import Iterator
 from typing import Callable
@@ -12,18 +12,18 @@
 
 
 class Collector:
-    """Gives the counts to a metrics registry at each scrape."""
+    """Prometheus collector that reads the counts at each scrape."""
 
     def __init__(self, count: Callable[[], tuple[int, int]]) -> None:
-        """Remember where the counts are.
+        """Initialize with the function that reads the counts.
 
-        :param count: gives prompts of a block or more, and those of them
-            that had a known holder
+        :param count: returns the number of prompts of at least one block,
+            and how many of them had a known holder of their prefix
         """
         self._count = count
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yield the counts in the form of the metrics library."""
+        """Yield the counts as a metric family."""
         prompts, known = self._count()
         found = metrics_core.CounterMetricFamily(
             'dunlintide_prompts',
@@ -35,5 +35,5 @@
         yield found
 
     def register(self, registry: prometheus_client.CollectorRegistry) -> None:
-        """Show the counts among a registry's metrics."""
+        """Add the collector to a registry."""
         registry.register(self)
--- a/packages/daemon/src/dunlintide_daemon/entry/problems.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/problems.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457) for answers other than the one asked for."""
+"""Problem details (RFC 9457) for refused requests."""
 
 import http
 import math
@@ -25,11 +25,11 @@
 REQUEST_ID_HEADER = 'X-Request-Id'
 CONTENT_TYPE = 'application/problem+json'
 _TYPE_PREFIX = 'urn:dunlintide:problem:'
-# Callers that were refused together must not come back together.
+# Spreads the retries of callers that were refused at the same time.
 _RETRY_JITTER_RANGE = (0.5, 1.5)
 _MIN_RETRY_AFTER_SECONDS = 1
 _NO_CAPACITY_RETRY_SECONDS = 1.0
-# What the HTTP server refuses by itself, by its status.
+# Reasons for the HTTP server's own refusals, by status.
 _SERVER_CODES = {
     413: outcomes.FailCode.TOO_LARGE,
     431: outcomes.FailCode.TOO_LARGE,
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Response:
-    """An HTTP answer in the form that WSGI takes.
+    """An HTTP response in the form that WSGI takes.
 
     :ivar status: status code with its reason phrase
     :ivar body: chunks of the body; may be produced while it is sent
@@ -51,9 +51,10 @@
 
 
 def render_status(code: int) -> str:
-    """Return the status line's code and phrase.
+    """Return a status line's code and reason phrase.
 
-    :param code: HTTP status code; an unregistered one gets no phrase
+    :param code: HTTP status code; the phrase of an unknown one is
+        ``Unregistered``
     """
     try:
         return f'{code} {http.HTTPStatus(code).phrase}'
@@ -64,10 +65,10 @@
 def build_fields(
     refusal: outcomes.Refusal, request_id: str
 ) -> dict[str, object]:
-    """Return the teams of a problem object.
+    """Return the fields of a problem object.
 
-    :param refusal: what to tell
-    :param request_id: the request, for the operators' logs
+    :param refusal: the refusal to describe
+    :param request_id: id by which operators find the request in logs
     """
     title = refusal.code.value.replace('-', ' ')
     return {
@@ -84,7 +85,7 @@
 def render(
     refusal: outcomes.Refusal, request_id: str, rng: random.Random
 ) -> Response:
-    """Build the whole answer for a refusal.
+    """Build the response for a refusal.
 
     :param rng: source of the jitter on ``Retry-After``
     """
@@ -107,7 +108,7 @@
 def render_server_error(
     rng: random.Random, status: int, detail: str
 ) -> httppages.ErrorPage:
-    """Build the answer for what the HTTP server refuses by itself.
+    """Build the page for a request that the HTTP server itself refuses.
 
     :param rng: source of the jitter on ``Retry-After``
     """
--- a/packages/daemon/src/dunlintide_daemon/entry/requests.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests, read and checked before anything runs."""
+"""Parsing and validation of callers' requests."""
 
 import hashlib
 import re
@@ -71,9 +71,9 @@
 class Completion:
     """A request for generated text.
 
-    :ivar chat: whether it came as a chat and is answered as one
-    :ivar max_tokens: most tokens to generate
-    :ivar include_usage: whether a stream ends with the usage
+    :ivar max_tokens: maximum number of tokens to generate
+    :ivar include_usage: whether a stream ends with the token usage
+    :ivar chat: whether request and answer are in chat format
     """
 
     model: str
@@ -89,7 +89,7 @@
 class ServiceCall:
     """A call of a plain service.
 
-    :ivar path: what follows ``/services/NAME``, with its query
+    :ivar path: path after ``/services/NAME``, with the query
     """
 
     service: str
@@ -125,7 +125,7 @@
 def parse_completion(
     body: bytes, *, chat: bool
 ) -> result.Result[Completion, outcomes.Refusal]:
-    """Read the JSON body of a completion.
+    """Parse the JSON body of a completion.
 
     :param chat: whether it holds messages rather than a prompt
     :returns: the request, or a refusal that names the faulty field
@@ -134,13 +134,18 @@
     try:
         parsed: Any = msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        # msgspec's messages name types and paths, never the values.
+        # msgspec's messages name types and paths but quote no values, so
+        # they reveal no content of the request.
         return _refuse(str(error))
     if chat and not all(map(_is_text, parsed.messages)):
         return _refuse('only content parts of type "text" are supported')
     prompt = _join_messages(parsed.messages) if chat else parsed.prompt
     if len(prompt) > MAX_PROMPT_CHARS:
-        return _refuse('the prompt is too long', outcomes.FailCode.TOO_LARGE)
+        detail = (
+            f'the prompt has {len(prompt)} characters,'
+            f' at most {MAX_PROMPT_CHARS} are allowed'
+        )
+        return _refuse(detail, outcomes.FailCode.TOO_LARGE)
     options = parsed.stream_options
     max_tokens = parsed.max_completion_tokens or parsed.max_tokens
     return result.Ok(
@@ -159,22 +164,31 @@
 def read_body(
     environ: Mapping[str, Any],
 ) -> result.Result[bytes, outcomes.Refusal]:
-    """Read a request's body, refusing one over the limit."""
+    """Read a request's body.
+
+    :returns: the body, or a refusal when it exceeds ``MAX_BODY_BYTES``
+    """
     text = environ.get('CONTENT_LENGTH') or '0'
     if not text.isdigit():
         return _refuse('Content-Length is not a number')
     if int(text) > MAX_BODY_BYTES:
-        return _refuse('the body is too large', outcomes.FailCode.TOO_LARGE)
+        return _refuse(
+            f'the body exceeds {MAX_BODY_BYTES} bytes',
+            outcomes.FailCode.TOO_LARGE,
+        )
     body = environ['wsgi.input'].read(MAX_BODY_BYTES + 1)
     if len(body) > MAX_BODY_BYTES:
-        return _refuse('the body is too large', outcomes.FailCode.TOO_LARGE)
+        return _refuse(
+            f'the body exceeds {MAX_BODY_BYTES} bytes',
+            outcomes.FailCode.TOO_LARGE,
+        )
     return result.Ok(body)
 
 
 def validate_idempotency_key(
     key: str | None,
 ) -> result.Result[str, outcomes.Refusal]:
-    """Check an ``Idempotency-Key``.
+    """Validate an ``Idempotency-Key``.
 
     :param key: the header's value, None when there was none
     :returns: the key, empty when there was none
@@ -191,10 +205,9 @@
 
 
 def compute_fingerprint(team: str, *parts: str | bytes) -> bytes:
-    """Return a digest that tells one request's content from another's.
+    """Return a digest of a request's content and team.
 
-    It includes the team, so that no team's request can be taken for
-    another's.
+    It includes the team, so that requests of two teams never match.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     for part in (team, *parts):
@@ -205,5 +218,5 @@
 
 
 def estimate_tokens(prompt: str) -> int:
-    """Estimate a prompt's size in tokens, for rules and costs."""
+    """Estimate a prompt's size in tokens from its length."""
     return len(prompt) // _CHARS_PER_TOKEN + 1
--- a/packages/daemon/src/dunlintide_daemon/entry/router.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/router.py
@@ -1,4 +1,4 @@
-"""From a checked request to its rule, its terms and where it may run."""
+"""Routing of a parsed request: its rule, terms and candidate agents."""
 
 import time
 from typing import Callable, Collection
@@ -26,13 +26,13 @@
     'Router',
 ]
 
-# Claims whose request never ran are freed, but no caller waits for long
-# until that is done.
+# The claim of a request that never ran is released before its caller is
+# answered, so the release must not take long.
 _CLAIM_RELEASE_TIMEOUT_SECONDS = 1.0
 
 
 class Router:
-    """Decides about requests by the configuration in force."""
+    """Routes requests by the configuration in force."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         failure_domain: str,
         is_quarantined: Callable[[bytes], bool] = lambda digest: False,
     ) -> None:
-        """Remember what decisions rest on.
+        """Initialize with the objects that decisions are based on.
 
-        :param failure_domain: where this entry is, for rules
-        :param is_quarantined: tells by its fingerprint whether a request
-            has crashed endpoints
+        :param failure_domain: failure domain of this entry, for rules
+        :param is_quarantined: returns whether requests with a fingerprint
+            have crashed endpoints
         """
         self._is_quarantined = is_quarantined
         self._fleet = fleet_view
@@ -64,14 +64,16 @@
         caller: routes.Caller,
         request: matching.Query,
     ) -> result.Result[configuration.Rule, outcomes.Refusal]:
-        """Find the rule and count the request against its limits."""
+        """Find the rule and count the request against the rule's limits."""
         rule = snapshot.index.find(request)
         if rule is None:
             code = outcomes.FailCode.NO_RULE
             return routes.refuse(code, 'no rule matches the request')
         if rule.then.action is configuration.Action.REFUSE:
             code = outcomes.FailCode.REFUSED_BY_RULE
-            return routes.refuse(code, rule.then.reason or 'a rule refuses it')
+            return routes.refuse(
+                code, rule.then.reason or 'a rule refuses the request'
+            )
         refusal = self._limiter.admit(caller.request_id, caller.team, rule)
         if refusal is not None:
             return result.Err(refusal)
@@ -85,8 +87,9 @@
         path: str,
         content: bytes,
     ) -> result.Result[routes.CompletionRoute, outcomes.Refusal]:
-        """Route a completion; a non-idempotent one is bound first.
+        """Route a completion, binding a non-idempotent one to an executor.
 
+        :param path: path of the HTTP request
         :param content: the body, for the fingerprint
         """
         request = routes.build_completion_query(
@@ -99,7 +102,7 @@
         model = snapshot.models.get(rule.then.model or completion.model)
         if model is None:
             code = outcomes.FailCode.NOT_FOUND
-            return routes.refuse(code, 'there is no such model')
+            return routes.refuse(code, 'the model is not configured')
         return self._build_completion_route(
             snapshot, caller, completion, (path, content), rule, model
         )
@@ -148,7 +151,8 @@
         at_most_once = bool(caller.key) or then.repeatable is False
         caller = routes.ensure_key(caller, at_most_once)
         fingerprint = requests.compute_fingerprint(caller.team, *parts)
-        # Under a key it may have run before, which its executor knows.
+        # A request under a key may already have run. Only its executor knows
+        # that, so such a request is not refused here.
         if not at_most_once and self._is_quarantined(fingerprint):
             code = outcomes.FailCode.QUARANTINED
             return routes.refuse(code, 'the request has crashed endpoints')
@@ -175,7 +179,7 @@
         chain = choose(())
         if chain is None:
             return routes.refuse_no_capacity(
-                'no chain holds all layers of the model'
+                'no chain of endpoints holds all layers of the model'
             )
         bound = self._bind(caller, rule, job, chain[0])
         if isinstance(bound, result.Err):
@@ -231,12 +235,12 @@
         caller: routes.Caller,
         call: requests.ServiceCall,
     ) -> result.Result[routes.ServiceRoute, outcomes.Refusal]:
-        """Route a service call; a non-idempotent one is bound first."""
+        """Route a service call, binding a non-idempotent one to an agent."""
         request = routes.build_call_query(caller, call, self._failure_domain)
         service = snapshot.services.get(call.service)
         if service is None:
             code = outcomes.FailCode.NOT_FOUND
-            return routes.refuse(code, 'there is no such service')
+            return routes.refuse(code, 'the service is not configured')
         matched = self._match_rule(snapshot, caller, request)
         if isinstance(matched, result.Err):
             return matched
@@ -326,5 +330,5 @@
         return bound
 
     def release_claim(self, bound_claim: claims.BoundClaim) -> None:
-        """Free the key of a request that never ran and never will."""
+        """Release the key of a request that never ran and never will."""
         self._binder.release(bound_claim, _CLAIM_RELEASE_TIMEOUT_SECONDS)
--- a/packages/daemon/src/dunlintide_daemon/entry/routes.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/routes.py
@@ -1,4 +1,4 @@
-"""Where and on what terms a request runs, and how that is built."""
+"""Routes of requests, and the terms and rule queries they are built of."""
 
 import time
 from typing import Callable, Collection
@@ -36,13 +36,13 @@
 
 @attrs.frozen
 class Caller:
-    """Who asks, and what a request's headers say.
+    """The caller of a request, and values of the request's headers.
 
     :ivar key: idempotency key, empty for none
     :ivar arrived: monotonic time in seconds
-    :ivar is_connected: tells whether the caller still waits
-    :ivar send_now: sends a piece of a stream, once it has begun, without
-        waiting; False when it could not
+    :ivar is_connected: returns whether the caller is still connected
+    :ivar send_now: sends a chunk of a started stream without blocking;
+        returns False, with nothing sent, when it could not
     """
 
     request_id: str
@@ -56,7 +56,10 @@
 
 @attrs.frozen
 class CompletionRoute:
-    """Where and on what terms a completion runs."""
+    """Terms of a completion and selection of its chain.
+
+    :ivar bound_claim: claim of a non-idempotent request, else None
+    """
 
     job: jobs.Job
     plan: completions.Plan
@@ -65,7 +68,11 @@
 
 @attrs.frozen
 class ServiceRoute:
-    """Where and on what terms a service call runs."""
+    """Terms of a service call and selection of its agent.
+
+    :ivar choose: returns an agent other than the given ones, or None
+    :ivar bound_claim: claim of a non-idempotent request, else None
+    """
 
     job: jobs.Job
     choose: Callable[[Collection[chains.AgentInstance]], fleet.Agent | None]
@@ -75,7 +82,7 @@
 def refuse(
     code: outcomes.FailCode, detail: str, retry_after: float | None = None
 ) -> result.Err[outcomes.Refusal]:
-    """Refuse a request of which nothing ran.
+    """Build the refusal of a request of which nothing ran.
 
     :param detail: one sentence for the caller
     :param retry_after: seconds after which a repeat makes sense
@@ -84,13 +91,16 @@
 
 
 def refuse_no_capacity(detail: str) -> result.Err[outcomes.Refusal]:
-    """Refuse a request that no agent can run now."""
+    """Build the refusal of a request that no agent can run now."""
     code = outcomes.FailCode.NO_CAPACITY
     return refuse(code, detail, jobs.RETRY_AFTER_SECONDS)
 
 
 def refuse_executor_gone() -> result.Err[outcomes.Refusal]:
-    """Refuse a repeat whose executor is gone; it may have run there."""
+    """Build the refusal of a request whose executor is gone.
+
+    The request may have run there.
+    """
     code = outcomes.FailCode.EXECUTOR_GONE
     detail = 'the endpoint that the key is bound to is gone'
     return result.Err(outcomes.refuse(code, detail, ran=True))
@@ -103,11 +113,12 @@
     fingerprint: bytes,
     salt: str,
 ) -> link_pb2.Terms:
-    """Build what is fixed for the life of a request.
+    """Build the terms of a request, which all its attempts share.
 
-    :param revision: of the configuration that decided
-    :param fingerprint: of the request, to tell another under its key
-    :param salt: of the team's prefix caches
+    :param revision: configuration revision that the rule is from
+    :param fingerprint: digest of the content, which detects a key that is
+        reused for another request
+    :param salt: salt of the team's prefix hashes
     """
     then = rule.then
     return link_pb2.Terms(
@@ -130,9 +141,9 @@
     path: str,
     failure_domain: str,
 ) -> matching.Query:
-    """Describe a completion to the rules.
+    """Build the query that finds the rule of a completion.
 
-    :param failure_domain: where this entry is
+    :param failure_domain: failure domain of this entry
     """
     return matching.Query(
         team=caller.team,
@@ -149,9 +160,9 @@
 def build_call_query(
     caller: Caller, call: requests.ServiceCall, failure_domain: str
 ) -> matching.Query:
-    """Describe a service call to the rules.
+    """Build the query that finds the rule of a service call.
 
-    :param failure_domain: where this entry is
+    :param failure_domain: failure domain of this entry
     """
     return matching.Query(
         team=caller.team,
@@ -164,15 +175,17 @@
 
 
 def _choose_priority(caller: Caller, then: configuration.Then) -> int:
-    # A caller may step back behind what its rule grants, never ahead.
+    # A larger number is a lower priority. A caller may lower the priority
+    # that its rule grants, never raise it.
     return max(then.priority, caller.priority or 0)
 
 
 def ensure_key(caller: Caller, at_most_once: bool) -> Caller:
-    """Give a request that must not run twice a key of its own.
+    """Generate a key for a request that must not run twice and has none.
 
-    It was sent without one, so no repeat can be told from a new request;
-    the key only keeps the router itself from running it again.
+    Without a key from the caller, a repeat by the caller looks like a new
+    request. The generated key only keeps the router itself from running
+    the request a second time.
     """
     if not at_most_once or caller.key:
         return caller
@@ -180,14 +193,14 @@
 
 
 def bind_job(job: jobs.Job, bound_claim: claims.BoundClaim) -> jobs.Job:
-    """Return a job that is bound to the executor of its claim."""
+    """Return a copy of a job that carries its claim."""
     return attrs.evolve(
         job, claim=bound_claim.build_claim(), repeated=bound_claim.repeated
     )
 
 
 def is_executor(bound_claim: claims.BoundClaim, agent: fleet.Agent) -> bool:
-    """Tell whether an agent is the executor of a claim, in its life."""
+    """Tell whether an agent is the incarnation that a claim names."""
     binding = bound_claim.binding
     return chains.get_instance(agent) == (
         binding.executor,
--- a/packages/daemon/src/dunlintide_daemon/entry/services.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/services.py
@@ -18,14 +18,14 @@
     'run',
 ]
 
-# An answer is gathered before it is passed on, so that a caller gets all
-# of it or a plain refusal; this bounds what one of them takes.
+# An answer is buffered before it is sent, so that a caller gets either all
+# of it or a refusal. This bounds the memory of one answer.
 MAX_ANSWER_BYTES = 8 << 20
 
 
 @attrs.frozen
 class Answer:
-    """Whole answer of a plain service."""
+    """Complete answer of a plain service."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -34,7 +34,10 @@
 
 @attrs.define
 class _PartialAnswer:
-    """What has come of an answer."""
+    """The parts of an answer that have come so far.
+
+    :ivar size: length of the chunks together, in bytes
+    """
 
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
@@ -42,7 +45,10 @@
     size: int = 0
 
     def add(self, reply: link_pb2.Reply) -> bool:
-        """Add the next part; False when one before it is missing."""
+        """Add the next part.
+
+        :returns: False when a part before it is missing
+        """
         if reply.part != len(self.chunks):
             return False
         if not self.chunks:
@@ -60,20 +66,21 @@
 
 def _refuse_too_large() -> outcomes.Refusal:
     code = outcomes.FailCode.TOO_LARGE
-    return outcomes.refuse(code, 'the answer is too large', ran=True)
+    detail = f'the answer exceeds {MAX_ANSWER_BYTES} bytes'
+    return outcomes.refuse(code, detail, ran=True)
 
 
 def _refuse_no_memory(*, ran: bool) -> outcomes.Refusal:
     return outcomes.refuse(
         outcomes.FailCode.NO_CAPACITY,
-        'the entry holds too many answers at the same time',
+        'the memory of the entry for buffered answers is used up',
         ran=ran,
         retry_after=None if ran else jobs.RETRY_AFTER_SECONDS,
     )
 
 
 class _Run:
-    """State of one call."""
+    """State of one running call."""
 
     def __init__(
         self,
@@ -125,6 +132,11 @@
     def _process_events(
         self, events: list[sessions.Event], partial: _PartialAnswer
     ) -> Answer | outcomes.Refusal | link_pb2.Fail | sessions.LinkLost | None:
+        """Add the parts of the answer to ``partial``.
+
+        :returns: the complete answer, the refusal of one that is too
+            large, the event that ends the attempt, or None
+        """
         for event in events:
             if isinstance(event, link_pb2.Reply):
                 if not partial.add(event):
@@ -193,9 +205,10 @@
     call: requests.ServiceCall,
     choose: Callable[[Collection[chains.AgentInstance]], fleet.Agent | None],
 ) -> Answer | outcomes.Refusal:
-    """Run a call and wait for its whole answer.
+    """Run a call and wait for its complete answer.
 
-    An answer holds room in ``context`` until it is given back.
+    An answer holds memory of ``context.answer_memory``, which the caller of
+    this function releases.
 
     :param choose: returns an agent other than the given ones, or None
     """
--- a/packages/daemon/src/dunlintide_daemon/entry/sessions.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sessions.py
@@ -1,10 +1,10 @@
-"""Running requests: frames from the links to the threads that wait.
+"""Running requests, and delivery of frames from links to their threads.
 
-Link readers put frames on a request's own queue and go on; the request's
-thread checks epoch and index as it takes them. While that thread waits
-with an empty queue, a reader hands tokens to the thread's relay instead,
-which saves waking it. No frame passes through an actor, and a slow caller
-holds up nobody else.
+A link reader puts frames on the request's own queue without blocking; the
+request's thread checks epoch and index as it takes them. While that thread
+waits with an empty queue, the reader calls the thread's relay with tokens
+instead, which saves waking the thread. Frames pass through no actor, and
+each request has its own queue, so a slow caller delays no other request.
 """
 
 import queue
@@ -34,15 +34,15 @@
 class LinkLost:
     """The link to a request's head was lost.
 
-    :ivar epoch: the attempt that ran over it
+    :ivar epoch: number of the attempt that used the link
     """
 
     epoch: int
 
 
 ObserveDrop = Callable[[metrics.DropReason, int], None]
-# Takes a token on the reader's thread without waiting; False leaves it to
-# the request's own.
+# Takes a token on the reader's thread without blocking; False leaves the
+# token to the request's thread.
 Relay = Callable[[link_pb2.Token], bool]
 Event = (
     link_pb2.Token | link_pb2.Done | link_pb2.Fail | link_pb2.Reply | LinkLost
@@ -51,15 +51,14 @@
 
 @attrs.define
 class FrameCounts:
-    """Frames that were dropped, by reason.
-
-    :ivar observe: called with each reason and the number of frames
+    """Counts of dropped frames by reason, and of relayed tokens.
 
     :ivar stale: of an older epoch
     :ivar duplicate: tokens that had come before
     :ivar orphan: of a request that has ended here
     :ivar gaps: epochs that failed for a missing token
-    :ivar relayed: tokens passed on without waking a request's thread
+    :ivar relayed: tokens relayed without waking a request's thread
+    :ivar observe: called with each drop reason and the number of frames
     """
 
     stale: int = 0
@@ -90,7 +89,7 @@
         self.observe(metrics.DropReason.GAP, 1)
 
     def describe(self) -> dict[str, int]:
-        """Return the counts for a dump."""
+        """Return the counts of drops for a dump."""
         return {
             'stale': self.stale,
             'duplicate': self.duplicate,
@@ -103,8 +102,10 @@
 class Session:
     """One running request.
 
+    :ivar rule: name of the rule that applies
+    :ivar deadline: monotonic time in seconds
     :ivar epoch: number of the current attempt
-    :ivar link: the link over which it runs
+    :ivar link: link to the current attempt's head
     """
 
     request_id: str
@@ -121,7 +122,7 @@
     def put(self, event: Event) -> None:
         """Queue an event; called by link readers."""
         with self._lock:
-            # What follows must not overtake it.
+            # A relayed token must not overtake the queued event.
             self._relay = None
             self._events.put(event)
 
@@ -136,7 +137,7 @@
             self._events.put(token)
 
     def report_link_loss(self, link: links.Link) -> None:
-        """Queue the loss of a link, if the request runs over it."""
+        """Queue the loss of a link if the current attempt uses it."""
         epoch = self.epoch
         if self.link is link:
             self.put(LinkLost(epoch))
@@ -154,18 +155,18 @@
                 self._relay = None
 
     def take(self, timeout: float, relay: Relay | None = None) -> list[Event]:
-        """Return what has come for the current epoch.
+        """Return the queued events of the current epoch.
 
         :param timeout: longest wait for the first event, in seconds
-        :param relay: takes tokens, and only during this call, for as long
-            as nothing was queued
+        :param relay: takes tokens during this call, until an event is
+            queued
         """
         events = self._events
         first = self._wait(timeout, relay)
         if first is None:
             return []
         taken = [first]
-        # Only this thread takes, so what the queue holds stays there.
+        # Only this thread takes from the queue, so these gets cannot block.
         for _ in range(min(events.qsize(), MAX_EVENTS_PER_TAKE)):
             taken.append(events.get())
         current = [event for event in taken if event.epoch == self.epoch]
@@ -175,7 +176,10 @@
 
 
 class Sessions:
-    """All running requests by their ids."""
+    """All running requests by id.
+
+    :ivar counts: counts of all requests together
+    """
 
     def __init__(
         self, observe: ObserveDrop = lambda reason, count: None
@@ -187,7 +191,7 @@
     def add(
         self, request_id: str, team: str, rule: str, deadline: float
     ) -> Session:
-        """Begin a request.
+        """Create the session of a request.
 
         :param deadline: monotonic time in seconds
         """
@@ -197,12 +201,12 @@
         return session
 
     def discard(self, session: Session) -> None:
-        """Forget a request; later frames of it are dropped."""
+        """Remove a request; its later frames are dropped."""
         with self._lock:
             self._sessions.pop(session.request_id, None)
 
     def route(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
-        """Hand frames to the requests that they belong to."""
+        """Deliver frames to the requests that they belong to."""
         find = self._sessions.get
         for frame in frames:
             body = frame.WhichOneof('body')
@@ -218,7 +222,7 @@
                 session.put(event)
 
     def report_link_loss(self, link: links.Link) -> None:
-        """Tell the requests that run over a link that it was lost."""
+        """Queue the loss of a link for the requests that use it."""
         for session in self.list():
             session.report_link_loss(link)
 
@@ -228,7 +232,7 @@
             return list(self._sessions.values())
 
     def describe(self) -> Mapping[str, object]:
-        """Return the state for a dump, without content."""
+        """Return the state for a dump, without content of requests."""
         sessions = [
             {
                 'request_id': one.request_id,
--- a/packages/daemon/src/dunlintide_daemon/entry/shares.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/shares.py
@@ -1,7 +1,8 @@
-"""This entry's shares of the limits, lent to and granted by entries.
+"""Shares of the limits: demands to coordinators and grants to entries.
 
-It is both sides: it asks the coordinator of each shard of the teams,
-and coordinates the shards that fall to it.
+Each entry plays both roles: it requests grants from the coordinator of
+each shard of teams, and coordinates the shards for which entries choose
+it.
 """
 
 import threading
@@ -19,7 +20,8 @@
     'find_shard',
 ]
 
-# Bounds a demand to some kilobytes; keys beyond wait for their turn.
+# Bounds a demand to some kilobytes. Of more keys, those with most requests
+# in flight and the largest rates are sent.
 MAX_NEEDS = 64
 
 Needs = Mapping[limits.Key, limits.Need]
@@ -27,7 +29,7 @@
 
 
 def find_shard(key: limits.Key) -> int:
-    """Return the shard of a key; all of a team's are in one."""
+    """Return the shard of a key; all keys of a team share one."""
     return hashing.hash_text(key[0]) % entrylinks.SHARD_COUNT
 
 
@@ -56,9 +58,10 @@
 
 
 class Shares:
-    """Leases of this entry and what it coordinates for others.
+    """This entry's leases, and its grants as a coordinator.
 
-    Its lock is the caller's, who holds it around ``find`` too.
+    The lock is shared with the caller, which must hold it while it calls
+    ``find_grant`` and ``has_grant``.
     """
 
     def __init__(
@@ -68,12 +71,13 @@
         before_change: Callable[[int], None],
         after_change: Callable[[bool], None],
     ) -> None:
-        """Begin with what the entry owns.
+        """Start with the shares that this entry owns without a grant.
 
-        :param before: called with a shard whose grants are about to
-            change, under the lock
-        :param after: called after a change, under it, with whether any
-            key got less than before
+        :param clock: returns the monotonic time in seconds
+        :param before_change: called under the lock, with a shard whose
+            grants are about to change
+        :param after_change: called under the lock after a change, with
+            whether the share of any key became smaller
         """
         shards = range(entrylinks.SHARD_COUNT)
         self._lock = lock
@@ -89,19 +93,23 @@
     def find_grant(
         self, key: limits.Key, fraction: float, limit: int
     ) -> limits.Grant:
-        """Return what may be used under a key now."""
+        """Return the share of a key that may be used now.
+
+        :param fraction: share that this entry owns without a grant
+        :param limit: limit of requests in flight, 0 for none
+        """
         lease = self._leases[find_shard(key)]
         return lease.find(key, fraction, limit, self._clock())
 
     def has_grant(self, key: limits.Key) -> bool:
-        """Tell whether a grant under a key is in force."""
+        """Tell whether a grant for a key is in force."""
         return self._leases[find_shard(key)].covers(key, self._clock())
 
     def request_grants(
         self, shard: int, needs: Needs, peers: entrylinks.EntryLinks
     ) -> None:
-        """Tell the coordinator of a shard what is needed."""
-        # Alone, an entry owns all and has nothing to lend.
+        """Send this entry's needs to the coordinator of a shard."""
+        # A single entry owns all shares, so it needs no coordinator.
         chosen = (
             peers.choose_coordinator(shard) if peers.entry_count > 1 else ''
         )
@@ -155,7 +163,7 @@
     def handle_frames(
         self, link: links.Link, frames: list[link_pb2.Frame]
     ) -> None:
-        """Take in frames of other entries."""
+        """Handle the demands and grants of other entries."""
         for frame in frames:
             body = frame.WhichOneof('body')
             if (
--- a/packages/daemon/src/dunlintide_daemon/entry/table.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/table.py
@@ -1,4 +1,4 @@
-"""Routing table of the HTTP front: method and path to a handler."""
+"""Routing table of the HTTP application: method and path to a handler."""
 
 import enum
 import re
