--- a/packages/daemon/src/dunlintide_daemon/entry/completions.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/completions.py
@@ -234,8 +234,8 @@
         return True
 
     def _take_events(self) -> list[sessions.Event]:
-        passes_on = self._direct_output.write is not None
-        return self._dispatcher.take_events(self._relay if passes_on else None)
+        can_relay = self._direct_output.write is not None
+        return self._dispatcher.take_events(self._relay if can_relay else None)
 
     def _has_all_tokens(self) -> bool:
         return len(self._tokens) >= self._request.max_tokens
--- a/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
@@ -190,8 +190,8 @@
                 self.avoid.add(chains.get_instance(one))
         if at_fault == self._head.peer.name:
             self.avoid.add(chains.get_instance(self._head))
-        sealed = code is outcomes.FailCode.CANCELLED
-        is_transient = sealed or code not in jobs.NON_RETRYABLE
+        is_cancelled = code is outcomes.FailCode.CANCELLED
+        is_transient = is_cancelled or code not in jobs.NON_RETRYABLE
         if not self.may_have_run and retry_after is None and is_transient:
             retry_after = jobs.RETRY_AFTER_SECONDS
         return outcomes.refuse(
--- a/packages/daemon/src/dunlintide_daemon/entry/limits.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/limits.py
@@ -81,7 +81,7 @@
     waiting: int = 0
 
     @property
-    def slots(self) -> int:
+    def slot_limit(self) -> int:
         """Limit of requests in flight over all entries, 0 for none."""
         return self.then.concurrency or 0
 
@@ -109,8 +109,8 @@
         spare = (
             1 if wanted or self.demand > 1 / _USAGE_RETENTION_SECONDS else 0
         )
-        slots = min(self.slots, wanted + spare)
-        return limits.Need(rate, slots, self.in_flight, self.slots)
+        slots = min(self.slot_limit, wanted + spare)
+        return limits.Need(rate, slots, self.in_flight, self.slot_limit)
 
     def is_idle(self, now: float) -> bool:
         """Tell whether no state would be lost by deleting it."""
@@ -172,7 +172,9 @@
         )
 
     def _find_grant(self, key: limits.Key, usage: _Usage) -> limits.Grant:
-        return self._shares.find_grant(key, self._entry_fraction, usage.slots)
+        return self._shares.find_grant(
+            key, self._entry_fraction, usage.slot_limit
+        )
 
     def _build_usage(
         self, key: limits.Key, then: configuration.Then, now: float
@@ -215,7 +217,7 @@
             if refusal is not None:
                 self._refused_count += 1
                 return refusal
-            if usage.slots:
+            if usage.slot_limit:
                 usage.in_flight += 1
                 self._keys_in_flight[request_id] = key
         return None
@@ -224,7 +226,7 @@
         self, key: limits.Key, usage: _Usage
     ) -> outcomes.Refusal | None:
         grant = self._find_grant(key, usage)
-        if usage.slots and usage.in_flight >= grant.slots:
+        if usage.slot_limit and usage.in_flight >= grant.slots:
             usage.slot_refusals += 1
             detail = (
                 f'the team has {usage.in_flight} requests in flight at this'
