--- a/packages/daemon/src/dunlintide_daemon/entry/chains.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/chains.py
@@ -77,14 +77,14 @@
     :param keep: agents to choose wherever possible
     :returns: agents whose adjacent ranges cover all layers, or None
     """
-    best: dict[int, tuple[int, Chain]] = {0: (0, ())}
+    cheapest: dict[int, tuple[int, Chain]] = {0: (0, ())}
     # Cheapest chain from layer 0 to each boundary. Ranges are visited by
     # their start, so the cheapest chain to a boundary is final before any
     # range that starts there.
     for agent in sorted(agents, key=lambda one: one.peer.endpoint.layer_start):
         endpoint = agent.peer.endpoint
-        known = best.get(endpoint.layer_start)
-        if known is None or get_instance(agent) in avoid:
+        prefix = cheapest.get(endpoint.layer_start)
+        if prefix is None or get_instance(agent) in avoid:
             continue
         if not _has_allowed_accelerator(endpoint, accelerators):
             continue
@@ -92,11 +92,11 @@
             continue
         if endpoint.layer_end <= endpoint.layer_start:
             continue
-        cost = known[0] + _compute_cost(agent, keep)
-        reached = best.get(endpoint.layer_end)
-        if reached is None or cost < reached[0]:
-            best[endpoint.layer_end] = (cost, (*known[1], agent))
-    found = best.get(layers)
+        cost = prefix[0] + _compute_cost(agent, keep)
+        previous = cheapest.get(endpoint.layer_end)
+        if previous is None or cost < previous[0]:
+            cheapest[endpoint.layer_end] = (cost, (*prefix[1], agent))
+    found = cheapest.get(layers)
     return found[1] if found is not None and found[1] else None
 
 
--- a/packages/daemon/src/dunlintide_daemon/entry/completions.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/completions.py
@@ -304,8 +304,8 @@
     :returns: yields batches of tokens and idle marks, then an end or a
         refusal
     """
-    one = _Run(context, job, request, plan, direct_output)
+    completion_run = _Run(context, job, request, plan, direct_output)
     try:
-        yield from one.run()
+        yield from completion_run.run()
     finally:
-        one.close()
+        completion_run.close()
--- a/packages/daemon/src/dunlintide_daemon/entry/meter.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/meter.py
@@ -20,7 +20,7 @@
     :ivar last_tokens_at: monotonic time of the last tokens, or of the arrival
     """
 
-    shared: metrics.Metrics
+    process_metrics: metrics.Metrics
     last_tokens_at: float
     tokens: int = 0
 
@@ -33,51 +33,55 @@
         """
         gap = now - self.last_tokens_at
         if self.tokens:
-            self.shared.inter_token_seconds.observe(gap / count)
+            self.process_metrics.inter_token_seconds.observe(gap / count)
         else:
-            self.shared.first_token_seconds.observe(gap)
+            self.process_metrics.first_token_seconds.observe(gap)
         self.last_tokens_at = now
         self.tokens += count
 
     def close(self) -> None:
         """Add the tokens of the answer to the total."""
-        self.shared.tokens.inc(self.tokens)
+        self.process_metrics.tokens.inc(self.tokens)
 
 
 @attrs.frozen
 class Meter:
     """Records the metrics of requests."""
 
-    shared: metrics.Metrics
+    process_metrics: metrics.Metrics
 
     def begin_answer(self, arrived: float) -> TokenMeter:
         """Start measuring the tokens of an answer.
 
         :param arrived: monotonic time of the request, in seconds
         """
-        return TokenMeter(self.shared, arrived)
+        return TokenMeter(self.process_metrics, arrived)
 
     def observe_request(self, arrived: float) -> None:
         """Observe the duration of a request that has ended.
 
         :param arrived: monotonic time of the request, in seconds
         """
-        self.shared.request_seconds.observe(time.monotonic() - arrived)
+        self.process_metrics.request_seconds.observe(
+            time.monotonic() - arrived
+        )
 
     def count_drop(self, reason: metrics.DropReason, count: int) -> None:
         """Count dropped frames."""
-        self.shared.frames_dropped.labels(reason.value).inc(count)
+        self.process_metrics.frames_dropped.labels(reason.value).inc(count)
 
     def count_retry(self) -> None:
         """Count an attempt beyond the first."""
-        self.shared.retries.inc()
+        self.process_metrics.retries.inc()
 
     def count_outcome(self, outcome: str, code: str) -> None:
         """Count a request by its outcome.
 
         :param code: why it was refused, empty for a complete answer
         """
-        self.shared.requests.labels(outcome, code or metrics.OK_CODE).inc()
+        self.process_metrics.requests.labels(
+            outcome, code or metrics.OK_CODE
+        ).inc()
 
     def register_gauges(
         self,
@@ -86,6 +90,6 @@
         revision: Callable[[], int],
     ) -> None:
         """Register functions that are called at each scrape."""
-        self.shared.in_flight.set_function(in_flight)
-        self.shared.links.set_function(links)
-        self.shared.config_revision.set_function(revision)
+        self.process_metrics.in_flight.set_function(in_flight)
+        self.process_metrics.links.set_function(links)
+        self.process_metrics.config_revision.set_function(revision)
--- a/packages/daemon/src/dunlintide_daemon/entry/requests.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/requests.py
@@ -29,7 +29,7 @@
 MAX_PRIORITY = 3
 _FINGERPRINT_BYTES = 16
 _CHARS_PER_TOKEN = 4
-_KEY = re.compile(r'[\x21-\x7e]+')
+_KEY_PATTERN = re.compile(r'[\x21-\x7e]+')
 
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 _TokenCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)]
@@ -195,7 +195,7 @@
     """
     if key is None:
         return result.Ok('')
-    if len(key) > MAX_KEY_LENGTH or not _KEY.fullmatch(key):
+    if len(key) > MAX_KEY_LENGTH or not _KEY_PATTERN.fullmatch(key):
         detail = (
             'Idempotency-Key must be 1 to '
             f'{MAX_KEY_LENGTH} printable characters without spaces'
--- a/packages/daemon/src/dunlintide_daemon/entry/services.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/services.py
@@ -212,8 +212,8 @@
 
     :param choose: returns an agent other than the given ones, or None
     """
-    one = _Run(context, job, call, choose)
+    call_run = _Run(context, job, call, choose)
     try:
-        return one.run()
+        return call_run.run()
     finally:
-        one.close()
+        call_run.close()
