--- a/features/steps/affinity.py
+++ b/features/steps/affinity.py
@@ -4,10 +4,10 @@
 
 import behave
 from dunlintide_core import affinity
-from dunlintide_core import cachenews
-from dunlintide_core import choose
+from dunlintide_core import cacheupdates
 from dunlintide_core import plan
 from dunlintide_core import prefixes
+from dunlintide_core import selection
 from dunlintide_standins.engine import cache
 
 _WORD = 4
@@ -22,7 +22,7 @@
         self.now = 0.0
         self.rng = random.Random(5)
         self.view = prefixes.View(limit)
-        self.teller = cachenews.Teller(8, 16)
+        self.teller = cacheupdates.Publisher(8, 16)
         self.news = []
         self.prompts = []
         self._tokens, self._lag, self._loss = tokens, lag, loss
@@ -38,15 +38,15 @@
         blocks = affinity.hash_blocks(team, text)
         session = f'session-{len(self.prompts)}'
         held = prefixes.Prefixes(blocks, len(text))
-        self.view.begin(session, held, len(words))
+        self.view.add_session(session, held, len(words))
         self.cache.match(session, team, words)
         self.prompts.append((team, words, blocks))
         self.read()
 
     def read(self):
         found = self.cache.read_events(0)
-        self.view.take([_convert(event) for event in found])
-        self.news.append(self.teller.tell(self.view))
+        self.view.apply_events([_convert(event) for event in found])
+        self.news.append(self.teller.publish(self.view))
 
     def tell_held(self, team, words):
         """Whole prompt blocks at the start that the engine holds."""
@@ -133,7 +133,7 @@
 def check_held(context):
     engine = context.engine
     for team, words, blocks in engine.prompts:
-        depth = engine.view.tell_depth(blocks)
+        depth = engine.view.count_cached(blocks)
         assert depth == engine.tell_held(team, words) == len(blocks)
 
 
@@ -142,7 +142,7 @@
     blocks = context.engine.prompts[0][2]
     common = _START * _WORD // affinity.BLOCK_CHARACTERS
     told = [block for news in context.engine.news for block in news.held]
-    assert next(context.engine.view.list_worth()) == blocks[common - 1]
+    assert next(context.engine.view.rank_blocks()) == blocks[common - 1]
     assert blocks[common - 1] in told, told
 
 
@@ -161,7 +161,7 @@
     engine = context.engine
     held = 0
     for team, words, blocks in engine.prompts:
-        depth = engine.view.tell_depth(blocks)
+        depth = engine.view.count_cached(blocks)
         held += depth
         assert depth <= engine.tell_held(team, words), depth
     assert held
@@ -169,7 +169,7 @@
 
 @behave.then('the view is unsure, with gaps counted')
 def check_unsure(context):
-    assert context.engine.view.unsure and context.engine.view.gaps
+    assert context.engine.view.is_incomplete and context.engine.view.gaps
 
 
 @behave.when('what the engine holds is read anew')
@@ -181,13 +181,13 @@
 
 @behave.then('the view is sure again')
 def check_sure(context):
-    assert not context.engine.view.unsure
+    assert not context.engine.view.is_incomplete
 
 
 @behave.when('the engine is started anew and runs one prompt')
 def start_anew(context):
     context.engine.start()
-    context.engine.view.restart()
+    context.engine.view.reset()
     context.engine.run('salt-feed', _draw(random.Random(4), _START))
 
 
@@ -195,8 +195,8 @@
 def check_restarted(context):
     engine = context.engine
     *before, (_, _, last) = engine.prompts
-    assert engine.view.tell_depth(last) == len(last)
-    assert not any(engine.view.tell_depth(one) for _, _, one in before)
+    assert engine.view.count_cached(last) == len(last)
+    assert not any(engine.view.count_cached(one) for _, _, one in before)
 
 
 @behave.then('the view keeps no more than {limit:d} blocks')
@@ -222,14 +222,14 @@
 
 @behave.then('all that entries were told is what the news added up to')
 def check_all(context):
-    news = context.engine.teller.tell_all()
+    news = context.engine.teller.build_snapshot()
     assert news.all and set(news.held) == context.told
 
 
 @behave.given('chains of which one holds drawn parts of a prompt')
 def give_chains(context):
     context.stops = [
-        plan.Stop(f'{layer}-{side}', layer, layer + 1, 100.0, 'domain')
+        plan.Stage(f'{layer}-{side}', layer, layer + 1, 100.0, 'domain')
         for layer in range(3)
         for side in ('held', 'other')
     ]
@@ -244,7 +244,7 @@
     rng = context.rng
     taken = refused = 0
     for _ in range(300):
-        chooser = choose.Chooser()
+        chooser = selection.Chooser()
         chooser.adopt(
             plan.make_plan(context.stops, 3, plan.Links()), context.stops, 3
         )
--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -7,7 +7,7 @@
 from dunlintide_adapters import engine as engines
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import affinity
-from dunlintide_core import cachenews
+from dunlintide_core import cacheupdates
 from dunlintide_daemon.agent import caching
 from dunlintide_daemon.agent import counts as counting
 from dunlintide_daemon.entry import learning
@@ -213,7 +213,7 @@
 
 
 def _tell(learner, *held, everything=False, moment=1.0):
-    news = cachenews.News(held, all=everything)
+    news = cacheupdates.Update(held, all=everything)
     learner.note(learning.News('agent', news, moment))
     learner.refresh((), moment)
 
--- a/features/steps/agent.py
+++ b/features/steps/agent.py
@@ -495,8 +495,8 @@
 def cancel_first(context, tokens):
     admission = context.agents[0].gate
     context.paid = []
-    admission.places.queue.correct = lambda ticket, cost: context.paid.append(
-        cost
+    admission.places.queue.adjust_cost = (
+        lambda ticket, cost: context.paid.append(cost)
     )
     agent_scene.open_request(context, 'r1', tokens, prompt='word ' * 40)
     assert context.held_calls.acquire(timeout=WAIT_SECONDS)
--- a/features/steps/claims.py
+++ b/features/steps/claims.py
@@ -308,7 +308,9 @@
         )
         for seconds in (60, 600, 6000)
     }
-    context.bucket.absorb([claims.Segment(tuple(context.kept.values()))])
+    context.bucket.apply_segments(
+        [claims.Segment(tuple(context.kept.values()))]
+    )
 
 
 @behave.when('{seconds:d} seconds have passed for the bucket')
@@ -321,7 +323,7 @@
     known = [
         kept
         for kept, binding in context.kept.items()
-        if context.bucket.find(binding) is not None
+        if context.bucket.find_conflict(binding) is not None
     ]
     assert known == [seconds], known
     assert len(context.bucket) == 1
--- a/features/steps/driver.py
+++ b/features/steps/driver.py
@@ -139,4 +139,4 @@
 @behave.then('the second long span begins as soon as it can')
 def check_no_pause(context):
     # A pause would have been at least three times the 0.1 s.
-    assert context.driver._spans.find_pause('flood', context.ended) == 0.0
+    assert context.driver._spans.find_delay('flood', context.ended) == 0.0
--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -167,7 +167,7 @@
         if ticket.team == team:
             cost = real
             queue_one(context, team, estimate)
-        context.fair.correct(ticket, cost)
+        context.fair.adjust_cost(ticket, cost)
         spent[ticket.team] += cost
     context.spent = spent
 
@@ -192,7 +192,7 @@
 def want_all(context, team, weight):
     context.flood = team
     for _ in range(100):
-        context.slots.want(team, weight)
+        context.slots.add_request(team, weight)
 
 
 def fill_slots(context, running):
@@ -213,7 +213,7 @@
         now = moment * 0.01
         context.slots.tick(now)
         if running[team] < most and rng.random() < 0.7:
-            context.slots.want(team, weight)
+            context.slots.add_request(team, weight)
             total = sum(running.values())
             if total >= context.limit and now > 1.0:
                 context.missed.append(now)
@@ -227,7 +227,7 @@
             running[team] -= 1
         if running[context.flood] and rng.random() < 0.5:
             context.slots.end(context.flood, True)
-            context.slots.want(context.flood, 3.0)
+            context.slots.add_request(context.flood, 3.0)
             running[context.flood] -= 1
         fill_slots(context, running)
     context.running = running
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -10,7 +10,7 @@
 import behave
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import configuration
-from dunlintide_core import lending
+from dunlintide_core import coordination
 from dunlintide_core import limits as core
 from dunlintide_core import outcomes
 from dunlintide_daemon.entry import exchange
@@ -42,7 +42,9 @@
 
     name: str
     lease: core.Lease = attrs.field(factory=core.Lease)
-    coordinator: lending.Coordinator = attrs.field(factory=lending.Coordinator)
+    coordinator: coordination.Coordinator = attrs.field(
+        factory=coordination.Coordinator
+    )
     need: core.Need = core.Need()
 
 
@@ -83,7 +85,7 @@
                 needs = {KEY: actor.need} if rng.random() < 0.7 else {}
                 mail.append((*letter, actor.lease.acknowledged, needs, None))
         found = [
-            actor.lease.find(KEY, fraction, limit, now)
+            actor.lease.find_grant(KEY, fraction, limit, now)
             for actor in actors.values()
         ]
         yield sum(one.rate for one in found), sum(one.slots for one in found)
@@ -284,10 +286,10 @@
 
 @behave.then('it keeps quiet at {early:f} s but not at {late:f} s')
 def check_quiet(context, early, late):
-    assert context.lease.is_quiet(early)
-    assert not context.lease.is_quiet(late)
+    assert context.lease.can_defer_demand(early)
+    assert not context.lease.can_defer_demand(late)
     # What it lends is still lent then, so no part of it is in doubt.
-    assert context.lease.tell_live(late + core.SLACK_SECONDS)
+    assert context.lease.is_live(late + core.SLACK_SECONDS)
 
 
 @behave.when(
@@ -295,12 +297,12 @@
 )
 def give_and_take(context, first, second):
     _exchange(context, first, {KEY: core.Grant(0.5, 1)})
-    assert not context.lease.is_quiet(first)
+    assert not context.lease.can_defer_demand(first)
     _exchange(context, second, {})
 
 
 @behave.then('it asks once more at {now:f} s and then keeps quiet')
 def check_told(context, now):
-    assert not context.lease.is_quiet(now)
+    assert not context.lease.can_defer_demand(now)
     _exchange(context, now, {})
-    assert context.lease.is_quiet(now + 1.0)
+    assert context.lease.can_defer_demand(now + 1.0)
--- a/features/steps/planning.py
+++ b/features/steps/planning.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies
 
 from dunlintide_core import affinity
-from dunlintide_core import choose
 from dunlintide_core import delays
 from dunlintide_core import fleet
 from dunlintide_core import plan
+from dunlintide_core import selection
 from dunlintide_trials import routing
 from dunlintide_trials import stages
 
@@ -65,8 +65,8 @@
 
 
 def _tiles(chain):
-    ends = [0] + [stop.layer_end for stop in chain.stops]
-    starts = [stop.layer_start for stop in chain.stops] + [LAYERS]
+    ends = [0] + [stop.layer_end for stop in chain.stages]
+    starts = [stop.layer_start for stop in chain.stages] + [LAYERS]
     return starts == ends
 
 
@@ -74,7 +74,8 @@
 def given_small_fleets(context):
     def stops(rows):
         return [
-            plan.Stop(f'agent-{index}', *row) for index, row in enumerate(rows)
+            plan.Stage(f'agent-{index}', *row)
+            for index, row in enumerate(rows)
         ]
 
     context.cases = []
@@ -119,7 +120,7 @@
     for made in context.plans:
         carried = {}
         for chain in made.chains:
-            for stop in chain.stops:
+            for stop in chain.stages:
                 carried[stop] = carried.get(stop, 0) + chain.share
         assert all(
             amount <= stop.capacity + 1e-6 for stop, amount in carried.items()
@@ -129,11 +130,11 @@
 @given('a planned fleet of two endpoints for each of three ranges')
 def given_planned_fleet(context):
     context.stops = [
-        plan.Stop(f'{side}{start}', start, start + 1, 100.0)
+        plan.Stage(f'{side}{start}', start, start + 1, 100.0)
         for start in range(LAYERS)
         for side in 'xy'
     ]
-    context.chooser = choose.Chooser()
+    context.chooser = selection.Chooser()
     made = plan.make_plan(context.stops, LAYERS)
     context.chooser.adopt(made, context.stops, LAYERS)
     context.rng = random.Random(5)
@@ -197,7 +198,7 @@
 @given('modelled entries that learn capacities from late reports')
 def given_modelled_entries(context):
     context.stops = [
-        plan.Stop(f'{start}-{rate}', start, start + 1, float(rate))
+        plan.Stage(f'{start}-{rate}', start, start + 1, float(rate))
         for start in range(LAYERS)
         for rate in (200, 300, 400)
     ]
@@ -218,7 +219,7 @@
     for router in context.routers:
         shares = dict.fromkeys((stop.agent for stop in context.stops), 0.0)
         for chain in router.plan.chains:
-            for stop in chain.stops:
+            for stop in chain.stages:
                 shares[stop.agent] += chain.share
         for stop in context.stops:
             shares[stop.agent] /= stop.capacity
@@ -244,7 +245,7 @@
 def then_others_keep_theirs(context):
     # The other ranges still have 900 tokens/s for a bound of 540.
     for router in context.routers:
-        factors = router.replanner.capacities.factors()
+        factors = router.replanner.capacities.list_factors()
         factors.pop(context.watched)
         assert min(factors.values()) > 0.5, factors
 
@@ -259,8 +260,8 @@
 
 @given('token intervals of four chains over two links')
 def given_intervals(context):
-    heads = [plan.Stop(f'h{n}', 0, 1, 100.0, 'a') for n in range(2)]
-    tails = [plan.Stop(f't{n}', 1, 2, 100.0, n) for n in 'bcbc']
+    heads = [plan.Stage(f'h{n}', 0, 1, 100.0, 'a') for n in range(2)]
+    tails = [plan.Stage(f't{n}', 1, 2, 100.0, n) for n in 'bcbc']
     context.chains = [
         plan.Chain((head, tail))
         for head, tail in zip(heads + heads[::-1], tails)
@@ -274,7 +275,7 @@
     for _ in range(rounds):
         context.time += 0.1
         for chain in context.chains:
-            domain = chain.stops[1].failure_domain
+            domain = chain.stages[1].failure_domain
             times = first if domain == 'b' else second
             context.delays.observe(chain, 0.05 * times, context.time)
 
@@ -293,23 +294,23 @@
 @then('no link stays suspected')
 def then_none_suspected(context):
     # Until half of the recent intervals are long, some may be blamed.
-    factors = context.delays.factors()
+    factors = context.delays.list_factors()
     assert not factors, factors
 
 
 @then('the first link is suspected and the second is not')
 def then_first_suspected(context):
-    factors = context.delays.factors()
+    factors = context.delays.list_factors()
     assert factors.get((1, 'a', 'b'), 1.0) < 0.2, factors
     assert (1, 'a', 'c') not in factors, factors
     links = context.delays.apply(plan.Links())
-    assert links.between(*context.chains[0].stops).latency > 0.002
+    assert links.between(*context.chains[0].stages).latency > 0.002
 
 
 @then('one good interval over each of its pairs clears it in the end')
 def then_cleared(context):
     _observe(context, 1.0, 1.0, 10)
-    assert not context.delays.factors(), context.delays.factors()
+    assert not context.delays.list_factors(), context.delays.list_factors()
 
 
 PROMPT = 'Daily special: chicken fried steak. ' * 40
@@ -368,7 +369,7 @@
     before = set(_find(context))
     assert before >= set(context.held.agents)
     lost = context.held.agents[1]
-    context.map.distrust(lost, 0.5)
+    context.map.invalidate(lost, 0.5)
     assert set(_find(context)) == before - {lost}
     context.map.remove(context.held.agents[0], _hash(context)[-1:])
     shares = _find(context)
--- a/features/steps/poison.py
+++ b/features/steps/poison.py
@@ -18,7 +18,7 @@
 from dunlintide_trials import processes
 from dunlintide_trials import records
 
-PLACE = poison.Place('copy-7b', 0, 8)
+PLACE = poison.LayerRange('copy-7b', 0, 8)
 LIMITS = poison.Limits()
 REPEATS = 10
 MAX_CRASHES = 3
@@ -53,7 +53,7 @@
     def pick(self, node, pending):
         batch = self.rng.sample(pending, self.rng.randint(1, len(pending)))
         for one in batch:
-            if node.runs_alone(*one, PLACE):
+            if node.must_run_alone(*one, PLACE):
                 return [one]
         return batch
 
@@ -76,7 +76,7 @@
                 self.share()
             else:
                 for one in batch:
-                    node.note_step(one[0], PLACE, 10)
+                    node.record_step(one[0], PLACE, 10)
                 pending = [one for one in pending if one not in batch]
                 self.share()
         return refused
@@ -122,24 +122,24 @@
     context.evidence = poison.Evidence()
     for number in range(count):
         crash = make_crash(number, f'agent-{number}', (b'%d' % number, 'bad'))
-        assert not context.evidence.runs_alone(b'new', 'bad', PLACE)
+        assert not context.evidence.must_run_alone(b'new', 'bad', PLACE)
         context.evidence.add(crash, 0.0)
 
 
 @behave.then('its new requests run alone until one has run')
 def check_watched(context):
     evidence = context.evidence
-    assert evidence.runs_alone(b'new', 'bad', PLACE)
+    assert evidence.must_run_alone(b'new', 'bad', PLACE)
     assert not evidence.is_quarantined(b'new')
-    evidence.note_step(b'new', PLACE, 10)
-    assert not evidence.runs_alone(b'new', 'bad', PLACE)
+    evidence.record_step(b'new', PLACE, 10)
+    assert not evidence.must_run_alone(b'new', 'bad', PLACE)
     evidence.add(make_crash(9, 'agent-9', (b'newer', 'bad')), 0.0)
     assert evidence.is_quarantined(b'newer')
 
 
 @behave.then('those of another team run in batches')
 def check_unwatched(context):
-    assert not context.evidence.runs_alone(b'new', 'good', PLACE)
+    assert not context.evidence.must_run_alone(b'new', 'good', PLACE)
 
 
 @behave.given('a request that crashed two endpoints alone')
@@ -158,7 +158,7 @@
     assert (held.team, held.crashes, held.seconds) == ('diner', 2, 1.0)
     evidence.expire(LIMITS.seconds)
     assert not evidence.is_quarantined(b'x')
-    assert not evidence.runs_alone(b'x', 'diner', PLACE)
+    assert not evidence.must_run_alone(b'x', 'diner', PLACE)
 
 
 def restart_engines(running, stopped):
--- a/features/steps/positions.py
+++ b/features/steps/positions.py
@@ -20,17 +20,17 @@
     'position {following:d}'
 )
 def check_verdict(context, kind, trim, following):
-    assert (context.verdict.kind, context.verdict.trim) == (kind, trim)
+    assert (context.verdict.action, context.verdict.trim) == (kind, trim)
     assert context.cursor.next_position == following
     if kind == 'gap':
         epoch = context.cursor.epoch
         again = context.cursor.accept(epoch, following, 1)
-        assert again.kind is positions.Kind.STALE
+        assert again.action is positions.Action.STALE
 
 
 @behave.given('a stage that asked anew for positions from 0 on in epoch 2')
 def make_rewound(context):
-    context.cursor = positions.rewind(2, 0)
+    context.cursor = positions.build_rewound(2, 0)
 
 
 @behave.then(
@@ -38,7 +38,7 @@
 )
 def check_kind(context, start, end, epoch, kind):
     verdict = context.cursor.accept(epoch, start, end - start)
-    assert verdict.kind == kind, verdict
+    assert verdict.action == kind, verdict
 
 
 @behave.then(
--- a/features/steps/queueing.py
+++ b/features/steps/queueing.py
@@ -142,12 +142,12 @@
 def check_empty(context):
     queue = context.emptied
     assert not queue.count_teams() and not queue.cost
-    assert not any(level.list_lanes() for level in queue._levels)
+    assert not any(level.list_teams() for level in queue._levels)
 
 
 @behave.given('an adaptive cap of {cap:d} with {count:d} requests in flight')
 def make_cap(context, cap, count):
-    context.cap = caps.adapt(cap, 100)
+    context.cap = caps.build_adaptive(cap, 100)
     context.in_flight = caps.InFlight(requests=count)
 
 
@@ -190,7 +190,7 @@
     'positions'
 )
 def make_budget(context, requests, size):
-    context.cap = caps.budget(requests)
+    context.cap = caps.build_budget(requests)
     context.cap.observe(caps.InFlight(), caps.Usage(0.0, size))
 
 
@@ -206,7 +206,7 @@
     'a token budget of {requests:d} requests before an engine of unknown size'
 )
 def make_unsized(context, requests):
-    context.cap = caps.budget(requests)
+    context.cap = caps.build_budget(requests)
 
 
 @behave.when('the engine reports nothing of its size with {count:d} in flight')
--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -22,7 +22,7 @@
 
     def __init__(self):
         self.queue = queueing.Queue()
-        self.slots = slots.Slots(0.0, self.queue.owes)
+        self.slots = slots.Slots(0.0, self.queue.count_debt_rounds)
         self.rng = random.Random(0)
         self.now = 0.0
         self.running = 0
@@ -48,7 +48,7 @@
     def ask(self, team, weight, again):
         ticket = queueing.Ticket(team, weight, 1, COST, self.now, again)
         assert self.queue.push(ticket, 1e9, 0.0) is None
-        self.slots.want(team, weight)
+        self.slots.add_request(team, weight)
         self.pump()
 
     def ask_steadily(self, team, weight, rate):
@@ -63,7 +63,7 @@
             self.slots.start(ticket.team)
             self.running += 1
             waits = self.waits.setdefault(ticket.team, [])
-            waits.append(self.now - ticket.since)
+            waits.append(self.now - ticket.queued_at)
             seconds = SERVICE_SECONDS * self.rng.uniform(0.9, 1.1)
             self.at(self.now + seconds, self.end, ticket)
 
--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -251,7 +251,7 @@
         rest: dict[bytes, Pending] = {}
         for pending in batch:
             digest = pending.wanted.key_digest
-            found = self._bucket(claims.choose_bucket(digest)).find(
+            found = self._bucket(claims.choose_bucket(digest)).find_conflict(
                 pending.wanted
             )
             if isinstance(found, claims.Conflict):
@@ -337,7 +337,7 @@
             bucket.sequence += 1
             bucket.head_revision = revision
             wanted = tuple(pending.wanted for pending in pendings)
-            bucket.absorb([claims.Segment(wanted)])
+            bucket.apply_segments([claims.Segment(wanted)])
             bucket.expire(self._wall_clock())
             for pending in pendings:
                 pending.settle(result.Ok(pending.wanted))
@@ -355,7 +355,7 @@
                     continue
                 segments = segments + rest
             bucket = self._bucket(number)
-            bucket.absorb(
+            bucket.apply_segments(
                 claims.decode_segment(value.value) for value in segments
             )
             if heads:
--- a/packages/core/src/dunlintide_core/activations.py
+++ b/packages/core/src/dunlintide_core/activations.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class _Kept:
+class _Buffer:
     width: int
     end: int = 0
     data: bytearray = attrs.field(factory=bytearray)
@@ -50,32 +50,32 @@
         self.used = 0
         self.evicted = 0
         self._limit = limit
-        self._kept: collections.OrderedDict[str, _Kept] = (
+        self._buffers: collections.OrderedDict[str, _Buffer] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._buffers)
 
     def add(self, session: str, span: Span) -> None:
         """Keep a span behind what is kept of a session.
 
         One that does not begin there is of a session that was given up.
         """
-        kept = self._kept.get(session)
-        if kept is None:
+        buffer = self._buffers.get(session)
+        if buffer is None:
             if span.position or not self._limit:
                 return
-            kept = _Kept(len(span.data) // span.count)
-            self._kept[session] = kept
-        if span.position != kept.end:
+            buffer = _Buffer(len(span.data) // span.count)
+            self._buffers[session] = buffer
+        if span.position != buffer.end:
             self.drop(session)
             return
-        kept.data += span.data
-        kept.end += span.count
+        buffer.data += span.data
+        buffer.end += span.count
         self.used += len(span.data)
         while self.used > self._limit:
-            self.drop(next(iter(self._kept)))
+            self.drop(next(iter(self._buffers)))
             self.evicted += 1
 
     def read(self, session: str, start: int, end: int) -> Span | None:
@@ -83,23 +83,23 @@
 
         :returns: None when not all of them are kept
         """
-        kept = self._kept.get(session)
-        if kept is None or kept.end < end:
+        buffer = self._buffers.get(session)
+        if buffer is None or buffer.end < end:
             return None
-        data = kept.data[start * kept.width : end * kept.width]
+        data = buffer.data[start * buffer.width : end * buffer.width]
         return Span(start, end - start, bytes(data))
 
     def truncate(self, session: str, end: int) -> None:
         """Forget the positions from ``end`` on."""
-        kept = self._kept.get(session)
-        if kept is None or kept.end <= end:
+        buffer = self._buffers.get(session)
+        if buffer is None or buffer.end <= end:
             return
-        self.used -= (kept.end - end) * kept.width
-        del kept.data[end * kept.width :]
-        kept.end = end
+        self.used -= (buffer.end - end) * buffer.width
+        del buffer.data[end * buffer.width :]
+        buffer.end = end
 
     def drop(self, session: str) -> None:
         """Forget a session."""
-        kept = self._kept.pop(session, None)
-        if kept is not None:
-            self.used -= len(kept.data)
+        buffer = self._buffers.pop(session, None)
+        if buffer is not None:
+            self.used -= len(buffer.data)
--- a/packages/core/src/dunlintide_core/affinity.py
+++ b/packages/core/src/dunlintide_core/affinity.py
@@ -22,9 +22,9 @@
 MAX_BLOCKS = 64
 DEFAULT_LIMIT = 50_000
 # Agents remembered for one block: a few chains of a few stages.
-_HOLDERS = 16
+_MAX_HOLDERS = 16
 # Engines evict within minutes under load, and their events may be lost.
-_LIFE_SECONDS = 600.0
+_MAX_AGE_SECONDS = 600.0
 
 
 def hash_blocks(salt: str, prompt: str) -> tuple[int, ...]:
@@ -37,9 +37,9 @@
         raise ValueError('a cache salt is required')
     # The length sets salt and prompt apart.
     state = xxhash.xxh3_64(f'{len(salt)}/{salt}'.encode())
-    whole = min(len(prompt) // BLOCK_CHARACTERS, MAX_BLOCKS)
+    count = min(len(prompt) // BLOCK_CHARACTERS, MAX_BLOCKS)
     hashes = []
-    for index in range(whole):
+    for index in range(count):
         start = index * BLOCK_CHARACTERS
         block = prompt[start : start + BLOCK_CHARACTERS]
         # A caller's JSON may hold half of a surrogate pair.
@@ -60,7 +60,7 @@
         self._blocks: collections.OrderedDict[int, dict[str, float]] = (
             collections.OrderedDict()
         )
-        self._lost: dict[str, float] = {}
+        self._invalidated_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._blocks)
@@ -77,7 +77,7 @@
             for agent in agents:
                 holders.pop(agent, None)
                 holders[agent] = now
-            while len(holders) > _HOLDERS:
+            while len(holders) > _MAX_HOLDERS:
                 del holders[next(iter(holders))]
             self._blocks.move_to_end(block)
         while len(self._blocks) > self._limit:
@@ -93,13 +93,13 @@
             if not holders:
                 del self._blocks[block]
 
-    def distrust(self, agent: str, now: float) -> None:
+    def invalidate(self, agent: str, now: float) -> None:
         """Forget what an agent held: a gap in its events, or a restart."""
-        self._lost[agent] = now
+        self._invalidated_at[agent] = now
 
     def forget(self, agent: str) -> None:
         """Drop the note of a distrusted agent that is gone for good."""
-        self._lost.pop(agent, None)
+        self._invalidated_at.pop(agent, None)
 
     def find(self, blocks: Sequence[int], now: float) -> dict[str, float]:
         """Tell which part of a prompt each agent holds from its start.
@@ -111,12 +111,16 @@
         found: dict[str, float] = {}
         # A block's hash covers all before it, so the deepest one counts.
         for index in range(len(blocks) - 1, -1, -1):
-            for agent, when in self._blocks.get(blocks[index], {}).items():
-                if agent not in found and self._trusts(agent, when, now):
+            for agent, recorded_at in self._blocks.get(
+                blocks[index], {}
+            ).items():
+                if agent not in found and self._is_valid(
+                    agent, recorded_at, now
+                ):
                     found[agent] = (index + 1) / len(blocks)
         return found
 
-    def _trusts(self, agent: str, when: float, now: float) -> bool:
-        if now - when > _LIFE_SECONDS:
+    def _is_valid(self, agent: str, recorded_at: float, now: float) -> bool:
+        if now - recorded_at > _MAX_AGE_SECONDS:
             return False
-        return when >= self._lost.get(agent, -math.inf)
+        return recorded_at >= self._invalidated_at.get(agent, -math.inf)
--- a/packages/core/src/dunlintide_core/capacity.py
+++ b/packages/core/src/dunlintide_core/capacity.py
@@ -21,20 +21,20 @@
 ]
 
 # A slow endpoint keeps this share, so that its recovery shows.
-FLOOR = 0.03
+MIN_FACTOR = 0.03
 # Declared capacity may be too low by this much.
-CEILING = 1.5
+MAX_FACTOR = 1.5
 # An estimate rises at most by this factor with each report.
-_RISE = 1.6
+_MAX_INCREASE = 1.6
 # Less than this below the estimate is noise.
-_NOISE = 0.9
+_NOISE_THRESHOLD = 0.9
 # Steps this many times longer than usual mean a slow endpoint, and below
 # the second multiple a sound one.
 _SLOW_STEP = 3.0
-_SOUND_STEP = 1.5
+_NORMAL_STEP = 1.5
 _BASELINE_WEIGHT = 0.2
-_HOLD_SECONDS = 4.0
-_LONGEST_HOLD_SECONDS = 64.0
+_MIN_HOLD_SECONDS = 4.0
+_MAX_HOLD_SECONDS = 64.0
 
 
 @attrs.define
@@ -51,69 +51,71 @@
     value: float = 1.0
     published: float = 1.0
     ceiling: float = 1.0
-    _hold: float = _HOLD_SECONDS
-    _quiet_until: float = 0.0
-    _raised: float = 0.0
+    _hold: float = _MIN_HOLD_SECONDS
+    _hold_until: float = 0.0
+    _raised_at: float = 0.0
 
     def lower(self, sample: float, now: float) -> None:
         """Move down to a sample."""
-        self.value = max(FLOOR, min(self.value, sample))
-        if now >= self._quiet_until:
-            self._hold = min(2.0 * self._hold, _LONGEST_HOLD_SECONDS)
-        self._quiet_until = now + self._hold
+        self.value = max(MIN_FACTOR, min(self.value, sample))
+        if now >= self._hold_until:
+            self._hold = min(2.0 * self._hold, _MAX_HOLD_SECONDS)
+        self._hold_until = now + self._hold
 
-    def lift(self, sample: float) -> None:
+    def raise_towards(self, sample: float) -> None:
         """Move up towards a sample, by a bounded step."""
-        known_good = self.value >= 1.0 and sample < self.value / _NOISE
+        known_good = (
+            self.value >= 1.0 and sample < self.value / _NOISE_THRESHOLD
+        )
         if sample > self.value and not known_good:
-            self.value = min(sample, self.value * _RISE, self.ceiling)
+            self.value = min(sample, self.value * _MAX_INCREASE, self.ceiling)
         if self.value >= 1.0:
-            self._hold = _HOLD_SECONDS
+            self._hold = _MIN_HOLD_SECONDS
 
     def drift(self, now: float) -> None:
         """Move up for lack of evidence, once a second after the hold."""
-        if self.value >= 1.0 or now < self._quiet_until:
+        if self.value >= 1.0 or now < self._hold_until:
             return
-        if now - self._raised >= 1.0:
-            self._raised = now
-            self.value = min(1.0, self.value * _RISE)
+        if now - self._raised_at >= 1.0:
+            self._raised_at = now
+            self.value = min(1.0, self.value * _MAX_INCREASE)
 
-    def change(self) -> float:
+    def compute_change(self) -> float:
         """Give the factor by which the value moved since the last plan."""
         ratio = self.value / self.published
         return max(ratio, 1.0 / ratio)
 
 
 @attrs.define
-class _Steps:
+class _StepTimes:
     """Usual duration of a step by tokens in service, in powers of two.
 
     Tokens in service are the rate times the duration of a step (Little's
     law), which needs no knowledge of batches.
     """
 
-    _usual: dict[int, float] = attrs.field(factory=dict)
+    _baselines: dict[int, float] = attrs.field(factory=dict)
 
-    def slowness(self, in_service: float, seconds: float) -> float:
+    def compare(self, in_service: float, seconds: float) -> float:
         """Compare a duration with the usual one; above 1 is slower."""
         bucket = max(0, round(math.log2(max(1.0, in_service))))
-        usual = self._expect(bucket)
-        if usual is None:
-            self._usual[bucket] = seconds
+        baseline = self._find_baseline(bucket)
+        if baseline is None:
+            self._baselines[bucket] = seconds
             return 1.0
-        if seconds < _SLOW_STEP * usual:
-            known = self._usual.setdefault(bucket, seconds)
-            self._usual[bucket] += _BASELINE_WEIGHT * (seconds - known)
-        return seconds / usual
-
-    def _expect(self, bucket: int) -> float | None:
-        if bucket in self._usual:
-            return self._usual[bucket]
-        lower = [size for size in self._usual if size < bucket]
+        if seconds < _SLOW_STEP * baseline:
+            known = self._baselines.setdefault(bucket, seconds)
+            self._baselines[bucket] += _BASELINE_WEIGHT * (seconds - known)
+        return seconds / baseline
+
+    def _find_baseline(self, bucket: int) -> float | None:
+        if bucket in self._baselines:
+            return self._baselines[bucket]
+        lower = [size for size in self._baselines if size < bucket]
         if lower:
             # A step grows at most in proportion to its work.
             nearest = max(lower)
-            return self._usual[nearest] * 2.0 ** (bucket - nearest)
+            return self._baselines[nearest] * 2.0 ** (bucket - nearest)
         return None
 
 
@@ -127,9 +129,9 @@
 
     declared: float
     factor: Factor
-    steps: _Steps = attrs.field(factory=_Steps)
-    last: fleet.LoadReport | None = None
-    heard: float = 0.0
+    steps: _StepTimes = attrs.field(factory=_StepTimes)
+    last_report: fleet.LoadReport | None = None
+    reported_at: float = 0.0
     slow: float | None = None
     limited: bool = False
 
@@ -145,20 +147,20 @@
 
     rate: float
     slow: float | None
-    sound: bool
+    is_normal: bool
 
 
-def _read(endpoint: _Endpoint, report: fleet.LoadReport) -> _Sample:
+def _evaluate(endpoint: _Endpoint, report: fleet.LoadReport) -> _Sample:
     rate = report.tokens_per_second / endpoint.declared
     slow = rate if report.queued > 0 and rate > 0.0 else None
     if not rate or not report.step_seconds:
         return _Sample(rate, slow, False)
     in_service = report.tokens_per_second * report.step_seconds
-    slowness = endpoint.steps.slowness(in_service, report.step_seconds)
+    slowness = endpoint.steps.compare(in_service, report.step_seconds)
     if slowness >= _SLOW_STEP:
         # What it delivers bounds its capacity from below.
         slow = max(rate, min(slow or 1.0, 1.0 / slowness))
-    return _Sample(rate, slow, slowness < _SOUND_STEP)
+    return _Sample(rate, slow, slowness < _NORMAL_STEP)
 
 
 class CapacityModel:
@@ -167,14 +169,14 @@
     def __init__(self) -> None:
         self._endpoints: dict[str, _Endpoint] = {}
 
-    def track(self, stops: Iterable[plans.Stop]) -> None:
+    def track(self, stages: Iterable[plans.Stage]) -> None:
         """Follow these endpoints, by declared capacity, and no others."""
         kept = {}
-        for stop in stops:
-            known = self._endpoints.get(stop.agent)
-            if known is None or known.declared != stop.capacity:
-                known = _Endpoint(stop.capacity, Factor(ceiling=CEILING))
-            kept[stop.agent] = known
+        for stage in stages:
+            known = self._endpoints.get(stage.agent)
+            if known is None or known.declared != stage.capacity:
+                known = _Endpoint(stage.capacity, Factor(ceiling=MAX_FACTOR))
+            kept[stage.agent] = known
         self._endpoints = kept
 
     def observe(
@@ -187,60 +189,69 @@
         endpoint = self._endpoints.get(agent)
         if endpoint is None or endpoint.declared <= 0.0:
             return
-        told = now - report.age
-        if told <= endpoint.heard and endpoint.last is not None:
+        reported_at = now - report.age
+        if (
+            reported_at <= endpoint.reported_at
+            and endpoint.last_report is not None
+        ):
             return
-        sample = _read(endpoint, report)
-        endpoint.last = report
-        endpoint.heard = told
-        self._weigh(endpoint, sample, now)
+        sample = _evaluate(endpoint, report)
+        endpoint.last_report = report
+        endpoint.reported_at = reported_at
+        self._update(endpoint, sample, now)
 
-    def _weigh(self, endpoint: _Endpoint, sample: _Sample, now: float) -> None:
+    def _update(
+        self, endpoint: _Endpoint, sample: _Sample, now: float
+    ) -> None:
         factor = endpoint.factor
-        before, endpoint.slow = endpoint.slow, sample.slow
-        if sample.slow is not None and sample.slow < _NOISE * factor.value:
+        previous, endpoint.slow = endpoint.slow, sample.slow
+        if (
+            sample.slow is not None
+            and sample.slow < _NOISE_THRESHOLD * factor.value
+        ):
             # Two reports in a row must agree; the milder one counts.
-            if before is not None:
-                factor.lower(max(before, sample.slow), now)
-                endpoint.limited = sample.sound
+            if previous is not None:
+                factor.lower(max(previous, sample.slow), now)
+                endpoint.limited = sample.is_normal
             return
-        factor.lift(sample.rate)
+        factor.raise_towards(sample.rate)
         if sample.slow is not None:
             return
-        if sample.sound and not endpoint.limited:
-            factor.lift(1.0)
+        if sample.is_normal and not endpoint.limited:
+            factor.raise_towards(1.0)
         else:
             factor.drift(now)
 
-    def explains(self, agent: str) -> bool:
+    def is_slow(self, agent: str) -> bool:
         """Tell whether an agent itself delays what runs over it."""
         known = self._endpoints.get(agent)
-        if known is None or known.last is None:
+        if known is None or known.last_report is None:
             return False
-        return known.last.queued > 0 or known.slow is not None
+        return known.last_report.queued > 0 or known.slow is not None
 
-    def apply(self, stops: Iterable[plans.Stop]) -> list[plans.Stop]:
+    def apply(self, stages: Iterable[plans.Stage]) -> list[plans.Stage]:
         """Give the stops with their learnt capacities, for a plan."""
         result = []
-        for stop in stops:
-            known = self._endpoints.get(stop.agent)
+        for stage in stages:
+            known = self._endpoints.get(stage.agent)
             if known is not None:
                 factor = known.factor
                 factor.published = factor.value
-                stop = attrs.evolve(
-                    stop, capacity=stop.capacity * factor.value
+                stage = attrs.evolve(
+                    stage, capacity=stage.capacity * factor.value
                 )
-            result.append(stop)
+            result.append(stage)
         return result
 
-    def change(self) -> float:
+    def compute_change(self) -> float:
         """Give the largest factor by which an estimate moved."""
         changes = (
-            endpoint.factor.change() for endpoint in self._endpoints.values()
+            endpoint.factor.compute_change()
+            for endpoint in self._endpoints.values()
         )
         return max(changes, default=1.0)
 
-    def factors(self) -> dict[str, float]:
+    def list_factors(self) -> dict[str, float]:
         """Give the multiple of its declared capacity for each agent."""
         return {
             name: endpoint.factor.value
--- a/packages/core/src/dunlintide_core/caps.py
+++ b/packages/core/src/dunlintide_core/caps.py
@@ -5,21 +5,21 @@
 import attrs
 
 __all__ = [
-    'START',
+    'INITIAL_REQUESTS',
     'Cap',
     'InFlight',
     'Usage',
-    'adapt',
-    'budget',
-    'fix',
+    'build_adaptive',
+    'build_budget',
+    'build_fixed',
 ]
 
-HIGH_USAGE = 0.8
-LOW_USAGE = 0.6
-CUT = 0.7
-GROWTH = 1.25
+HIGH_KV_USAGE = 0.8
+LOW_KV_USAGE = 0.6
+DECREASE_FACTOR = 0.7
+INCREASE_FACTOR = 1.25
 # Requests before anything is known of an engine.
-START = 16
+INITIAL_REQUESTS = 16
 
 
 @attrs.define
@@ -67,7 +67,7 @@
     del in_flight, usage
 
 
-def fix(requests: int) -> Cap:
+def build_fixed(requests: int) -> Cap:
     """Build a cap on the number of requests."""
     return Cap(
         admits=lambda in_flight, _: in_flight.requests < requests,
@@ -76,7 +76,7 @@
     )
 
 
-def budget(requests: int, part: float = 0.9) -> Cap:
+def build_budget(requests: int, fraction: float = 0.9) -> Cap:
     """Build a cap on the KV cache positions that may come to be needed.
 
     Until the engine has told its size, a few requests may run, and twice
@@ -86,35 +86,35 @@
     :param requests: bound on the number as well
     :param part: part of the cache to hand out, 0 to 1
     """
-    size = 0
-    unsized = min(START, requests)
+    cache_tokens = 0
+    unsized_limit = min(INITIAL_REQUESTS, requests)
 
     def admits(in_flight: InFlight, tokens: int) -> bool:
-        if in_flight.requests >= (requests if size else unsized):
+        if in_flight.requests >= (requests if cache_tokens else unsized_limit):
             return False
-        if not size or not in_flight.requests:
+        if not cache_tokens or not in_flight.requests:
             return True
-        return in_flight.tokens + tokens <= size * part
+        return in_flight.tokens + tokens <= cache_tokens * fraction
 
     def observe(in_flight: InFlight, usage: Usage) -> None:
-        nonlocal size, unsized
+        nonlocal cache_tokens, unsized_limit
         # A report may leave it out; the cache does not change its size.
-        size = usage.kv_tokens or size
-        if not size and in_flight.requests >= unsized:
-            unsized = min(requests, 2 * unsized)
+        cache_tokens = usage.kv_tokens or cache_tokens
+        if not cache_tokens and in_flight.requests >= unsized_limit:
+            unsized_limit = min(requests, 2 * unsized_limit)
 
     def limit(in_flight: InFlight) -> int:
-        if not size:
-            return unsized
+        if not cache_tokens:
+            return unsized_limit
         if not in_flight.requests:
             return requests
         mean = max(in_flight.tokens / in_flight.requests, 1.0)
-        return max(1, min(requests, int(size * part / mean)))
+        return max(1, min(requests, int(cache_tokens * fraction / mean)))
 
     return Cap(admits, observe, limit)
 
 
-def adapt(start: int, ceiling: int) -> Cap:
+def build_adaptive(start: int, ceiling: int) -> Cap:
     """Build a cap that follows the reported KV cache usage.
 
     Above 0.8 it is cut by 30%, once, until the pool has drained below
@@ -133,14 +133,18 @@
         nonlocal cap, draining, grown_at
         if draining and in_flight.requests < cap:
             draining = False
-        if usage.kv_usage > HIGH_USAGE:
+        if usage.kv_usage > HIGH_KV_USAGE:
             if not draining:
-                cap = max(1, int(cap * CUT))
+                cap = max(1, int(cap * DECREASE_FACTOR))
                 draining = True
             return
-        turned = in_flight.finished - grown_at >= cap
-        if usage.kv_usage < LOW_USAGE and not usage.queued and turned:
-            cap = min(ceiling, max(cap + 1, int(cap * GROWTH)))
+        has_turned_over = in_flight.finished - grown_at >= cap
+        if (
+            usage.kv_usage < LOW_KV_USAGE
+            and not usage.queued
+            and has_turned_over
+        ):
+            cap = min(ceiling, max(cap + 1, int(cap * INCREASE_FACTOR)))
             grown_at = in_flight.finished
 
     return Cap(
--- a/packages/core/src/dunlintide_core/claims.py
+++ b/packages/core/src/dunlintide_core/claims.py
@@ -40,8 +40,8 @@
 BUCKETS = 64
 KEY_DIGEST_BYTES = 16
 FINGERPRINT_BYTES = 8
-_FIELD_END = b'\x00'
-_MINUTE = 60
+_SEPARATOR = b'\x00'
+_SECONDS_PER_MINUTE = 60
 
 
 class Binding(msgspec.Struct, array_like=True, frozen=True):
@@ -114,8 +114,8 @@
     return msgspec.msgpack.decode(data, type=Binding)
 
 
-def _end_minute(binding: Binding) -> int:
-    return (binding.bound_at + binding.retention) // _MINUTE + 1
+def _find_expiry_minute(binding: Binding) -> int:
+    return (binding.bound_at + binding.retention) // _SECONDS_PER_MINUTE + 1
 
 
 def build_release(binding: Binding) -> Binding:
@@ -137,7 +137,7 @@
     """
     state = hashlib.blake2b(digest_size=KEY_DIGEST_BYTES)
     state.update(team.encode())
-    state.update(_FIELD_END)
+    state.update(_SEPARATOR)
     state.update(key.encode())
     return state.digest()
 
@@ -220,7 +220,7 @@
     def __len__(self) -> int:
         return len(self._held)
 
-    def absorb(self, segments: Iterable[Segment]) -> None:
+    def apply_segments(self, segments: Iterable[Segment]) -> None:
         """Take in segments, oldest first; the first claim of a key stays.
 
         :param segments: commits that are new since the last call
@@ -229,27 +229,27 @@
             for binding in segment.bindings:
                 self._apply(binding)
 
-    def _get(self, digest: bytes) -> Binding | None:
+    def _get_binding(self, digest: bytes) -> Binding | None:
         data = self._held.get(digest)
         return None if data is None else decode_binding(data)
 
     def _apply(self, binding: Binding) -> None:
         digest = binding.key_digest
         if binding.executor == _RELEASED:
-            held = self._get(digest)
+            held = self._get_binding(digest)
             if held is not None and held.attempt == binding.attempt:
                 del self._held[digest]
         elif digest not in self._held:
             self._held[digest] = encode_binding(binding)
-            minute = _end_minute(binding)
+            minute = _find_expiry_minute(binding)
             self._expiries.setdefault(minute, []).append(digest)
 
-    def find(self, wanted: Binding) -> Conflict | ReusedKey | None:
+    def find_conflict(self, wanted: Binding) -> Conflict | ReusedKey | None:
         """Look for an earlier claim of the same key.
 
         :param wanted: the claim that is to be made
         """
-        held = self._get(wanted.key_digest)
+        held = self._get_binding(wanted.key_digest)
         if held is None or wanted.executor == _RELEASED:
             return None
         if held.fingerprint != wanted.fingerprint:
@@ -261,16 +261,16 @@
 
         :param now: wall clock in seconds
         """
-        current = int(now) // _MINUTE
+        current = int(now) // _SECONDS_PER_MINUTE
         ended = [minute for minute in self._expiries if minute <= current]
         return sum(self._expire(minute) for minute in ended)
 
     def _expire(self, minute: int) -> int:
-        forgotten = 0
+        removed = 0
         for digest in self._expiries.pop(minute):
-            held = self._get(digest)
+            held = self._get_binding(digest)
             # A released key may have been claimed anew, for longer.
-            if held is not None and _end_minute(held) <= minute:
+            if held is not None and _find_expiry_minute(held) <= minute:
                 del self._held[digest]
-                forgotten += 1
-        return forgotten
+                removed += 1
+        return removed
--- a/packages/core/src/dunlintide_core/lending.py
+++ b/packages/core/src/dunlintide_core/coordination.py
@@ -13,12 +13,12 @@
 from dunlintide_core import limits
 
 __all__ = [
-    'MAX_LENT',
+    'MAX_RECLAIMED_KEYS',
     'Coordinator',
 ]
 
 # Bounds the keys of which an entry is told to give up what it owns.
-MAX_LENT = 64
+MAX_RECLAIMED_KEYS = 64
 
 
 def _add(grants: Iterable[limits.Grant]) -> limits.Grant:
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class _Lent:
+class _Contribution:
     """What one entry has lent, for all keys.
 
     :ivar answered: newest of its demands that was answered
@@ -34,13 +34,13 @@
     """
 
     fraction: float
-    until: float
+    expires_at: float
     answered: int
-    counted: bool = False
+    is_confirmed: bool = False
 
 
 @attrs.define
-class _Held:
+class _Allocation:
     """What one entry may be using under one key.
 
     :ivar grants: sequence, grant and end of each that may be in use
@@ -49,24 +49,28 @@
     need: limits.Need | None = None
     grants: list[tuple[int, limits.Grant, float]] = attrs.field(factory=list)
 
-    def drop(self, acknowledged: int) -> None:
+    def drop_replaced(self, acknowledged: int) -> None:
         """Forget grants that were replaced."""
         self.grants = [one for one in self.grants if one[0] >= acknowledged]
 
-    def is_plain(self, own: limits.Grant) -> bool:
+    def is_default(self, base_share: limits.Grant) -> bool:
         """Tell whether it uses no more and no less than it owns."""
-        plain = all(grant == own for _, grant, _ in self.grants)
-        return self.need is None and plain
+        uses_base_share = all(
+            grant == base_share for _, grant, _ in self.grants
+        )
+        return self.need is None and uses_base_share
 
-    def find_most(self, own: limits.Grant, now: float) -> limits.Grant:
+    def find_max_use(
+        self, base_share: limits.Grant, now: float
+    ) -> limits.Grant:
         """Return the most that it may be using.
 
         :param own: what the entry owns, to which an ended grant shrinks
         """
         rate, slots = 0.0, self.need.in_flight if self.need else 0
-        for _, grant, until in self.grants:
-            if until <= now:
-                grant = limits.find_less(grant, own)
+        for _, grant, expires_at in self.grants:
+            if expires_at <= now:
+                grant = limits.find_minimum(grant, base_share)
             rate = max(rate, grant.rate)
             slots = max(slots, grant.slots)
         return limits.Grant(rate, slots)
@@ -83,15 +87,15 @@
     """
 
     size: int = 0
-    entries: dict[str, _Held] = attrs.field(factory=dict)
-    pressed: bool = False
+    entries: dict[str, _Allocation] = attrs.field(factory=dict)
+    is_oversubscribed: bool = False
 
 
 @attrs.define
 class Coordinator:
     """Divides among entries what they have lent to it."""
 
-    _lent: dict[str, _Lent] = attrs.field(factory=dict)
+    _contributions: dict[str, _Contribution] = attrs.field(factory=dict)
     _keys: dict[limits.Key, _Limit] = attrs.field(factory=dict)
 
     def answer(
@@ -113,62 +117,64 @@
             further keys of which others need what it owns; it has what
             it owns under any other key
         """
-        self._drop(now)
-        until = now + limits.LEASE_SECONDS
-        counted = acknowledged > 0
-        before = self._lent.get(entry)
+        self._expire(now)
+        expires_at = now + limits.LEASE_SECONDS
+        is_confirmed = acknowledged > 0
+        previous = self._contributions.get(entry)
         # Demands may overtake each other.
-        answered = max(sequence - 1, before.answered if before else 0)
-        self._lent[entry] = _Lent(
-            fraction, until, max(sequence, answered), counted
+        answered = max(sequence - 1, previous.answered if previous else 0)
+        self._contributions[entry] = _Contribution(
+            fraction, expires_at, max(sequence, answered), is_confirmed
         )
-        self._note(entry, acknowledged, needs)
+        self._record_needs(entry, acknowledged, needs)
         grants = {}
         # One that was forgotten may have given up more than is known.
-        returned = counted and before is None
-        for key in [*needs, *self._list_lent(entry, needs, returned)]:
+        is_returning = is_confirmed and previous is None
+        for key in [*needs, *self._list_reclaimed(entry, needs, is_returning)]:
             limit = self._keys[key]
-            own = limits.find_own(fraction, limit.size)
+            base_share = limits.compute_base_share(fraction, limit.size)
             if entry not in limit.entries:
-                limit.entries[entry] = _Held()
-                if counted or before is not None:
+                limit.entries[entry] = _Allocation()
+                if is_confirmed or previous is not None:
                     # No answer before this one took it what it owns.
-                    old = (answered, own, math.inf)
+                    old = (answered, base_share, math.inf)
                     limit.entries[entry].grants.append(old)
-            held = limit.entries[entry]
-            held.need = needs.get(key)
-            grant = self._grant(entry, limit, now)
-            held.grants.append((sequence, grant, until))
-            if key in needs or grant != own:
+            allocation = limit.entries[entry]
+            allocation.need = needs.get(key)
+            grant = self._compute_grant(entry, limit, now)
+            allocation.grants.append((sequence, grant, expires_at))
+            if key in needs or grant != base_share:
                 grants[key] = grant
         return grants
 
-    def _drop(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         """Forget entries that have been silent for a whole lease."""
-        self._lent = {
-            name: one for name, one in self._lent.items() if one.until > now
+        self._contributions = {
+            name: one
+            for name, one in self._contributions.items()
+            if one.expires_at > now
         }
         for key, limit in list(self._keys.items()):
-            for name in limit.entries.keys() - self._lent.keys():
+            for name in limit.entries.keys() - self._contributions.keys():
                 del limit.entries[name]
             if not limit.entries:
                 del self._keys[key]
 
-    def _note(
+    def _record_needs(
         self,
         entry: str,
         acknowledged: int,
         needs: Mapping[limits.Key, limits.Need],
     ) -> None:
-        fraction = self._lent[entry].fraction
+        fraction = self._contributions[entry].fraction
         for key, limit in list(self._keys.items()):
-            held = limit.entries.get(entry)
-            if held is None:
+            allocation = limit.entries.get(entry)
+            if allocation is None:
                 continue
-            held.need = needs.get(key)
-            held.drop(acknowledged)
-            if not limit.pressed and held.is_plain(
-                limits.find_own(fraction, limit.size)
+            allocation.need = needs.get(key)
+            allocation.drop_replaced(acknowledged)
+            if not limit.is_oversubscribed and allocation.is_default(
+                limits.compute_base_share(fraction, limit.size)
             ):
                 del limit.entries[entry]
             if not limit.entries:
@@ -176,11 +182,11 @@
         for key, need in needs.items():
             self._keys.setdefault(key, _Limit()).size = need.limit
 
-    def _list_lent(
+    def _list_reclaimed(
         self,
         entry: str,
         needs: Mapping[limits.Key, limits.Need],
-        returned: bool,
+        is_returning: bool,
     ) -> list[limits.Key]:
         """List keys without a need of which others may need its part.
 
@@ -189,40 +195,42 @@
 
         :param returned: whether to list all that may have been listed
         """
-        counted = self._lent[entry].counted
+        is_confirmed = self._contributions[entry].is_confirmed
         known, new = [], []
         for key, limit in self._keys.items():
             if key in needs:
                 continue
-            if returned or entry in limit.entries:
+            if is_returning or entry in limit.entries:
                 known.append(key)
-            elif limit.pressed and counted:
+            elif limit.is_oversubscribed and is_confirmed:
                 new.append(key)
-        return known + new[: max(0, MAX_LENT - len(known))]
+        return known + new[: max(0, MAX_RECLAIMED_KEYS - len(known))]
 
-    def _grant(self, entry: str, limit: _Limit, now: float) -> limits.Grant:
+    def _compute_grant(
+        self, entry: str, limit: _Limit, now: float
+    ) -> limits.Grant:
         fractions = {
             name: one.fraction
-            for name, one in self._lent.items()
-            if one.counted or name == entry
+            for name, one in self._contributions.items()
+            if one.is_confirmed or name == entry
         }
         total = min(1.0, math.fsum(fractions.values()))
         needs = {
-            name: held.need
-            for name, held in limit.entries.items()
-            if held.need is not None
+            name: allocation.need
+            for name, allocation in limit.entries.items()
+            if allocation.need is not None
         }
-        unasked = _add(
-            limits.find_own(part, limit.size)
+        idle_share = _add(
+            limits.compute_base_share(part, limit.size)
             for name, part in fractions.items()
             if name not in needs
         )
-        parts = division.divide(total, limit.size, needs, unasked)
-        limit.pressed = parts.kept < 1.0
+        parts = division.divide(total, limit.size, needs, idle_share)
+        limit.is_oversubscribed = parts.kept_fraction < 1.0
         target = parts.shares.get(entry)
         if target is None:
-            part = fractions[entry] * parts.kept
-            target = limits.find_own(part, limit.size)
+            part = fractions[entry] * parts.kept_fraction
+            target = limits.compute_base_share(part, limit.size)
         used = self._find_used(entry, limit, fractions, now)
         slots = math.floor(limit.size * total + limits.EPSILON) - used.slots
         rate = total - used.rate
@@ -238,23 +246,28 @@
         now: float,
     ) -> limits.Grant:
         """Return the most that others may be using."""
-        plain = _add(
-            limits.find_own(part, limit.size)
+        default_use = _add(
+            limits.compute_base_share(part, limit.size)
             for name, part in fractions.items()
             if name != entry and name not in limit.entries
         )
         return _add(
-            held.find_most(
-                limits.find_own(self._lent[name].fraction, limit.size), now
+            allocation.find_max_use(
+                limits.compute_base_share(
+                    self._contributions[name].fraction, limit.size
+                ),
+                now,
             )
-            for name, held in limit.entries.items()
+            for name, allocation in limit.entries.items()
             if name != entry
-        ).plus(plain)
+        ).plus(default_use)
 
     def describe(self) -> dict[str, int]:
         """Return how much it coordinates."""
         return {
-            'entries': len(self._lent),
+            'entries': len(self._contributions),
             'keys': len(self._keys),
-            'pressed': sum(one.pressed for one in self._keys.values()),
+            'pressed': sum(
+                one.is_oversubscribed for one in self._keys.values()
+            ),
         }
--- a/packages/core/src/dunlintide_core/division.py
+++ b/packages/core/src/dunlintide_core/division.py
@@ -13,23 +13,25 @@
 ]
 
 
-def _meet_rates(total: float, wants: Mapping[str, float]) -> dict[str, float]:
+def _allocate_rates(
+    total: float, demands: Mapping[str, float]
+) -> dict[str, float]:
     """Meet small wants in full and divide the rest evenly."""
-    shares, waiting = {}, len(wants)
-    for name, want in sorted(wants.items(), key=lambda item: item[1]):
-        shares[name] = min(want, total / waiting)
+    shares, remaining = {}, len(demands)
+    for name, demand in sorted(demands.items(), key=lambda item: item[1]):
+        shares[name] = min(demand, total / remaining)
         total -= shares[name]
-        waiting -= 1
+        remaining -= 1
     return shares
 
 
-def _meet_slots(total: int, wants: Mapping[str, int]) -> dict[str, int]:
-    shares, waiting = {}, len(wants)
-    for name, want in sorted(wants.items(), key=lambda item: item[::-1]):
+def _allocate_slots(total: int, demands: Mapping[str, int]) -> dict[str, int]:
+    shares, remaining = {}, len(demands)
+    for name, demand in sorted(demands.items(), key=lambda item: item[::-1]):
         # Rounded up, so that a single slot goes to somebody.
-        shares[name] = min(want, math.ceil(total / waiting))
+        shares[name] = min(demand, math.ceil(total / remaining))
         total -= shares[name]
-        waiting -= 1
+        remaining -= 1
     return shares
 
 
@@ -42,14 +44,14 @@
     """
 
     shares: Mapping[str, limits.Grant]
-    kept: float = 1.0
+    kept_fraction: float = 1.0
 
 
 def divide(
     total: float,
     limit: int,
     needs: Mapping[str, limits.Need],
-    unasked: limits.Grant,
+    idle_share: limits.Grant,
 ) -> Division:
     """Divide by demand: small wants are met in full, the rest is even.
 
@@ -61,27 +63,38 @@
     :param limit: the limit in flight, 0 for none
     :param unasked: what entries that did not ask own together
     """
-    rates = _meet_rates(total, {n: one.rate for n, one in needs.items()})
-    left = max(0.0, total - math.fsum(rates.values()))
-    slots = _meet_slots(
+    rates = _allocate_rates(total, {n: one.rate for n, one in needs.items()})
+    spare_rate = max(0.0, total - math.fsum(rates.values()))
+    slots = _allocate_slots(
         math.floor(limit * total + limits.EPSILON),
         {name: one.slots for name, one in needs.items()},
     )
-    free = math.floor(limit * total + limits.EPSILON) - sum(slots.values())
-    kept = min(
+    spare_slots = math.floor(limit * total + limits.EPSILON) - sum(
+        slots.values()
+    )
+    kept_fraction = min(
         1.0,
-        left / unasked.rate if unasked.rate > limits.EPSILON else 1.0,
-        free / unasked.slots if unasked.slots else 1.0,
+        (
+            spare_rate / idle_share.rate
+            if idle_share.rate > limits.EPSILON
+            else 1.0
+        ),
+        spare_slots / idle_share.slots if idle_share.slots else 1.0,
     )
-    if kept > 1 - limits.EPSILON:
-        kept = 1.0
+    if kept_fraction > 1 - limits.EPSILON:
+        kept_fraction = 1.0
     count = max(1, len(needs))
-    rest = (left - kept * unasked.rate) / count
-    room = (free - math.ceil(kept * unasked.slots - limits.EPSILON)) // count
+    extra_rate = (spare_rate - kept_fraction * idle_share.rate) / count
+    extra_slots = (
+        spare_slots
+        - math.ceil(kept_fraction * idle_share.slots - limits.EPSILON)
+    ) // count
     return Division(
         {
-            name: limits.Grant(rates[name] + rest, slots[name] + room)
+            name: limits.Grant(
+                rates[name] + extra_rate, slots[name] + extra_slots
+            )
             for name in needs
         },
-        kept,
+        kept_fraction,
     )
--- a/packages/core/src/dunlintide_core/ledger.py
+++ b/packages/core/src/dunlintide_core/ledger.py
@@ -14,7 +14,7 @@
 
 __all__ = [
     'Claim',
-    'Entry',
+    'Record',
     'Ledger',
     'Limits',
     'Verdict',
@@ -60,7 +60,7 @@
 
 
 @attrs.define(eq=False)
-class Entry:
+class Record:
     """One attempt.
 
     :ivar generation: executor's generation when the attempt came in
@@ -88,12 +88,12 @@
     :ivar window: generations for which a claim may ask for a run
     """
 
-    entries: int = 200_000
+    records: int = 200_000
     answer_bytes: int = 32 << 20
     window: int = 65
 
 
-_BY_STATE = {
+_VERDICTS = {
     State.QUEUED: Verdict.ATTACH,
     State.RUNNING: Verdict.ATTACH,
     State.FINISHED: Verdict.REPLAY,
@@ -114,114 +114,115 @@
         self.answer_bytes = 0
         self._incarnation = incarnation
         self._limits = limits
-        self._entries: dict[bytes, Entry] = {}
+        self._records: dict[bytes, Record] = {}
         # By generation, so that expiry costs only what expires.
-        self._ages: collections.deque[Entry] = collections.deque()
-        self._answers: collections.OrderedDict[bytes, Entry] = (
+        self._by_age: collections.deque[Record] = collections.deque()
+        self._answers: collections.OrderedDict[bytes, Record] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     def tick(self) -> None:
         """Begin the next generation and drop expired tombstones."""
         self.generation += 1
         oldest = self.generation - self._limits.window
-        kept = []
-        while self._ages and self._ages[0].generation < oldest:
-            entry = self._ages.popleft()
-            if entry.state in (State.QUEUED, State.RUNNING):
-                kept.append(entry)
+        unfinished = []
+        while self._by_age and self._by_age[0].generation < oldest:
+            record = self._by_age.popleft()
+            if record.state in (State.QUEUED, State.RUNNING):
+                unfinished.append(record)
                 continue
-            self._release(entry)
-            if self._entries.get(entry.key_digest) is entry:
-                del self._entries[entry.key_digest]
+            self._drop_answer(record)
+            if self._records.get(record.key_digest) is record:
+                del self._records[record.key_digest]
         # What still runs is younger than its age says.
-        self._ages.extendleft(reversed(kept))
+        self._by_age.extendleft(reversed(unfinished))
 
-    def _release(self, entry: Entry) -> None:
-        if self._answers.get(entry.key_digest) is entry:
-            del self._answers[entry.key_digest]
-            self.answer_bytes -= entry.size
-        entry.answer = None
-        entry.size = 0
+    def _drop_answer(self, record: Record) -> None:
+        if self._answers.get(record.key_digest) is record:
+            del self._answers[record.key_digest]
+            self.answer_bytes -= record.size
+        record.answer = None
+        record.size = 0
 
-    def _add(self, claim: Claim, state: State) -> Entry:
-        entry = Entry(
+    def _add(self, claim: Claim, state: State) -> Record:
+        record = Record(
             claim.key_digest,
             claim.fingerprint,
             claim.attempt,
             self.generation,
             state,
         )
-        self._entries[claim.key_digest] = entry
-        self._ages.append(entry)
-        return entry
+        self._records[claim.key_digest] = record
+        self._by_age.append(record)
+        return record
 
-    def _look_up(self, claim: Claim) -> tuple[Verdict, Entry | None]:
+    def _decide(self, claim: Claim) -> tuple[Verdict, Record | None]:
         if claim.incarnation != self._incarnation:
             return Verdict.EXECUTOR_GONE, None
-        entry = self._entries.get(claim.key_digest)
-        if entry is not None:
-            if entry.fingerprint != claim.fingerprint:
+        record = self._records.get(claim.key_digest)
+        if record is not None:
+            if record.fingerprint != claim.fingerprint:
                 return Verdict.KEY_REUSED, None
-            fresh = (
-                entry.state is State.SEALED and entry.attempt != claim.attempt
+            is_new_attempt = (
+                record.state is State.SEALED
+                and record.attempt != claim.attempt
             )
-            if not fresh:
-                return _BY_STATE[entry.state], entry
+            if not is_new_attempt:
+                return _VERDICTS[record.state], record
         if claim.generation > self.generation:
             return Verdict.EXECUTOR_GONE, None
         if claim.generation < self.generation - self._limits.window:
             return Verdict.EXPIRED, None
-        if len(self._ages) >= self._limits.entries:
+        if len(self._by_age) >= self._limits.records:
             return Verdict.FULL, None
         return Verdict.START, None
 
-    def open(self, claim: Claim) -> tuple[Verdict, Entry | None]:
+    def open(self, claim: Claim) -> tuple[Verdict, Record | None]:
         """Decide about an attempt that asks to run.
 
         START comes with a new entry, ATTACH and REPLAY with the old one.
         """
-        verdict, entry = self._look_up(claim)
+        verdict, record = self._decide(claim)
         if verdict is Verdict.START:
-            entry = self._add(claim, State.QUEUED)
-        return verdict, entry
+            record = self._add(claim, State.QUEUED)
+        return verdict, record
 
-    def attach(self, claim: Claim) -> tuple[Verdict, Entry | None]:
+    def attach(self, claim: Claim) -> tuple[Verdict, Record | None]:
         """Decide about a caller that asks for an earlier answer.
 
         An attempt that never came in is sealed, so that it cannot run
         after its caller was told that it did not.
         """
-        verdict, entry = self._look_up(claim)
+        verdict, record = self._decide(claim)
         if verdict is Verdict.START:
             return Verdict.SEALED, self._add(claim, State.SEALED)
-        return verdict, entry
+        return verdict, record
 
-    def seal(self, entry: Entry) -> None:
+    def seal(self, record: Record) -> None:
         """Note that an attempt never ran; it never will."""
-        entry.state = State.SEALED
-        entry.work = None
+        record.state = State.SEALED
+        record.work = None
 
-    def finish(self, entry: Entry, answer: Any, size: int) -> None:
+    def finish(self, record: Record, answer: Any, size: int) -> None:
         """Keep an answer while the budget lasts.
 
         :param answer: what a repeat gets; None when it may have run but
             there is no whole answer
         :param size: bytes that the answer takes
         """
-        entry.work = None
+        record.work = None
         if answer is None or size > self._limits.answer_bytes:
-            entry.state = State.DROPPED
+            record.state = State.DROPPED
             return
         while self.answer_bytes + size > self._limits.answer_bytes:
             oldest = next(iter(self._answers.values()))
-            self._release(oldest)
+            self._drop_answer(oldest)
             oldest.state = State.DROPPED
-        entry.state = State.FINISHED
-        entry.answer = answer
-        entry.size = size
-        self._answers[entry.key_digest] = entry
+        record.state = State.FINISHED
+        record.answer = answer
+        record.size = size
+        self._answers[record.key_digest] = record
         self.answer_bytes += size
--- a/packages/core/src/dunlintide_core/limits.py
+++ b/packages/core/src/dunlintide_core/limits.py
@@ -37,8 +37,8 @@
     'Key',
     'Lease',
     'Need',
-    'find_less',
-    'find_own',
+    'find_minimum',
+    'compute_base_share',
 ]
 
 BURST_SECONDS = 1.0
@@ -48,11 +48,11 @@
 SLACK_SECONDS = 2.0
 # One that needs nothing, and of which nothing is needed, asks so seldom:
 # in time for one more demand within its lease.
-QUIET_SECONDS = 5.0
+IDLE_DEMAND_SECONDS = 5.0
 # Bound on the rounding errors of sums of shares.
 EPSILON = 1e-9
 # A share that shrinks by more is acknowledged at once.
-_NOTABLE = 0.02
+_SIGNIFICANT_DECREASE = 0.02
 
 # Team and rule: all keys and connections of a team count as one.
 Key = tuple[str, str]
@@ -130,12 +130,12 @@
         return Grant(self.rate + other.rate, self.slots + other.slots)
 
 
-def find_less(one: Grant, other: Grant) -> Grant:
+def find_minimum(one: Grant, other: Grant) -> Grant:
     """Return the smaller part of each."""
     return Grant(min(one.rate, other.rate), min(one.slots, other.slots))
 
 
-def find_own(fraction: float, limit: int) -> Grant:
+def compute_base_share(fraction: float, limit: int) -> Grant:
     """Return what an entry owns, in whole slots.
 
     :param fraction: what it owns of each limit
@@ -155,23 +155,23 @@
     coordinator: str = ''
     acknowledged: int = 0
     _sequence: int = 0
-    _began: float = 0.0
-    _last_sent: float = 0.0
-    _confirmed: float = -math.inf
+    _selected_at: float = 0.0
+    _last_sent_at: float = 0.0
+    _confirmed_at: float = -math.inf
     _sent: dict[int, float] = attrs.field(factory=dict)
     _grants: Mapping[Key, Grant] = attrs.field(factory=dict)
-    _owes: bool = False
+    _must_acknowledge: bool = False
 
-    def tell_live(self, now: float) -> bool:
+    def is_live(self, now: float) -> bool:
         """Tell whether grants are in force."""
-        return now < self._confirmed + LEASE_SECONDS
+        return now < self._confirmed_at + LEASE_SECONDS
 
-    def is_free(self, now: float) -> bool:
+    def is_base_share_free(self, now: float) -> bool:
         """Tell whether what the entry owns is its own again."""
         if not self.acknowledged:
             return True
-        freed = self._last_sent + 2 * LEASE_SECONDS + SLACK_SECONDS
-        return not self.tell_live(now) and now >= freed
+        released_at = self._last_sent_at + 2 * LEASE_SECONDS + SLACK_SECONDS
+        return not self.is_live(now) and now >= released_at
 
     def choose(self, coordinator: str, now: float) -> bool:
         """Turn to a coordinator as soon as no other is lent anything.
@@ -179,38 +179,38 @@
         :param coordinator: empty to stay with the present one
         :returns: whether it is to be sent a demand now
         """
-        if self.acknowledged and not self.is_free(now):
+        if self.acknowledged and not self.is_base_share_free(now):
             # With a better choice in reach the lease is left to end.
             stays = coordinator in ('', self.coordinator)
-            return stays and self.tell_live(now)
-        waited = now - self._began > LEASE_SECONDS
+            return stays and self.is_live(now)
+        waited = now - self._selected_at > LEASE_SECONDS
         if self.acknowledged or waited or not self.coordinator:
-            self._leave(coordinator, now)
+            self._reset(coordinator, now)
         return bool(self.coordinator)
 
-    def _leave(self, coordinator: str, now: float) -> None:
+    def _reset(self, coordinator: str, now: float) -> None:
         self.coordinator = coordinator
         self.acknowledged = 0
-        self._began = now
-        self._confirmed = -math.inf
+        self._selected_at = now
+        self._confirmed_at = -math.inf
         self._sent = {}
         self._grants = {}
 
-    def is_quiet(self, now: float) -> bool:
+    def can_defer_demand(self, now: float) -> bool:
         """Tell whether a demand without needs can wait.
 
         It can while no grant differs from what the entry owns, and the
         coordinator knows that, as long as what it lends stays lent.
         """
-        soon = now - self._last_sent < QUIET_SECONDS
-        settled = not self._grants and not self._owes
-        return soon and settled and self.tell_live(now)
+        is_recent = now - self._last_sent_at < IDLE_DEMAND_SECONDS
+        is_settled = not self._grants and not self._must_acknowledge
+        return is_recent and is_settled and self.is_live(now)
 
     def send(self, now: float) -> int:
         """Return the number of a demand that is sent now."""
         self._sequence += 1
-        self._last_sent = now
-        self._owes = False
+        self._last_sent_at = now
+        self._must_acknowledge = False
         self._sent[self._sequence] = now
         return self._sequence
 
@@ -221,9 +221,9 @@
             return False
         self._sent = {n: at for n, at in self._sent.items() if n > sequence}
         self.acknowledged = sequence
-        self._confirmed = sent
+        self._confirmed_at = sent
         # Others get what is given up here once that is acknowledged.
-        self._owes = self._grants != grants
+        self._must_acknowledge = self._grants != grants
         self._grants = grants
         return True
 
@@ -231,22 +231,27 @@
         """Tell whether any grant is less than the one in force."""
         for key, old in self._grants.items():
             new = grants.get(key, old)
-            if new.rate < old.rate - _NOTABLE or new.slots < old.slots:
+            if (
+                new.rate < old.rate - _SIGNIFICANT_DECREASE
+                or new.slots < old.slots
+            ):
                 return True
         return False
 
-    def find(self, key: Key, fraction: float, limit: int, now: float) -> Grant:
+    def find_grant(
+        self, key: Key, fraction: float, limit: int, now: float
+    ) -> Grant:
         """Return what may be used under a key.
 
         :param fraction: what the entry owns of each limit
         :param limit: the limit in flight, 0 for none
         """
-        own = find_own(fraction, limit)
-        if self.is_free(now):
-            return own
-        grant = self._grants.get(key, own)
-        return grant if self.tell_live(now) else find_less(grant, own)
+        base_share = compute_base_share(fraction, limit)
+        if self.is_base_share_free(now):
+            return base_share
+        grant = self._grants.get(key, base_share)
+        return grant if self.is_live(now) else find_minimum(grant, base_share)
 
-    def covers(self, key: Key, now: float) -> bool:
+    def has_grant(self, key: Key, now: float) -> bool:
         """Tell whether a grant under a key is in force."""
-        return self.tell_live(now) and key in self._grants
+        return self.is_live(now) and key in self._grants
--- a/packages/core/src/dunlintide_core/loads.py
+++ b/packages/core/src/dunlintide_core/loads.py
@@ -8,16 +8,16 @@
 
 __all__ = [
     'Load',
-    'expect_rooms',
+    'estimate_saturation',
     'score',
 ]
 
 # A load report counts linearly less with age, and not at all after this
 # many seconds.
-_REPORT_LIFE = 10.0
+_REPORT_LIFETIME_SECONDS = 10.0
 # Time in one stage, about, when only the links' latencies are known.
 _STEP_SECONDS = 0.02
-_LEAST_ROOM = 1e-9
+_MIN_SATURATION = 1e-9
 
 
 @attrs.define
@@ -30,14 +30,14 @@
     :ivar reported: time of that report, in seconds
     """
 
-    room: float
+    saturation: float
     own: int = 0
     others: float = 0.0
-    reported: float = 0.0
+    reported_at: float = 0.0
 
 
-def expect_rooms(
-    plan: plans.Plan, stops: Iterable[plans.Stop]
+def estimate_saturation(
+    plan: plans.Plan, stages: Iterable[plans.Stage]
 ) -> dict[str, float]:
     """Estimate how many requests keep each endpoint just busy.
 
@@ -48,22 +48,26 @@
     :param stops: all endpoints, also those outside the plan
     :returns: by agent
     """
-    rounds: dict[str, float] = {}
+    round_trips: dict[str, float] = {}
     shares: dict[str, float] = {}
     for chain in plan.chains:
-        seconds = chain.latency + _STEP_SECONDS * len(chain.stops)
+        seconds = chain.latency + _STEP_SECONDS * len(chain.stages)
         for agent in chain.agents:
-            rounds[agent] = rounds.get(agent, 0.0) + chain.share * seconds
+            round_trips[agent] = (
+                round_trips.get(agent, 0.0) + chain.share * seconds
+            )
             shares[agent] = shares.get(agent, 0.0) + chain.share
     total = sum(shares.values())
-    usual = sum(rounds.values()) / total if total else 1.0
-    rooms = {}
-    for stop in stops:
-        seconds = usual
-        if shares.get(stop.agent):
-            seconds = rounds[stop.agent] / shares[stop.agent]
-        rooms[stop.agent] = max(_LEAST_ROOM, stop.capacity * seconds)
-    return rooms
+    mean_round_trip = sum(round_trips.values()) / total if total else 1.0
+    saturations = {}
+    for stage in stages:
+        seconds = mean_round_trip
+        if shares.get(stage.agent):
+            seconds = round_trips[stage.agent] / shares[stage.agent]
+        saturations[stage.agent] = max(
+            _MIN_SATURATION, stage.capacity * seconds
+        )
+    return saturations
 
 
 def score(loads: Iterable[Load], now: float) -> float:
@@ -73,9 +77,9 @@
     """
     worst = 0.0
     for load in loads:
-        weight = 1.0 - (now - load.reported) / _REPORT_LIFE
+        weight = 1.0 - (now - load.reported_at) / _REPORT_LIFETIME_SECONDS
         others = load.others * weight if weight > 0.0 else 0.0
-        value = (load.own + others) / load.room
+        value = (load.own + others) / load.saturation
         if value > worst:
             worst = value
     return worst
--- a/packages/core/src/dunlintide_core/plan.py
+++ b/packages/core/src/dunlintide_core/plan.py
@@ -18,7 +18,7 @@
     'LinkQuality',
     'Links',
     'Plan',
-    'Stop',
+    'Stage',
     'make_plan',
 ]
 
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Stop:
+class Stage:
     """An endpoint as the planner sees it.
 
     Layers are the half-open range ``[layer_start, layer_end)``.
@@ -91,7 +91,7 @@
             return known
         return self.domains.get((source, target), self.default)
 
-    def between(self, source: Stop, target: Stop) -> LinkQuality:
+    def between(self, source: Stage, target: Stage) -> LinkQuality:
         """Give the quality between two endpoints."""
         measured = self.agents.get((source.agent, target.agent))
         if measured is not None:
@@ -109,14 +109,14 @@
     :ivar latency: sum of the links' latencies, back to the head, seconds
     """
 
-    stops: tuple[Stop, ...]
+    stages: tuple[Stage, ...]
     share: float = 0.0
     latency: float = 0.0
 
     @property
     def agents(self) -> tuple[str, ...]:
         """Names of the agents, head first."""
-        return tuple(stop.agent for stop in self.stops)
+        return tuple(stage.agent for stage in self.stages)
 
 
 @attrs.frozen
@@ -134,36 +134,36 @@
 EMPTY = Plan(0.0)
 
 
-def _units(tokens_per_second: float) -> int:
+def _to_units(tokens_per_second: float) -> int:
     return int(tokens_per_second * _UNITS_PER_TOKEN)
 
 
 class _Network:
     """Flow network under construction; nodes are whole numbers."""
 
-    def __init__(self, stops: list[Stop], layers: int, links: Links) -> None:
-        self.stops = stops
+    def __init__(self, stages: list[Stage], layers: int, links: Links) -> None:
+        self.stages = stages
         self.graph = networkx.DiGraph()
         self._hubs: dict[tuple[str, int, str], int] = {}
         self._links = links
         self._layers = layers
         self.graph.add_nodes_from((_SOURCE, _SINK))
-        for index in range(len(stops)):
-            self._add_stop(index)
+        for index in range(len(stages)):
+            self._add_stage(index)
         self._join_hubs()
 
-    def stop_at(self, node: int) -> Stop | None:
+    def get_stage(self, node: int) -> Stage | None:
         """Give the endpoint of a node, None for a hub, source or sink."""
         index = (node - 2) // 2
-        if node < 2 or index >= len(self.stops):
+        if node < 2 or index >= len(self.stages):
             return None
-        return self.stops[index]
+        return self.stages[index]
 
-    def _hub(self, side: str, boundary: int, domain: str) -> int:
+    def _get_hub(self, side: str, boundary: int, domain: str) -> int:
         key = (side, boundary, domain)
         hub = self._hubs.get(key)
         if hub is None:
-            hub = 2 + 2 * len(self.stops) + len(self._hubs)
+            hub = 2 + 2 * len(self.stages) + len(self._hubs)
             self._hubs[key] = hub
         return hub
 
@@ -171,24 +171,24 @@
         self.graph.add_edge(
             source,
             target,
-            capacity=_units(quality.tokens_per_second),
+            capacity=_to_units(quality.tokens_per_second),
             cost=int(quality.latency * _COST_PER_SECOND),
         )
 
-    def _add_stop(self, index: int) -> None:
-        stop = self.stops[index]
+    def _add_stage(self, index: int) -> None:
+        stage = self.stages[index]
         entering, leaving = 2 + 2 * index, 3 + 2 * index
-        own = LinkQuality(0.0, stop.capacity)
+        own = LinkQuality(0.0, stage.capacity)
         self._add_edge(entering, leaving, own)
-        if stop.layer_start == 0:
+        if stage.layer_start == 0:
             self._add_edge(_SOURCE, entering, own)
         else:
-            hub = self._hub('in', stop.layer_start, stop.failure_domain)
+            hub = self._get_hub('in', stage.layer_start, stage.failure_domain)
             self._add_edge(hub, entering, own)
-        if stop.layer_end == self._layers:
+        if stage.layer_end == self._layers:
             self._add_edge(leaving, _SINK, own)
         else:
-            hub = self._hub('out', stop.layer_end, stop.failure_domain)
+            hub = self._get_hub('out', stage.layer_end, stage.failure_domain)
             self._add_edge(leaving, hub, own)
 
     def _join_hubs(self) -> None:
@@ -234,7 +234,7 @@
         self._flow = flow
         self._links = links
 
-    def chains(self) -> Iterable[Chain]:
+    def list_chains(self) -> Iterable[Chain]:
         """Yield chains until no flow is left.
 
         The graph is acyclic, so each walk over positive flow ends at the
@@ -248,43 +248,43 @@
                 self._flow[source][target] -= amount
                 if not self._flow[source][target]:
                     del self._flow[source][target]
-            yield self._chain(path, amount)
+            yield self._build_chain(path, amount)
 
     def _walk(self) -> list[int]:
         path = [_SOURCE]
-        last: Stop | None = None
+        last: Stage | None = None
         while path[-1] != _SINK:
-            path.append(self._next(path[-1], last))
-            last = self._network.stop_at(path[-1]) or last
+            path.append(self._choose_next(path[-1], last))
+            last = self._network.get_stage(path[-1]) or last
         return path
 
-    def _next(self, node: int, last: Stop | None) -> int:
+    def _choose_next(self, node: int, last: Stage | None) -> int:
         edges = self._network.graph[node]
 
         def rank(item: tuple[int, int]) -> tuple[float, int]:
             target, amount = item
-            stop = self._network.stop_at(target)
-            if stop is None or last is None or stop is last:
+            stage = self._network.get_stage(target)
+            if stage is None or last is None or stage is last:
                 return edges[target]['cost'], -amount
-            return self._links.between(last, stop).latency, -amount
+            return self._links.between(last, stage).latency, -amount
 
         return min(self._flow[node].items(), key=rank)[0]
 
-    def _chain(self, path: list[int], amount: int) -> Chain:
-        found = (self._network.stop_at(node) for node in path)
-        stops = tuple(stop for stop, _ in itertools.groupby(found) if stop)
+    def _build_chain(self, path: list[int], amount: int) -> Chain:
+        found = (self._network.get_stage(node) for node in path)
+        stages = tuple(stage for stage, _ in itertools.groupby(found) if stage)
         share = amount / _UNITS_PER_TOKEN
-        for hop in zip(stops, stops[1:]):
+        for hop in zip(stages, stages[1:]):
             measured = self._links.agents.get((hop[0].agent, hop[1].agent))
             if measured is not None:
                 share = min(share, measured.tokens_per_second)
-        ring = zip(stops, stops[1:] + stops[:1])
+        ring = zip(stages, stages[1:] + stages[:1])
         latency = sum(self._links.between(*hop).latency for hop in ring)
-        return Chain(stops, share, latency)
+        return Chain(stages, share, latency)
 
 
 def make_plan(
-    stops: Iterable[Stop], layers: int, links: Links = Links()
+    stages: Iterable[Stage], layers: int, links: Links = Links()
 ) -> Plan:
     """Find the most tokens/s that the stops can carry, and by which way.
 
@@ -297,20 +297,20 @@
     """
     usable = sorted(
         (
-            stop
-            for stop in stops
-            if stop.capacity > 0.0
-            and 0 <= stop.layer_start < stop.layer_end <= layers
+            stage
+            for stage in stages
+            if stage.capacity > 0.0
+            and 0 <= stage.layer_start < stage.layer_end <= layers
         ),
-        key=lambda stop: (stop.agent, stop.layer_start),
+        key=lambda stage: (stage.agent, stage.layer_start),
     )
     network = _Network(usable, layers, links)
     flow = _find_flow(network.graph)
-    merged: dict[tuple[Stop, ...], Chain] = {}
-    for chain in _Decomposition(network, flow, links).chains():
-        known = merged.get(chain.stops)
+    merged: dict[tuple[Stage, ...], Chain] = {}
+    for chain in _Decomposition(network, flow, links).list_chains():
+        known = merged.get(chain.stages)
         if known is not None:
             chain = attrs.evolve(chain, share=chain.share + known.share)
-        merged[chain.stops] = chain
+        merged[chain.stages] = chain
     chains = tuple(merged.values())
     return Plan(sum(chain.share for chain in chains), chains)
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -16,7 +16,7 @@
     'Crash',
     'Evidence',
     'Limits',
-    'Place',
+    'LayerRange',
     'Quarantine',
     'Suspect',
 ]
@@ -39,24 +39,24 @@
     team_crashes: int = 3
     crashes: int = 256
     suspects: int = 4096
-    known: int = 8192
+    known_good: int = 8192
 
 
 # Crashes that convict a request which was the only accused of one of
 # them: on two endpoints, or more often on one, which may be faulty itself.
-_ENDPOINTS = 2
-_CRASHES = 3
+_MIN_ENDPOINTS = 2
+_MIN_CRASHES = 3
 
 
 @attrs.frozen
-class Place:
+class LayerRange:
     """Layers of a model, at which a request may do harm."""
 
     model: str
     layer_start: int
     layer_end: int
 
-    def overlaps(self, other: 'Place') -> bool:
+    def overlaps(self, other: 'LayerRange') -> bool:
         """Tell whether two places share a layer."""
         return (
             self.model == other.model
@@ -89,7 +89,7 @@
 
     name: str
     endpoint: str
-    place: Place
+    place: LayerRange
     suspects: tuple[Suspect, ...]
     expires: float
 
@@ -109,18 +109,18 @@
 
 
 @attrs.define(eq=False)
-class _Case:
+class _CrashRecord:
     """A crash and who is still accused of it.
 
     :ivar team: the team that all accused belong to, if it is one
     """
 
     crash: Crash
-    accused: dict[bytes, Suspect]
+    suspects: dict[bytes, Suspect]
     team: str = ''
 
-    def find_team(self) -> str:
-        teams = {one.team for one in self.accused.values()}
+    def find_common_team(self) -> str:
+        teams = {one.team for one in self.suspects.values()}
         return teams.pop() if len(teams) == 1 else ''
 
 
@@ -130,16 +130,16 @@
     def __init__(self, limits: Limits = Limits()) -> None:
         """Begin with no crash."""
         self._limits = limits
-        self._cases: dict[str, _Case] = {}
-        self._accused: dict[bytes, dict[str, _Case]] = {}
-        self._convicted: set[bytes] = set()
+        self._records: dict[str, _CrashRecord] = {}
+        self._records_by_request: dict[bytes, dict[str, _CrashRecord]] = {}
+        self._quarantined: set[bytes] = set()
         self._teams: collections.Counter[str] = collections.Counter()
-        self._known: collections.OrderedDict[bytes, None] = (
+        self._known_good: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._records)
 
     def add(self, crash: Crash, now: float) -> bool:
         """Take in a crash, or fewer accused of one that is known.
@@ -149,19 +149,19 @@
         self.expire(now)
         if crash.expires <= now:
             return False
-        case = self._cases.get(crash.name)
-        accused = {one.fingerprint: one for one in crash.suspects}
-        if case is not None:
-            gone = [one for one in case.accused if one not in accused]
-            for fingerprint in gone:
+        record = self._records.get(crash.name)
+        suspects = {one.fingerprint: one for one in crash.suspects}
+        if record is not None:
+            removed = [one for one in record.suspects if one not in suspects]
+            for fingerprint in removed:
                 self.clear(crash.name, fingerprint)
-            return bool(gone)
-        case = _Case(crash, accused)
-        self._cases[crash.name] = case
-        for fingerprint in accused:
-            cases = self._accused.setdefault(fingerprint, {})
-            cases[crash.name] = case
-        self._settle(case)
+            return bool(removed)
+        record = _CrashRecord(crash, suspects)
+        self._records[crash.name] = record
+        for fingerprint in suspects:
+            records = self._records_by_request.setdefault(fingerprint, {})
+            records[crash.name] = record
+        self._draw_conclusions(record)
         self._evict()
         return True
 
@@ -170,64 +170,66 @@
 
         :returns: whether it was accused of it
         """
-        case = self._cases.get(name)
-        if case is None or fingerprint not in case.accused:
+        record = self._records.get(name)
+        if record is None or fingerprint not in record.suspects:
             return False
-        del case.accused[fingerprint]
-        self._drop_accusation(name, fingerprint)
-        self._settle(case)
+        del record.suspects[fingerprint]
+        self._drop_suspicion(name, fingerprint)
+        self._draw_conclusions(record)
         return True
 
-    def note_step(
-        self, fingerprint: bytes, place: Place, end: int
+    def record_step(
+        self, fingerprint: bytes, place: LayerRange, end: int
     ) -> list[str]:
         """Take note of a step that ran without a crash.
 
         :param end: position behind the step
         :returns: names of the crashes that it is cleared of
         """
-        self._known[fingerprint] = None
-        self._known.move_to_end(fingerprint)
-        if len(self._known) > self._limits.known:
-            self._known.popitem(last=False)
+        self._known_good[fingerprint] = None
+        self._known_good.move_to_end(fingerprint)
+        if len(self._known_good) > self._limits.known_good:
+            self._known_good.popitem(last=False)
         cleared = [
             name
-            for name, case in self._accused.get(fingerprint, {}).items()
-            if case.crash.place.overlaps(place)
-            and case.accused[fingerprint].position < end
+            for name, record in self._records_by_request.get(
+                fingerprint, {}
+            ).items()
+            if record.crash.place.overlaps(place)
+            and record.suspects[fingerprint].position < end
         ]
         for name in cleared:
             self.clear(name, fingerprint)
         return cleared
 
-    def _drop_accusation(self, name: str, fingerprint: bytes) -> None:
-        cases = self._accused[fingerprint]
-        del cases[name]
-        if not cases:
-            del self._accused[fingerprint]
-        self._review(fingerprint)
+    def _drop_suspicion(self, name: str, fingerprint: bytes) -> None:
+        records = self._records_by_request[fingerprint]
+        del records[name]
+        if not records:
+            del self._records_by_request[fingerprint]
+        self._review_request(fingerprint)
 
-    def _settle(self, case: _Case) -> None:
+    def _draw_conclusions(self, record: _CrashRecord) -> None:
         """Draw conclusions from a case that has changed."""
-        self._count_team(case, case.find_team())
-        for fingerprint in list(case.accused):
-            self._review(fingerprint)
-        guilty = [one for one in case.accused if one in self._convicted]
-        if not guilty or len(guilty) == len(case.accused):
+        self._count_team(record, record.find_common_team())
+        for fingerprint in list(record.suspects):
+            self._review_request(fingerprint)
+        culprits = [one for one in record.suspects if one in self._quarantined]
+        if not culprits or len(culprits) == len(record.suspects):
             return
         # The crash is explained, so its other accused are innocent.
-        for fingerprint in list(case.accused):
-            if fingerprint not in self._convicted:
-                self.clear(case.crash.name, fingerprint)
+        for fingerprint in list(record.suspects):
+            if fingerprint not in self._quarantined:
+                self.clear(record.crash.name, fingerprint)
 
-    def _count_team(self, case: _Case, team: str) -> None:
-        if team == case.team:
+    def _count_team(self, record: _CrashRecord, team: str) -> None:
+        if team == record.team:
             return
-        if case.team:
-            self._teams[case.team] -= 1
-            if not self._teams[case.team]:
-                del self._teams[case.team]
-        case.team = team
+        if record.team:
+            self._teams[record.team] -= 1
+            if not self._teams[record.team]:
+                del self._teams[record.team]
+        record.team = team
         if not team:
             return
         self._teams[team] += 1
@@ -235,101 +237,113 @@
             self._review_team(team)
 
     def _review_team(self, team: str) -> None:
-        for case in list(self._cases.values()):
-            if case.team == team:
-                for fingerprint in list(case.accused):
-                    self._review(fingerprint)
-
-    def _review(self, fingerprint: bytes) -> None:
-        cases = list(self._accused.get(fingerprint, {}).values())
-        if not self._is_guilty(fingerprint, cases):
-            self._convicted.discard(fingerprint)
+        for record in list(self._records.values()):
+            if record.team == team:
+                for fingerprint in list(record.suspects):
+                    self._review_request(fingerprint)
+
+    def _review_request(self, fingerprint: bytes) -> None:
+        records = list(self._records_by_request.get(fingerprint, {}).values())
+        if not self._is_culprit(fingerprint, records):
+            self._quarantined.discard(fingerprint)
             return
-        if fingerprint in self._convicted:
+        if fingerprint in self._quarantined:
             return
-        self._convicted.add(fingerprint)
-        for case in cases:
-            self._settle(case)
-
-    def _is_guilty(self, fingerprint: bytes, cases: list[_Case]) -> bool:
-        if not cases:
+        self._quarantined.add(fingerprint)
+        for record in records:
+            self._draw_conclusions(record)
+
+    def _is_culprit(
+        self, fingerprint: bytes, records: list[_CrashRecord]
+    ) -> bool:
+        if not records:
             return False
-        alone = any(len(case.accused) == 1 for case in cases)
-        endpoints = {case.crash.endpoint for case in cases}
-        if alone and len(endpoints) >= _ENDPOINTS:
+        is_sole_suspect = any(len(record.suspects) == 1 for record in records)
+        endpoints = {record.crash.endpoint for record in records}
+        if is_sole_suspect and len(endpoints) >= _MIN_ENDPOINTS:
             return True
-        if alone and self.is_watched(cases[0].accused[fingerprint].team):
+        if is_sole_suspect and self.is_team_isolated(
+            records[0].suspects[fingerprint].team
+        ):
             return True
-        if len(cases) < _CRASHES:
+        if len(records) < _MIN_CRASHES:
             return False
-        common = set.intersection(*(set(case.accused) for case in cases))
-        return alone or common == {fingerprint}
+        common = set.intersection(
+            *(set(record.suspects) for record in records)
+        )
+        return is_sole_suspect or common == {fingerprint}
 
     def _forget(self, name: str) -> None:
-        case = self._cases.pop(name)
-        self._count_team(case, '')
-        for fingerprint in list(case.accused):
-            self._drop_accusation(name, fingerprint)
+        record = self._records.pop(name)
+        self._count_team(record, '')
+        for fingerprint in list(record.suspects):
+            self._drop_suspicion(name, fingerprint)
 
     def _evict(self) -> None:
-        total = sum(len(case.accused) for case in self._cases.values())
+        total = sum(len(record.suspects) for record in self._records.values())
         limits = self._limits
-        while len(self._cases) > 1 and (
-            len(self._cases) > limits.crashes or total > limits.suspects
+        while len(self._records) > 1 and (
+            len(self._records) > limits.crashes or total > limits.suspects
         ):
-            oldest = next(iter(self._cases))
-            total -= len(self._cases[oldest].accused)
+            oldest = next(iter(self._records))
+            total -= len(self._records[oldest].suspects)
             self._forget(oldest)
 
     def expire(self, now: float) -> None:
         """Forget the crashes whose time has passed."""
         old = [
             name
-            for name, case in self._cases.items()
-            if case.crash.expires <= now
+            for name, record in self._records.items()
+            if record.crash.expires <= now
         ]
         for name in old:
             self._forget(name)
 
-    def is_accused(self, fingerprint: bytes) -> bool:
+    def is_suspected(self, fingerprint: bytes) -> bool:
         """Tell whether any crash accuses a request."""
-        return fingerprint in self._accused
+        return fingerprint in self._records_by_request
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
         """Tell whether a request is to be refused."""
-        return fingerprint in self._convicted
+        return fingerprint in self._quarantined
 
-    def is_watched(self, team: str) -> bool:
+    def is_team_isolated(self, team: str) -> bool:
         """Tell whether a team's unknown requests are to run alone."""
         return self._teams[team] >= self._limits.team_crashes
 
-    def runs_alone(self, fingerprint: bytes, team: str, place: Place) -> bool:
+    def must_run_alone(
+        self, fingerprint: bytes, team: str, place: LayerRange
+    ) -> bool:
         """Tell whether a request's step must share the endpoint with none."""
-        cases = self._accused.get(fingerprint)
-        if cases is not None and any(
-            case.crash.place.overlaps(place) for case in cases.values()
+        records = self._records_by_request.get(fingerprint)
+        if records is not None and any(
+            record.crash.place.overlaps(place) for record in records.values()
         ):
             return True
-        return self.is_watched(team) and fingerprint not in self._known
+        return (
+            self.is_team_isolated(team) and fingerprint not in self._known_good
+        )
 
     def list_crashes(self) -> Iterator[Crash]:
         """Yield the crashes with those who are still accused."""
-        for case in self._cases.values():
-            suspects = tuple(case.accused.values())
-            yield attrs.evolve(case.crash, suspects=suspects)
+        for record in self._records.values():
+            suspects = tuple(record.suspects.values())
+            yield attrs.evolve(record.crash, suspects=suspects)
 
     def list_quarantines(self, now: float) -> Iterable[Quarantine]:
         """Return the requests that are refused now."""
         found = []
-        for fingerprint in sorted(self._convicted):
-            cases = list(self._accused[fingerprint].values())
-            ends = sorted(case.crash.expires for case in cases)
+        for fingerprint in sorted(self._quarantined):
+            records = list(self._records_by_request[fingerprint].values())
+            ends = sorted(record.crash.expires for record in records)
             # The last crash by itself convicts only a watched team's.
             end = ends[-min(2, len(ends))]
-            team = cases[0].accused[fingerprint].team
-            found.append(Quarantine(fingerprint, team, len(cases), end - now))
+            team = records[0].suspects[fingerprint].team
+            found.append(
+                Quarantine(fingerprint, team, len(records), end - now)
+            )
         return found
 
-    def list_watched(self) -> list[str]:
+    def list_isolated_teams(self) -> list[str]:
         """Return the teams whose unknown requests run alone."""
-        return sorted(filter(self.is_watched, self._teams))
+        return sorted(filter(self.is_team_isolated, self._teams))
--- a/packages/core/src/dunlintide_core/positions.py
+++ b/packages/core/src/dunlintide_core/positions.py
@@ -13,13 +13,13 @@
 __all__ = [
     'Cursor',
     'Fences',
-    'Kind',
+    'Action',
     'Verdict',
-    'rewind',
+    'build_rewound',
 ]
 
 
-class Kind(enum.StrEnum):
+class Action(enum.StrEnum):
     """What to do with a step."""
 
     ACCEPT = 'accept'
@@ -36,19 +36,19 @@
     :ivar trim: leading positions to leave out, since they have run
     """
 
-    kind: Kind
+    action: Action
     trim: int = 0
 
     @property
     def runs(self) -> bool:
         """Whether the step, or what is left of it, is to run."""
-        return self.kind in (Kind.ACCEPT, Kind.TRIM)
+        return self.action in (Action.ACCEPT, Action.TRIM)
 
 
-_ACCEPT = Verdict(Kind.ACCEPT)
-_DUPLICATE = Verdict(Kind.DUPLICATE)
-_GAP = Verdict(Kind.GAP)
-_STALE = Verdict(Kind.STALE)
+_ACCEPT = Verdict(Action.ACCEPT)
+_DUPLICATE = Verdict(Action.DUPLICATE)
+_GAP = Verdict(Action.GAP)
+_STALE = Verdict(Action.STALE)
 
 
 @attrs.define
@@ -93,16 +93,16 @@
             return _DUPLICATE
         trim = self.next_position - position
         self.next_position = end
-        return Verdict(Kind.TRIM, trim) if trim else _ACCEPT
+        return Verdict(Action.TRIM, trim) if trim else _ACCEPT
 
-    def renew(self, epoch: int) -> None:
+    def advance_epoch(self, epoch: int) -> None:
         """Go on in a newer epoch with the positions that have run."""
         self.epoch = epoch
         self.failed = False
         self.rewound = False
 
 
-def rewind(epoch: int, position: int) -> Cursor:
+def build_rewound(epoch: int, position: int) -> Cursor:
     """Make the cursor of a stage that asks anew for positions.
 
     :param position: the first one that it asks for
--- a/packages/core/src/dunlintide_core/prefixes.py
+++ b/packages/core/src/dunlintide_core/prefixes.py
@@ -32,8 +32,8 @@
 
 DEFAULT_LIMIT = 20_000
 # Sessions whose events may still come, and prefixes worth telling.
-_SESSIONS = 2_000
-_WORTH = 2_000
+_MAX_SESSIONS = 2_000
+_MAX_RANKED = 2_000
 
 
 @attrs.frozen
@@ -64,7 +64,7 @@
     blocks: tuple[int, ...]
     characters: int
 
-    def list_ends(self, tokens: int) -> tuple[int, ...]:
+    def estimate_ends(self, tokens: int) -> tuple[int, ...]:
         """Estimate the number of tokens up to the end of each block.
 
         :param tokens: length of the whole prompt
@@ -86,13 +86,13 @@
         """Give the index of the block that a position falls into."""
         return bisect.bisect_left(self.ends, tokens)
 
-    def count(self, index: int, grain: int) -> int:
+    def count(self, index: int, block_tokens: int) -> int:
         """Count the engine's blocks that end in one of the prompt's.
 
         :param grain: tokens in a block of the engine
         """
-        before = self.ends[index - 1] if index else 0
-        return self.ends[index] // grain - before // grain
+        previous = self.ends[index - 1] if index else 0
+        return self.ends[index] // block_tokens - previous // block_tokens
 
 
 def _trim(blocks: collections.OrderedDict, limit: int) -> None:
@@ -100,10 +100,10 @@
         blocks.popitem(last=False)
 
 
-def _note(blocks: collections.OrderedDict, block: int) -> None:
+def _touch(blocks: collections.OrderedDict, block: int) -> None:
     blocks[block] = None
     blocks.move_to_end(block)
-    _trim(blocks, _WORTH)
+    _trim(blocks, _MAX_RANKED)
 
 
 class View:
@@ -120,11 +120,11 @@
         :param limit: most blocks that are remembered, of each kind
         """
         self.sequence = 0
-        self.unsure = False
+        self.is_incomplete = False
         self.gaps = 0
         self._limit = limit
         # Tokens in a block of the engine: the end of the first one.
-        self._grain = 0
+        self._block_tokens = 0
         self._sessions: collections.OrderedDict[str, _Session] = (
             collections.OrderedDict()
         )
@@ -134,13 +134,13 @@
         )
         self._children: dict[int, set[int]] = {}
         # The engine's blocks, each with the prompt's block it lies in.
-        self._places: collections.OrderedDict[int, int] = (
+        self._prompt_blocks: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
         )
         self._reused: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._ends: collections.OrderedDict[int, None] = (
+        self._prompt_ends: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
 
@@ -150,39 +150,41 @@
     def __contains__(self, block: int) -> bool:
         return block in self._held
 
-    def begin(self, session: str, prefixes: Prefixes, tokens: int) -> None:
+    def add_session(
+        self, session: str, prefixes: Prefixes, tokens: int
+    ) -> None:
         """Note what a session asks, before its events come.
 
         :param tokens: length of its prompt
         """
         blocks = prefixes.blocks
-        ends = prefixes.list_ends(tokens)
+        ends = prefixes.estimate_ends(tokens)
         if not ends:
             return
         self._sessions[session] = _Session(blocks, ends)
-        _trim(self._sessions, _SESSIONS)
-        depth = self.tell_depth(blocks)
+        _trim(self._sessions, _MAX_SESSIONS)
+        depth = self.count_cached(blocks)
         if depth:
             # Others came back to it, so it is worth more than the rest.
-            _note(self._reused, blocks[depth - 1])
+            _touch(self._reused, blocks[depth - 1])
         if depth == len(blocks):
-            _note(self._ends, blocks[-1])
+            _touch(self._prompt_ends, blocks[-1])
 
-    def tell_depth(self, blocks: Sequence[int]) -> int:
+    def count_cached(self, blocks: Sequence[int]) -> int:
         """Count the blocks at a prompt's start that are held."""
         for index, block in enumerate(blocks):
             if block not in self._held:
                 return index
         return len(blocks)
 
-    def take(self, events: Iterable[Event]) -> None:
+    def apply_events(self, events: Iterable[Event]) -> None:
         """Take events in the order of their sequence numbers."""
         for event in events:
             if event.sequence <= self.sequence:
                 continue
             if event.sequence != self.sequence + 1:
                 self.gaps += 1
-                self.unsure = True
+                self.is_incomplete = True
             self.sequence = event.sequence
             if event.stored:
                 self._store(event)
@@ -193,13 +195,13 @@
         """Forget what is held; the engine counts on."""
         self._held.clear()
         self._children.clear()
-        self._places.clear()
+        self._prompt_blocks.clear()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget all: the engine was started anew and counts from 1."""
         self.clear()
         self.sequence = 0
-        self.unsure = False
+        self.is_incomplete = False
 
     def replace(self, sequence: int, blocks: Sequence[Event]) -> None:
         """Take what the engine says that it holds in place of the view.
@@ -207,101 +209,107 @@
         :param sequence: of the last event that is contained in it
         """
         self.sequence = sequence
-        self.unsure = False
+        self.is_incomplete = False
         counts: collections.Counter[int] = collections.Counter()
         found: dict[int, tuple[int, _Session]] = {}
         for event in blocks:
-            place = self._place(event)
-            if place is not None:
-                index, session = place
-                found[session.blocks[index]] = place
-            if event.block in self._places:
-                counts[self._places[event.block]] += 1
+            location = self._locate(event)
+            if location is not None:
+                index, session = location
+                found[session.blocks[index]] = location
+            if event.block in self._prompt_blocks:
+                counts[self._prompt_blocks[event.block]] += 1
         self._drop_missing({event.block for event in blocks}, counts)
         for block in sorted(found, key=lambda one: found[one][0]):
             index, session = found[block]
-            whole = counts[block] >= session.count(index, self._grain)
-            if whole and self._follows(session, index):
-                self._hold(session.blocks[: index + 1])
+            is_complete = counts[block] >= session.count(
+                index, self._block_tokens
+            )
+            if is_complete and self._extends_held(session, index):
+                self._add_held(session.blocks[: index + 1])
 
     def _drop_missing(
         self, names: Collection[int], counts: Mapping[int, int]
     ) -> None:
         """Drop blocks of which a part, or all, is not held any more."""
-        gone = [name for name in self._places if name not in names]
-        for name in gone:
-            self._drop(self._places.pop(name))
+        removed = [name for name in self._prompt_blocks if name not in names]
+        for name in removed:
+            self._drop(self._prompt_blocks.pop(name))
         for block in [one for one in self._held if not counts.get(one)]:
             self._drop(block)
 
-    def _follows(self, session: _Session, index: int) -> bool:
+    def _extends_held(self, session: _Session, index: int) -> bool:
         return not index or session.blocks[index - 1] in self._held
 
-    def _place(self, event: Event) -> tuple[int, _Session] | None:
+    def _locate(self, event: Event) -> tuple[int, _Session] | None:
         """Find the prompt's block in which an engine's block lies."""
         session = self._sessions.get(event.session)
         if session is None:
             return None
-        self._grain = min(self._grain or event.tokens, event.tokens)
+        self._block_tokens = min(
+            self._block_tokens or event.tokens, event.tokens
+        )
         index = session.find(event.tokens)
         if index == len(session.blocks):
             return None
-        self._places[event.block] = session.blocks[index]
-        _trim(self._places, self._limit)
+        self._prompt_blocks[event.block] = session.blocks[index]
+        _trim(self._prompt_blocks, self._limit)
         return index, session
 
     def _store(self, event: Event) -> None:
-        place = self._place(event)
-        if place is None:
+        location = self._locate(event)
+        if location is None:
             return
-        index, session = place
+        index, session = location
         # All before it was there when it was stored, events or not.
-        whole = index + (event.tokens + self._grain > session.ends[index])
-        if whole and session.blocks[whole - 1] not in self._held:
-            self._hold(session.blocks[:whole])
+        count = index + (
+            event.tokens + self._block_tokens > session.ends[index]
+        )
+        if count and session.blocks[count - 1] not in self._held:
+            self._add_held(session.blocks[:count])
 
-    def _hold(self, blocks: Sequence[int]) -> None:
-        before = None
+    def _add_held(self, blocks: Sequence[int]) -> None:
+        previous = None
         for block in blocks:
             if block not in self._held:
-                self._held[block] = before
-                if before is not None:
-                    self._children.setdefault(before, set()).add(block)
+                self._held[block] = previous
+                if previous is not None:
+                    self._children.setdefault(previous, set()).add(block)
             self._held.move_to_end(block)
-            before = block
-        if before is not None:
-            _note(self._ends, before)
+            previous = block
+        if previous is not None:
+            _touch(self._prompt_ends, previous)
             if len(blocks) > 1:
-                self._ends.pop(blocks[-2], None)
+                self._prompt_ends.pop(blocks[-2], None)
         while len(self._held) > self._limit:
             self._drop(next(iter(self._held)))
 
     def _evict(self, event: Event) -> None:
-        block = self._places.pop(event.block, None)
+        block = self._prompt_blocks.pop(event.block, None)
         if block is not None:
             self._drop(block)
 
     def _drop(self, block: int) -> None:
         """Forget a block and all that only counts behind it."""
-        waiting = [block]
-        while waiting:
-            one = waiting.pop()
+        pending = [block]
+        while pending:
+            one = pending.pop()
             if one not in self._held:
                 continue
-            before = self._held.pop(one)
-            if before is not None and before in self._children:
-                self._children[before].discard(one)
-                if not self._children[before]:
-                    del self._children[before]
-            waiting += self._children.pop(one, ())
-
-    def list_worth(self) -> Iterator[int]:
+            previous = self._held.pop(one)
+            if previous is not None and previous in self._children:
+                self._children[previous].discard(one)
+                if not self._children[previous]:
+                    del self._children[previous]
+            pending += self._children.pop(one, ())
+
+    def rank_blocks(self) -> Iterator[int]:
         """List held blocks that entries should know, best first.
 
         Where prompts parted that were asked here before, and then the
         ends of prompts, the newest first.
         """
-        for blocks in (self._reused, self._ends):
+        for blocks in (self._reused, self._prompt_ends):
             for block in reversed(blocks):
                 if block in self._held:
                     yield block
--- a/packages/core/src/dunlintide_core/queueing.py
+++ b/packages/core/src/dunlintide_core/queueing.py
@@ -17,7 +17,7 @@
     'Limits',
     'Queue',
     'Ticket',
-    'weigh',
+    'compute_cost',
 ]
 
 PRIORITIES = 4
@@ -50,8 +50,8 @@
     total: int = 4096
     quantum: float = 64.0
     max_cost: float = 65536.0
-    ageing: float = 2.0
-    aged_every: int = 8
+    ageing_seconds: float = 2.0
+    age_pick_interval: int = 8
     fair: bool = True
 
 
@@ -67,12 +67,12 @@
     weight: float
     priority: int
     cost: float
-    since: float
+    queued_at: float
     item: Any
     waiting: bool = True
 
 
-def weigh(
+def compute_cost(
     prompt_tokens: int, max_tokens: int, costs: Costs = Costs()
 ) -> float:
     """Return the cost of a completion."""
@@ -80,7 +80,7 @@
 
 
 @attrs.define(eq=False)
-class _Lane:
+class _Flow:
     """Requests of one team at one priority.
 
     :ivar account: cost that it may still spend; below 0 it has had more
@@ -88,11 +88,11 @@
     """
 
     weight: float
-    account: float
+    credit: float
     tickets: collections.deque = attrs.field(factory=collections.deque)
 
 
-_Lanes = collections.OrderedDict[str, _Lane]
+_Flows = collections.OrderedDict[str, _Flow]
 
 
 class _Level:
@@ -106,112 +106,112 @@
 
     def __init__(self, quantum: float) -> None:
         self._quantum = quantum
-        self._fresh: _Lanes = collections.OrderedDict()
-        self._ring: _Lanes = collections.OrderedDict()
-        self._line: collections.deque[Ticket] = collections.deque()
+        self._new_flows: _Flows = collections.OrderedDict()
+        self._ring: _Flows = collections.OrderedDict()
+        self._by_age: collections.deque[Ticket] = collections.deque()
 
-    def list_lanes(self) -> list[str]:
+    def list_teams(self) -> list[str]:
         """Return the teams that something is known of."""
-        return [*self._fresh, *self._ring]
+        return [*self._new_flows, *self._ring]
 
-    def _find(self, team: str) -> _Lane | None:
-        return self._fresh.get(team) or self._ring.get(team)
+    def _find(self, team: str) -> _Flow | None:
+        return self._new_flows.get(team) or self._ring.get(team)
 
     def push(self, ticket: Ticket) -> None:
         """Add a waiting request."""
         team = ticket.team
-        lane = self._find(team)
-        if lane is None:
-            account = self._quantum * ticket.weight
-            lane = self._fresh[team] = _Lane(ticket.weight, account)
-        elif not lane.tickets and lane.account > 0 and team in self._ring:
-            self._fresh[team] = self._ring.pop(team)
-        lane.weight = ticket.weight
-        lane.tickets.append(ticket)
-        self._line.append(ticket)
+        flow = self._find(team)
+        if flow is None:
+            credit = self._quantum * ticket.weight
+            flow = self._new_flows[team] = _Flow(ticket.weight, credit)
+        elif not flow.tickets and flow.credit > 0 and team in self._ring:
+            self._new_flows[team] = self._ring.pop(team)
+        flow.weight = ticket.weight
+        flow.tickets.append(ticket)
+        self._by_age.append(ticket)
 
     def find_oldest(self) -> Ticket | None:
         """Return the request that has waited longest."""
-        line = self._line
-        while line and not line[0].waiting:
-            line.popleft()
-        if not line:
+        by_age = self._by_age
+        while by_age and not by_age[0].waiting:
+            by_age.popleft()
+        if not by_age:
             # Nobody is left whose share a debt would have cost.
-            self._fresh.clear()
+            self._new_flows.clear()
             self._ring.clear()
-        return line[0] if line else None
+        return by_age[0] if by_age else None
 
-    def _has_turn(self, lane: _Lane) -> bool:
-        while lane.tickets and not lane.tickets[0].waiting:
-            lane.tickets.popleft()
-        return bool(lane.tickets) and lane.account > 0
+    def _is_ready(self, flow: _Flow) -> bool:
+        while flow.tickets and not flow.tickets[0].waiting:
+            flow.tickets.popleft()
+        return bool(flow.tickets) and flow.credit > 0
 
     def _skip_rounds(self) -> None:
         """Grant at once the rounds in which nobody could go."""
         owed = (
-            -lane.account / (self._quantum * lane.weight)
-            for lane in self._ring.values()
-            if lane.tickets
+            -flow.credit / (self._quantum * flow.weight)
+            for flow in self._ring.values()
+            if flow.tickets
         )
         # Below 0 for a lane that may go in the round to come.
         rounds = max(0, int(min(owed, default=0.0)))
-        for lane in self._ring.values():
-            lane.account += rounds * self._quantum * lane.weight
+        for flow in self._ring.values():
+            flow.credit += rounds * self._quantum * flow.weight
 
-    def turn(self) -> Ticket | None:
+    def find_next(self) -> Ticket | None:
         """Return the request whose turn it is, without taking it.
 
         A request must be waiting.
         """
-        while self._fresh:
-            team, lane = next(iter(self._fresh.items()))
-            if self._has_turn(lane):
-                return lane.tickets[0]
-            self._ring[team] = self._fresh.pop(team)
-        passed = 0
+        while self._new_flows:
+            team, flow = next(iter(self._new_flows.items()))
+            if self._is_ready(flow):
+                return flow.tickets[0]
+            self._ring[team] = self._new_flows.pop(team)
+        skipped = 0
         while self._ring:
-            team, lane = next(iter(self._ring.items()))
-            if self._has_turn(lane):
-                return lane.tickets[0]
-            lane.account += self._quantum * lane.weight
-            if not lane.tickets and lane.account > 0:
+            team, flow = next(iter(self._ring.items()))
+            if self._is_ready(flow):
+                return flow.tickets[0]
+            flow.credit += self._quantum * flow.weight
+            if not flow.tickets and flow.credit > 0:
                 del self._ring[team]
                 continue
             self._ring.move_to_end(team)
-            passed += 1
-            if passed >= len(self._ring):
+            skipped += 1
+            if skipped >= len(self._ring):
                 self._skip_rounds()
-                passed = 0
+                skipped = 0
         return None
 
-    def find(self, may: Callable[[str], bool]) -> Ticket | None:
+    def find(self, is_allowed: Callable[[str], bool]) -> Ticket | None:
         """Return the first request of a team that may start one."""
-        for lanes in (self._fresh, self._ring):
-            for team, lane in lanes.items():
-                self._has_turn(lane)
-                if lane.tickets and may(team):
-                    return lane.tickets[0]
+        for flows in (self._new_flows, self._ring):
+            for team, flow in flows.items():
+                self._is_ready(flow)
+                if flow.tickets and is_allowed(team):
+                    return flow.tickets[0]
         return None
 
     def take(self, ticket: Ticket) -> None:
         """Take what ``turn`` or ``find`` returned."""
-        lane = self._find(ticket.team)
-        lane.tickets.popleft()
-        lane.account -= ticket.cost
+        flow = self._find(ticket.team)
+        flow.tickets.popleft()
+        flow.credit -= ticket.cost
 
-    def owes(self, team: str) -> float:
+    def count_debt_rounds(self, team: str) -> float:
         """Return the rounds that it takes to pay a team's debt."""
-        lane = self._find(team)
-        if lane is None:
+        flow = self._find(team)
+        if flow is None:
             return 0.0
-        return max(0.0, -lane.account / (self._quantum * lane.weight))
+        return max(0.0, -flow.credit / (self._quantum * flow.weight))
 
-    def correct(self, team: str, cost: float, most: float) -> None:
+    def adjust_cost(self, team: str, cost: float, max_cost: float) -> None:
         """Charge a lane for what a request cost beyond its estimate."""
-        lane = self._find(team)
-        if lane is not None:
-            account = lane.account - cost
-            lane.account = min(max(account, -most), most)
+        flow = self._find(team)
+        if flow is not None:
+            credit = flow.credit - cost
+            flow.credit = min(max(credit, -max_cost), max_cost)
 
 
 class Queue:
@@ -299,7 +299,7 @@
         self.cost += ticket.cost
         return None
 
-    def _forget(self, ticket: Ticket) -> None:
+    def _remove(self, ticket: Ticket) -> None:
         ticket.waiting = False
         self._size -= 1
         self.cost -= ticket.cost
@@ -317,42 +317,45 @@
         """Take a waiting request out; False when it no longer waits."""
         if not ticket.waiting:
             return False
-        self._forget(ticket)
+        self._remove(ticket)
         return True
 
-    def correct(self, ticket: Ticket, cost: float) -> None:
+    def adjust_cost(self, ticket: Ticket, cost: float) -> None:
         """Charge what a request really cost in place of its estimate.
 
         :param ticket: as it was picked
         :param cost: what it really cost
         """
         level = self._levels[ticket.priority]
-        most = self._limits.max_cost
-        level.correct(ticket.team, cost - ticket.cost, most)
+        max_cost = self._limits.max_cost
+        level.adjust_cost(ticket.team, cost - ticket.cost, max_cost)
 
-    def owes(self, team: str) -> float:
+    def count_debt_rounds(self, team: str) -> float:
         """Return the rounds by which a team is ahead of its share."""
-        return max(level.owes(team) for level in self._levels)
+        return max(level.count_debt_rounds(team) for level in self._levels)
 
     def _choose(self, now: float) -> _Level | None:
-        aged = self._picks % self._limits.aged_every == 0
+        is_age_pick = self._picks % self._limits.age_pick_interval == 0
         best, best_rank = None, float('inf')
         for priority, level in enumerate(self._levels):
             oldest = level.find_oldest()
             if oldest is None:
                 continue
-            if not aged:
+            if not is_age_pick:
                 return level
-            rank = priority - (now - oldest.since) / self._limits.ageing
+            rank = (
+                priority
+                - (now - oldest.queued_at) / self._limits.ageing_seconds
+            )
             if rank < best_rank:
                 best, best_rank = level, rank
         return best
 
-    def _find_other(
-        self, level: _Level, may: Callable[[str], bool]
+    def _find_allowed(
+        self, level: _Level, is_allowed: Callable[[str], bool]
     ) -> tuple[_Level, Ticket] | None:
         for one in (level, *self._levels):
-            ticket = one.find(may)
+            ticket = one.find(is_allowed)
             if ticket is not None:
                 return one, ticket
         return None
@@ -361,7 +364,7 @@
         self,
         now: float,
         admits: Callable[[Ticket], bool],
-        may: Callable[[str], bool] = lambda team: True,
+        is_allowed: Callable[[str], bool] = lambda team: True,
     ) -> Ticket | None:
         """Take the request whose turn it is, if it may start now.
 
@@ -375,12 +378,15 @@
         level = self._choose(now)
         if level is None:
             return None
-        ticket = level.turn()
-        if ticket is not None and not may(ticket.team):
-            level, ticket = self._find_other(level, may) or (level, None)
+        ticket = level.find_next()
+        if ticket is not None and not is_allowed(ticket.team):
+            level, ticket = self._find_allowed(level, is_allowed) or (
+                level,
+                None,
+            )
         if ticket is None or not admits(ticket):
             return None
         self._picks += 1
         level.take(ticket)
-        self._forget(ticket)
+        self._remove(ticket)
         return ticket
--- a/packages/core/src/dunlintide_core/rates.py
+++ b/packages/core/src/dunlintide_core/rates.py
@@ -2,10 +2,10 @@
 
 __all__ = ['Rate']
 
-_WEIGHT = 0.3
+_SMOOTHING = 0.3
 # A full batch of a slow endpoint ends together, and then nothing does for
 # as long; only beyond this does a pause say that the endpoint is slower.
-_LULL_SECONDS = 30.0
+_MAX_PAUSE_SECONDS = 30.0
 
 
 class Rate:
@@ -47,7 +47,7 @@
         if elapsed <= 0:
             return
         if is_busy and not self._ended:
-            self._fall(elapsed)
+            self._decay(elapsed)
             return
         if is_busy and self._ended < in_flight:
             return
@@ -57,11 +57,11 @@
         self._ended = 0
         self._since = now
 
-    def _fall(self, elapsed: float) -> None:
-        if elapsed > _LULL_SECONDS:
-            self.value = self._kept * _LULL_SECONDS / elapsed
+    def _decay(self, elapsed: float) -> None:
+        if elapsed > _MAX_PAUSE_SECONDS:
+            self.value = self._kept * _MAX_PAUSE_SECONDS / elapsed
 
     def _blend(self, seen: float, elapsed: float) -> None:
         """Weigh a pace by the time for which it was seen."""
-        kept = (1.0 - _WEIGHT) ** elapsed if self._kept else 0.0
+        kept = (1.0 - _SMOOTHING) ** elapsed if self._kept else 0.0
         self.value = self._kept = kept * self._kept + (1.0 - kept) * seen
--- a/packages/core/src/dunlintide_core/replan.py
+++ b/packages/core/src/dunlintide_core/replan.py
@@ -60,20 +60,20 @@
         :param links: declared qualities of the links
         """
         self.plan = plans.EMPTY
-        self.stops: list[plans.Stop] = []
+        self.stops: list[plans.Stage] = []
         self.count = 0
         self.capacities = capacity.CapacityModel()
         self.delays = delays.DelayModel()
         self._layers = layers
         self._links = links
-        self._declared: list[plans.Stop] = []
+        self._declared: list[plans.Stage] = []
         self._stale = True
         self._planned = float('-inf')
         # Links' estimates are noisier, and must not use up the stages'.
         self._for_stages = _Allowance()
         self._for_links = _Allowance()
 
-    def set_stops(self, stops: Iterable[plans.Stop]) -> None:
+    def set_stops(self, stops: Iterable[plans.Stage]) -> None:
         """Set the live endpoints with their declared capacities."""
         self._declared = list(stops)
         self.capacities.track(self._declared)
@@ -94,7 +94,7 @@
         :param interval: in seconds
         :param now: time in seconds
         """
-        explains = self.capacities.explains
+        explains = self.capacities.is_slow
         self.delays.observe(chain, interval, now, explains)
 
     def tick(self, now: float) -> plans.Plan | None:
@@ -120,10 +120,10 @@
             return False
         if self._stale:
             return True
-        stages = self.capacities.change()
+        stages = self.capacities.compute_change()
         if stages >= _LARGE_CHANGE and self._for_stages.claim(now):
             return True
-        links = self.delays.change()
+        links = self.delays.compute_change()
         if links >= _LARGE_CHANGE and self._for_links.claim(now):
             return True
         change = max(stages, links)
--- a/packages/core/src/dunlintide_core/turns.py
+++ b/packages/core/src/dunlintide_core/roundrobin.py
@@ -5,23 +5,23 @@
 
 from dunlintide_core import plan as plans
 
-__all__ = ['Turns']
+__all__ = ['RoundRobin']
 
 
-def _find_reaching(
-    stops: Iterable[plans.Stop], layers: int
-) -> list[plans.Stop]:
+def _list_reaching(
+    stages: Iterable[plans.Stage], layers: int
+) -> list[plans.Stage]:
     """Keep the stops from which the last layer can be reached."""
     reaching = {layers}
     kept = []
-    for stop in sorted(stops, key=lambda stop: -stop.layer_start):
-        if stop.layer_end in reaching:
-            reaching.add(stop.layer_start)
-            kept.append(stop)
+    for stage in sorted(stages, key=lambda stage: -stage.layer_start):
+        if stage.layer_end in reaching:
+            reaching.add(stage.layer_start)
+            kept.append(stage)
     return kept
 
 
-class Turns:
+class RoundRobin:
     """Endpoints of each layer boundary in turn, whatever their load."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
 
     def choose(
         self,
-        stops: Iterable[plans.Stop],
+        stages: Iterable[plans.Stage],
         layers: int,
         avoid: Collection[str] = (),
     ) -> plans.Chain | None:
@@ -40,15 +40,15 @@
         :param layers: number of layers of the model
         :param avoid: agents that must not be met
         """
-        usable = [stop for stop in stops if stop.agent not in avoid]
-        by_start: dict[int, list[plans.Stop]] = {}
-        for stop in _find_reaching(usable, layers):
-            by_start.setdefault(stop.layer_start, []).append(stop)
+        usable = [stage for stage in stages if stage.agent not in avoid]
+        by_start: dict[int, list[plans.Stage]] = {}
+        for stage in _list_reaching(usable, layers):
+            by_start.setdefault(stage.layer_start, []).append(stage)
         boundary = 0
         path = []
         while boundary != layers:
             found = sorted(
-                by_start.get(boundary, ()), key=lambda stop: stop.agent
+                by_start.get(boundary, ()), key=lambda stage: stage.agent
             )
             if not found:
                 return None
--- a/packages/core/src/dunlintide_core/choose.py
+++ b/packages/core/src/dunlintide_core/selection.py
@@ -18,24 +18,24 @@
 ]
 
 # Chains that are weighed because they hold a part of a prompt.
-_HOLDING = 8
+_MAX_CACHED_CHAINS = 8
 # Draws that may hit an avoided agent before the chains are filtered.
-_DRAWS = 8
+_MAX_DRAWS = 8
 
 # A chain that saves the whole prefill is taken while its load is within
 # this factor of the one drawn; a part of the prefill counts for less.
 AFFINITY_FACTOR = 2.5
 
-_NOTHING: frozenset[str] = frozenset()
-_NOBODY: Mapping[str, float] = {}
+_NO_AGENTS: frozenset[str] = frozenset()
+_NO_HOLDERS: Mapping[str, float] = {}
 
 
 def find_path(
-    stops: Iterable[plans.Stop],
+    stages: Iterable[plans.Stage],
     layer_start: int,
     layer_end: int,
-    cost: Callable[[plans.Stop], float],
-) -> tuple[plans.Stop, ...]:
+    cost: Callable[[plans.Stage], float],
+) -> tuple[plans.Stage, ...]:
     """Find the cheapest endpoints that tile a range of layers.
 
     :param stops: endpoints that may be used
@@ -43,36 +43,38 @@
     :returns: the stops in order, empty when no path exists
     """
     best: dict[int, float] = {layer_start: 0.0}
-    came: dict[int, plans.Stop] = {}
+    previous: dict[int, plans.Stage] = {}
     # Every stop leads upwards, so the order of starts settles each
     # boundary before it is left.
-    for stop in sorted(stops, key=lambda stop: (stop.layer_start, stop.agent)):
-        if stop.layer_start not in best or stop.layer_end > layer_end:
+    for stage in sorted(
+        stages, key=lambda stage: (stage.layer_start, stage.agent)
+    ):
+        if stage.layer_start not in best or stage.layer_end > layer_end:
             continue
-        total = best[stop.layer_start] + cost(stop)
-        if total < best.get(stop.layer_end, float('inf')):
-            best[stop.layer_end] = total
-            came[stop.layer_end] = stop
-    path: list[plans.Stop] = []
+        total = best[stage.layer_start] + cost(stage)
+        if total < best.get(stage.layer_end, float('inf')):
+            best[stage.layer_end] = total
+            previous[stage.layer_end] = stage
+    path: list[plans.Stage] = []
     boundary = layer_end
     while boundary != layer_start:
-        if boundary not in came:
+        if boundary not in previous:
             return ()
-        path.append(came[boundary])
+        path.append(previous[boundary])
         boundary = path[-1].layer_start
     return tuple(reversed(path))
 
 
-def _tell_saved(chain: plans.Chain, holders: Mapping[str, float]) -> float:
+def _compute_saving(chain: plans.Chain, holders: Mapping[str, float]) -> float:
     """Give the share of a prompt's prefill that caches save.
 
     A stage saves its own work only, which takes longer on a slow one.
     """
     saved = total = 0.0
-    for stop in chain.stops:
-        seconds = 1.0 / stop.capacity if stop.capacity > 0.0 else 0.0
+    for stage in chain.stages:
+        seconds = 1.0 / stage.capacity if stage.capacity > 0.0 else 0.0
         total += seconds
-        saved += seconds * holders.get(stop.agent, 0.0)
+        saved += seconds * holders.get(stage.agent, 0.0)
     return saved / total if total else 0.0
 
 
@@ -81,8 +83,8 @@
     """Chains that may be drawn, with running sums of their shares."""
 
     chains: tuple[plans.Chain, ...] = ()
-    sums: tuple[float, ...] = ()
-    loaded: tuple[tuple[loads.Load, ...], ...] = ()
+    cumulative_shares: tuple[float, ...] = ()
+    chain_loads: tuple[tuple[loads.Load, ...], ...] = ()
     by_agent: Mapping[str, tuple[int, ...]] = attrs.field(factory=dict)
 
 
@@ -98,15 +100,15 @@
         self._factor = factor
         self._plan = plans.EMPTY
         self._layers = 0
-        self._stops: tuple[plans.Stop, ...] = ()
-        self._by_agent: dict[str, plans.Stop] = {}
+        self._stages: tuple[plans.Stage, ...] = ()
+        self._by_agent: dict[str, plans.Stage] = {}
         self._loads: dict[str, loads.Load] = {}
-        self._excluded: frozenset[str] = _NOTHING
+        self._excluded: frozenset[str] = _NO_AGENTS
         self._heads: frozenset[str] | None = None
         self._table = _Table()
 
     def adopt(
-        self, plan: plans.Plan, stops: Iterable[plans.Stop], layers: int
+        self, plan: plans.Plan, stages: Iterable[plans.Stage], layers: int
     ) -> None:
         """Put a plan in force.
 
@@ -114,24 +116,26 @@
         :param layers: number of layers of the model
         """
         self._plan = plan
-        self._stops = tuple(stops)
-        self._by_agent = {stop.agent: stop for stop in self._stops}
+        self._stages = tuple(stages)
+        self._by_agent = {stage.agent: stage for stage in self._stages}
         self._layers = layers
-        rooms = loads.expect_rooms(plan, self._stops)
-        for agent, room in rooms.items():
-            self._loads.setdefault(agent, loads.Load(room)).room = room
-        self._forget(stop.agent for stop in self._stops)
-        self._build()
+        saturations = loads.estimate_saturation(plan, self._stages)
+        for agent, saturation in saturations.items():
+            self._loads.setdefault(
+                agent, loads.Load(saturation)
+            ).saturation = saturation
+        self._prune_loads(stage.agent for stage in self._stages)
+        self._build_table()
 
     def exclude(self, agents: Collection[str]) -> None:
         """Give these agents no new work: the dead and the leaving."""
         self._excluded = frozenset(agents)
-        self._build()
+        self._build_table()
 
     def restrict(self, heads: Collection[str] | None) -> None:
         """Use only these agents as heads; None lifts the restriction."""
         self._heads = None if heads is None else frozenset(heads)
-        self._build()
+        self._build_table()
 
     def report(self, agent: str, load: fleet.LoadReport, now: float) -> None:
         """Take a load report of an agent.
@@ -141,14 +145,14 @@
         known = self._loads.get(agent)
         if known is not None:
             known.others = max(0.0, load.running + load.queued - known.own)
-            known.reported = now - load.age
+            known.reported_at = now - load.age
 
     def choose(
         self,
         now: float,
         rng: random.Random,
-        avoid: Collection[str] = _NOTHING,
-        holders: Mapping[str, float] = _NOBODY,
+        avoid: Collection[str] = _NO_AGENTS,
+        holders: Mapping[str, float] = _NO_HOLDERS,
     ) -> plans.Chain | None:
         """Choose the chain for one request; None when nothing tiles.
 
@@ -159,63 +163,65 @@
         chosen = self._choose_by_load(now, rng, avoid)
         if chosen is None or not holders:
             return chosen
-        least = _tell_saved(chosen, holders)
+        chosen_saving = _compute_saving(chosen, holders)
         savings = [
-            (_tell_saved(chain, holders), chain)
-            for chain in self._list_holding(holders, avoid)
+            (_compute_saving(chain, holders), chain)
+            for chain in self._list_cached(holders, avoid)
         ]
         savings.sort(key=lambda saving: -saving[0])
         for saved, chain in savings:
-            if saved <= least:
+            if saved <= chosen_saving:
                 break
-            if self._is_worth(chain, saved - least, chosen, now):
+            if self._is_worthwhile(chain, saved - chosen_saving, chosen, now):
                 return chain
         return chosen
 
     def begin(self, chain: plans.Chain) -> None:
         """Count a request that was sent along a chain."""
-        for stop in chain.stops:
-            load = self._loads.get(stop.agent)
+        for stage in chain.stages:
+            load = self._loads.get(stage.agent)
             if load is not None:
                 load.own += 1
 
     def end(self, chain: plans.Chain) -> None:
         """Count a request as over, whatever became of it."""
-        for stop in chain.stops:
-            load = self._loads.get(stop.agent)
+        for stage in chain.stages:
+            load = self._loads.get(stage.agent)
             if load is not None and load.own > 0:
                 load.own -= 1
 
-    def load_of(self, chain: plans.Chain, now: float) -> float:
+    def score_chain(self, chain: plans.Chain, now: float) -> float:
         """Give a chain's outstanding work; 1 keeps it just busy."""
-        found = (self._loads.get(stop.agent) for stop in chain.stops)
+        found = (self._loads.get(stage.agent) for stage in chain.stages)
         return loads.score([load for load in found if load is not None], now)
 
-    def in_flight(self) -> Mapping[str, int]:
+    def count_in_flight(self) -> Mapping[str, int]:
         """Give this process's requests in flight by agent."""
         return {name: load.own for name, load in self._loads.items()}
 
-    def reported(self) -> Mapping[str, float]:
+    def list_reported(self) -> Mapping[str, float]:
         """Give other processes' requests by agent, as last reported."""
         return {name: load.others for name, load in self._loads.items()}
 
-    def _forget(self, live: Iterable[str]) -> None:
+    def _prune_loads(self, live: Iterable[str]) -> None:
         kept = set(live)
         for name in [name for name in self._loads if name not in kept]:
             if not self._loads[name].own:
                 del self._loads[name]
 
-    def _usable(self, chain: plans.Chain) -> bool:
+    def _is_usable(self, chain: plans.Chain) -> bool:
         if not self._excluded.isdisjoint(chain.agents):
             return False
         return self._heads is None or chain.agents[0] in self._heads
 
-    def _build(self) -> None:
+    def _build_table(self) -> None:
         chains = tuple(
-            chain for chain in self._plan.chains if self._usable(chain)
+            chain for chain in self._plan.chains if self._is_usable(chain)
         )
-        sums = itertools.accumulate(chain.share for chain in chains)
-        loaded = tuple(
+        cumulative_shares = itertools.accumulate(
+            chain.share for chain in chains
+        )
+        chain_loads = tuple(
             tuple(self._loads[agent] for agent in chain.agents)
             for chain in chains
         )
@@ -225,8 +231,8 @@
                 by_agent.setdefault(agent, []).append(index)
         self._table = _Table(
             chains,
-            tuple(sums),
-            loaded,
+            tuple(cumulative_shares),
+            chain_loads,
             {agent: tuple(found) for agent, found in by_agent.items()},
         )
 
@@ -235,20 +241,20 @@
     ) -> plans.Chain | None:
         table = self._table
         if not table.chains:
-            return self._improvise(now, avoid)
+            return self._find_fallback(now, avoid)
         first = self._draw(table, rng, avoid)
         if first is None:
-            return self._choose_among_rest(now, avoid)
+            return self._choose_not_avoided(now, avoid)
         second = self._draw(table, rng, avoid)
         if second is None or second == first:
             return table.chains[first]
-        if loads.score(table.loaded[second], now) < loads.score(
-            table.loaded[first], now
+        if loads.score(table.chain_loads[second], now) < loads.score(
+            table.chain_loads[first], now
         ):
             first = second
         return table.chains[first]
 
-    def _list_holding(
+    def _list_cached(
         self, holders: Mapping[str, float], avoid: Collection[str]
     ) -> Iterator[plans.Chain]:
         """List a few chains of the plan, those of the best holders first."""
@@ -257,14 +263,14 @@
         found: dict[int, None] = {}
         for agent in best:
             found.update(dict.fromkeys(table.by_agent.get(agent, ())))
-            if len(found) >= _HOLDING:
+            if len(found) >= _MAX_CACHED_CHAINS:
                 break
-        for index in itertools.islice(found, _HOLDING):
+        for index in itertools.islice(found, _MAX_CACHED_CHAINS):
             chain = table.chains[index]
             if not avoid or not any(one in avoid for one in chain.agents):
                 yield chain
 
-    def _is_worth(
+    def _is_worthwhile(
         self,
         chain: plans.Chain,
         saved: float,
@@ -273,24 +279,28 @@
     ) -> bool:
         factor = 1.0 + (self._factor - 1.0) * saved
         # One more request on an idle chain must not undo its affinity.
-        slack = 1.0 / min(self._loads[name].room for name in chain.agents)
-        limit = factor * self.load_of(other, now) + slack
-        return self.load_of(chain, now) <= limit
+        slack = 1.0 / min(
+            self._loads[name].saturation for name in chain.agents
+        )
+        limit = factor * self.score_chain(other, now) + slack
+        return self.score_chain(chain, now) <= limit
 
     def _draw(
         self, table: _Table, rng: random.Random, avoid: Collection[str]
     ) -> int | None:
-        total = table.sums[-1]
-        last = len(table.sums) - 1
-        for _ in range(_DRAWS if avoid else 1):
-            index = bisect.bisect(table.sums, rng.random() * total, 0, last)
+        total = table.cumulative_shares[-1]
+        last = len(table.cumulative_shares) - 1
+        for _ in range(_MAX_DRAWS if avoid else 1):
+            index = bisect.bisect(
+                table.cumulative_shares, rng.random() * total, 0, last
+            )
             if not avoid or not any(
                 agent in avoid for agent in table.chains[index].agents
             ):
                 return index
         return None
 
-    def _choose_among_rest(
+    def _choose_not_avoided(
         self, now: float, avoid: Collection[str]
     ) -> plans.Chain | None:
         rest = [
@@ -299,28 +309,31 @@
             if not any(agent in avoid for agent in chain.agents)
         ]
         if not rest:
-            return self._improvise(now, avoid)
+            return self._find_fallback(now, avoid)
         best = min(
-            rest, key=lambda index: loads.score(self._table.loaded[index], now)
+            rest,
+            key=lambda index: loads.score(self._table.chain_loads[index], now),
         )
         return self._table.chains[best]
 
-    def _improvise(
+    def _find_fallback(
         self, now: float, avoid: Collection[str]
     ) -> plans.Chain | None:
         """Tile the layers with whatever lives, without a plan."""
-        usable = [stop for stop in self._stops if self._may_visit(stop, avoid)]
+        usable = [
+            stage for stage in self._stages if self._is_eligible(stage, avoid)
+        ]
         path = find_path(
             usable,
             0,
             self._layers,
-            lambda stop: (1 + self._loads[stop.agent].own) / stop.capacity,
+            lambda stage: (1 + self._loads[stage.agent].own) / stage.capacity,
         )
         return plans.Chain(path) if path else None
 
-    def _may_visit(self, stop: plans.Stop, avoid: Collection[str]) -> bool:
-        if stop.agent in self._excluded or stop.agent in avoid:
+    def _is_eligible(self, stage: plans.Stage, avoid: Collection[str]) -> bool:
+        if stage.agent in self._excluded or stage.agent in avoid:
             return False
-        if stop.layer_start > 0 or self._heads is None:
-            return stop.capacity > 0.0
-        return stop.agent in self._heads and stop.capacity > 0.0
+        if stage.layer_start > 0 or self._heads is None:
+            return stage.capacity > 0.0
+        return stage.agent in self._heads and stage.capacity > 0.0
--- a/packages/daemon/src/dunlintide_daemon/agent/admission.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/admission.py
@@ -33,10 +33,10 @@
         policy = settings_module.CapPolicy.FIXED
     match policy:
         case settings_module.CapPolicy.FIXED:
-            return caps.fix(slots)
+            return caps.build_fixed(slots)
         case settings_module.CapPolicy.ADAPTIVE:
-            return caps.adapt(caps.START, slots)
-    return caps.budget(slots)
+            return caps.build_adaptive(caps.INITIAL_REQUESTS, slots)
+    return caps.build_budget(slots)
 
 
 def build_gate(
--- a/packages/daemon/src/dunlintide_daemon/agent/answers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/answers.py
@@ -156,7 +156,7 @@
     def settle_claim(
         self,
         verdict: ledgers.Verdict,
-        entry: ledgers.Entry | None,
+        entry: ledgers.Record | None,
         subscriber: works.Subscriber,
         skip: int,
     ) -> None:
--- a/packages/daemon/src/dunlintide_daemon/agent/caching.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/caching.py
@@ -10,7 +10,7 @@
 
 from dunlintide_adapters import cacheevents
 from dunlintide_adapters.wire import link_pb2
-from dunlintide_core import cachenews
+from dunlintide_core import cacheupdates
 from dunlintide_core import prefixes
 from dunlintide_daemon.agent import counts as counting
 from dunlintide_daemon.agent import sessions
@@ -25,7 +25,7 @@
 _JOIN_SECONDS = 5.0
 
 
-def _attach(load: link_pb2.Load, news: cachenews.News) -> link_pb2.Load:
+def _attach(load: link_pb2.Load, news: cacheupdates.Update) -> link_pb2.Load:
     if not (news.held or news.lost or news.all):
         return load
     copied = link_pb2.Load()
@@ -52,7 +52,7 @@
         self._source = source
         self._counts = counts
         self._view = prefixes.View()
-        self._teller = cachenews.Teller(limit)
+        self._teller = cacheupdates.Publisher(limit)
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         self._thread = threading.Thread(
@@ -78,13 +78,15 @@
             return
         found = prefixes.Prefixes(tuple(told.blocks), told.characters)
         with self._lock:
-            self._view.begin(session.request_id, found, session.prompt_tokens)
+            self._view.add_session(
+                session.request_id, found, session.prompt_tokens
+            )
 
     def forget(self) -> None:
         """Take the cache as empty: the engine has gone or loads others."""
         with self._lock:
             self._view.clear()
-            self._view.unsure = True
+            self._view.is_incomplete = True
             self._fresh = []
 
     def _run(self) -> None:
@@ -105,15 +107,15 @@
         with self._lock:
             if last < since:
                 # The engine was started anew and counts from 1.
-                self._view.restart()
+                self._view.reset()
                 self._fresh, self._seen = [], 0
                 return
             gaps = self._view.gaps
-            self._view.take(self._fresh)
+            self._view.apply_events(self._fresh)
             self._counts.add('cache-gap', self._view.gaps - gaps)
             self._fresh = events
             self._seen = events[-1].sequence if events else since
-            unsure = self._view.unsure
+            unsure = self._view.is_incomplete
         if unsure and now - self._reread >= REREAD_SECONDS:
             self._reread = now
             self._read_anew()
@@ -132,14 +134,14 @@
     def tell(self, load: link_pb2.Load) -> link_pb2.Load:
         """Add the next news to a load report that goes to all entries."""
         with self._lock:
-            news = self._teller.tell(self._view)
+            news = self._teller.publish(self._view)
         self._counts.add('cache-told', len(news.held) + len(news.lost))
         return _attach(load, news)
 
     def tell_all(self, load: link_pb2.Load) -> link_pb2.Load:
         """Add all that was told to the first report on a new link."""
         with self._lock:
-            news = self._teller.tell_all()
+            news = self._teller.build_snapshot()
         return _attach(load, news)
 
     def describe(self) -> dict[str, Any]:
@@ -150,5 +152,5 @@
                 'told': len(self._teller),
                 'sequence': self._view.sequence,
                 'gaps': self._view.gaps,
-                'unsure': self._view.unsure,
+                'unsure': self._view.is_incomplete,
             }
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -118,7 +118,7 @@
         self._alone_next = False
         self._exclusive = False
         self._running: set[Job] = set()
-        self._spans = spans.Spans()
+        self._spans = spans.SpanPacer()
         # Seconds until a long span that has to wait may begin.
         self._pause: float | None = None
         # Of those running, the ones that a crash was put down to.
@@ -301,7 +301,7 @@
 
     def _must_pause(self, job: Job) -> bool:
         team = self._handlers.find_team(job)
-        pause = self._spans.find_pause(team, time.monotonic())
+        pause = self._spans.find_delay(team, time.monotonic())
         if pause:
             self._pause = min(pause, self._pause or pause)
         return pause > 0.0
@@ -310,12 +310,14 @@
         now = time.monotonic()
         for job in jobs:
             if not _is_long(job):
-                self._spans.note_short(self._handlers.find_team(job), now)
+                self._spans.record_short_step(
+                    self._handlers.find_team(job), now
+                )
 
     def _note_long(self, jobs: list[Job], began: float) -> None:
         if any(map(_is_long, jobs)):
             now = time.monotonic()
-            self._spans.end_long(now - began, now)
+            self._spans.record_long_span(now - began, now)
 
     def _release(self, jobs: list[Job]) -> None:
         with self._wake:
--- a/packages/daemon/src/dunlintide_daemon/agent/gate.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/gate.py
@@ -172,7 +172,7 @@
 
     def _attach_claimed(
         self,
-        entry: ledgers.Entry,
+        entry: ledgers.Record,
         work: works.Work,
         subscriber: works.Subscriber,
         skip: int,
--- a/packages/daemon/src/dunlintide_daemon/agent/heads.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/heads.py
@@ -44,7 +44,7 @@
         # The engine runs the prompt although nobody waits for it.
         asked = max(0, session.max_tokens - session.known)
         prefilled = session.work.tokens - asked
-    session.work.spent = queueing.weigh(prefilled, decoded)
+    session.work.spent = queueing.compute_cost(prefilled, decoded)
 
 
 def _make_chain_key(message: link_pb2.Open) -> tuple:
@@ -101,7 +101,7 @@
             message.epoch,
             terms,
             self._table.clock() + terms.deadline_ms / 1000,
-            queueing.weigh(prompt_tokens, decoded),
+            queueing.compute_cost(prompt_tokens, decoded),
             prompt_tokens + decoded,
             start=lambda started: self._start(started, message),
             stop=self._stop,
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -61,9 +61,9 @@
         return len(self._table)
 
     @property
-    def _place(self) -> poison.Place:
+    def _place(self) -> poison.LayerRange:
         identity = self._table.identity
-        return poison.Place(
+        return poison.LayerRange(
             identity.model, identity.layer_start, identity.layer_end
         )
 
--- a/packages/daemon/src/dunlintide_daemon/agent/places.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/places.py
@@ -51,7 +51,7 @@
         self.in_flight = caps.InFlight()
         self.cap = cap
         self.rate = rates.Rate(now)
-        self._slots = slots.Slots(now, self.queue.owes)
+        self._slots = slots.Slots(now, self.queue.count_debt_rounds)
         self._teams: dict[str, int] = {}
         self._sampled = now
 
@@ -86,7 +86,7 @@
             work.ticket, work.deadline - now, self.rate.value
         )
         if refusal is None:
-            self._slots.want(work.ticket.team, work.ticket.weight)
+            self._slots.add_request(work.ticket.team, work.ticket.weight)
         return refusal
 
     def count_in(self, team: str) -> None:
@@ -131,7 +131,7 @@
             return
         self.in_flight.finished += 1
         if work.spent is not None:
-            self.queue.correct(work.ticket, work.spent)
+            self.queue.adjust_cost(work.ticket, work.spent)
         self.rate.add(work.cost)
         if not work.under_way:
             self.free(work)
--- a/packages/daemon/src/dunlintide_daemon/agent/recovery.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/recovery.py
@@ -90,7 +90,7 @@
     ) -> None:
         self._cancel_dropped(session, chain)
         session.epoch = epoch
-        session.cursor.renew(epoch)
+        session.cursor.advance_epoch(epoch)
         session.held = None
         session.announced = False
         self._table.rechain(session, chain)
@@ -196,7 +196,7 @@
         sampled = [pair for pair in session.sampled if pair[0] <= last]
         copy = attrs.evolve(
             session,
-            cursor=positions.rewind(session.epoch, position),
+            cursor=positions.build_rewound(session.epoch, position),
             ran_end=min(position, session.ran_end),
             ahead=False,
             truncate=True,
@@ -257,7 +257,7 @@
         self._table.free(session)
         copy = attrs.evolve(
             session,
-            cursor=positions.rewind(session.epoch, 0),
+            cursor=positions.build_rewound(session.epoch, 0),
             ran_end=0,
             ahead=False,
             truncate=False,
--- a/packages/daemon/src/dunlintide_daemon/agent/stages.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/stages.py
@@ -56,8 +56,8 @@
             job = sessions.build_activation_job(session, step, verdict.trim)
             self._table.submit(job)
             return
-        self._table.counts.drop(f'{verdict.kind}-step')
-        if verdict.kind is positions.Kind.GAP:
+        self._table.counts.drop(f'{verdict.action}-step')
+        if verdict.action is positions.Action.GAP:
             code = outcomes.FailCode.GAP
             self._table.fail(session, code, 'positions are missing')
 
--- a/packages/daemon/src/dunlintide_daemon/agent/works.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/works.py
@@ -85,7 +85,7 @@
     stop: Callable[['Work'], None]
     keeps_log: bool = True
     chain_key: tuple = ()
-    entry: ledger.Entry | None = None
+    entry: ledger.Record | None = None
     phase: Phase = Phase.QUEUED
     ticket: queueing.Ticket | None = None
     spent: float | None = None
--- a/packages/daemon/src/dunlintide_daemon/entry/learning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/learning.py
@@ -13,12 +13,12 @@
 import attrs
 
 from dunlintide_core import affinity
-from dunlintide_core import cachenews
-from dunlintide_core import choose
+from dunlintide_core import cacheupdates
 from dunlintide_core import fleet as core_fleet
 from dunlintide_core import plan as plans
 from dunlintide_core import replan
-from dunlintide_core import turns
+from dunlintide_core import roundrobin
+from dunlintide_core import selection
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
@@ -56,7 +56,7 @@
     """What an agent tells of its engine's cache, and when it came."""
 
     agent: str
-    news: cachenews.News
+    news: cacheupdates.Update
     moment: float
 
 
@@ -96,10 +96,10 @@
         return mean
 
 
-def build_stop(agent: fleet.Agent) -> plans.Stop:
+def build_stop(agent: fleet.Agent) -> plans.Stage:
     """Give an agent in the form of the planner."""
     endpoint = agent.peer.endpoint
-    return plans.Stop(
+    return plans.Stage(
         agent=agent.peer.name,
         layer_start=endpoint.layer_start,
         layer_end=endpoint.layer_end,
@@ -129,12 +129,12 @@
         self._waiting: collections.deque[Report | Interval | News] = (
             collections.deque(maxlen=_MAX_WAITING)
         )
-        self._declared: dict[str, plans.Stop] = {}
+        self._declared: dict[str, plans.Stage] = {}
         self._lives: dict[str, int] = {}
         self._lock = threading.Lock()
-        self._chooser = choose.Chooser()
+        self._chooser = selection.Chooser()
         self._affinity = affinity.AffinityMap()
-        self._turns = turns.Turns() if in_turn else None
+        self._turns = roundrobin.RoundRobin() if in_turn else None
         self._described: dict[str, Any] = {}
         self._observations = 0
         self._told = 0
@@ -170,7 +170,7 @@
             for name, life in lives.items():
                 # Its engine may have been started anew as well.
                 if self._lives.get(name, life) != life:
-                    self._affinity.distrust(name, now)
+                    self._affinity.invalidate(name, now)
             self._lives |= lives
 
     def _learn(self) -> None:
@@ -193,7 +193,7 @@
     def _take_news(self, seen: News) -> None:
         with self._lock:
             if seen.news.all:
-                self._affinity.distrust(seen.agent, seen.moment)
+                self._affinity.invalidate(seen.agent, seen.moment)
             self._affinity.record(seen.news.held, [seen.agent], seen.moment)
             self._affinity.remove(seen.agent, seen.news.lost)
             self._told += len(seen.news.held)
@@ -227,7 +227,7 @@
         """Count a chain's requests: 1 when one begins, -1 when it ends."""
         # Counted by name, as an agent may be gone when its request ends.
         chain = plans.Chain(
-            tuple(plans.Stop(name, 0, 0, 0.0) for name in names)
+            tuple(plans.Stage(name, 0, 0, 0.0) for name in names)
         )
         with self._lock:
             if amount > 0:
@@ -237,7 +237,7 @@
 
     def _describe(self) -> dict[str, Any]:
         replanner = self._replanner
-        factors = replanner.capacities.factors()
+        factors = replanner.capacities.list_factors()
         return {
             'bound': round(replanner.plan.bound, 3),
             'plans': replanner.count,
@@ -254,7 +254,7 @@
             },
             'suspected_links': {
                 ' '.join(map(str, place)): round(factor, 3)
-                for place, factor in replanner.delays.factors().items()
+                for place, factor in replanner.delays.list_factors().items()
                 if factor < _SUSPECTED
             },
         }
@@ -268,8 +268,8 @@
         """Return the state for a dump, as of the last refresh."""
         with self._lock:
             return self._described | {
-                'in_flight': dict(self._chooser.in_flight()),
-                'reported': dict(self._chooser.reported()),
+                'in_flight': dict(self._chooser.count_in_flight()),
+                'reported': dict(self._chooser.list_reported()),
                 'prefix_blocks': len(self._affinity),
                 'prefixes_told': self._told,
                 'prompts': self._prompts,
--- a/packages/daemon/src/dunlintide_daemon/entry/planning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/planning.py
@@ -11,7 +11,7 @@
 from typing import Any, Collection, Iterable, Sequence
 
 from dunlintide_adapters.wire import link_pb2
-from dunlintide_core import cachenews
+from dunlintide_core import cacheupdates
 from dunlintide_daemon.entry import chains
 from dunlintide_daemon.entry import configuration
 from dunlintide_daemon.entry import fleet
@@ -104,7 +104,7 @@
         """Take an agent's news of its engine's cache."""
         noted = learning.News(
             name,
-            cachenews.News(tuple(news.held), tuple(news.lost), news.all),
+            cacheupdates.Update(tuple(news.held), tuple(news.lost), news.all),
             time.monotonic(),
         )
         learner = self._by_agent.get(name)
--- a/packages/daemon/src/dunlintide_daemon/entry/shares.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/shares.py
@@ -9,8 +9,8 @@
 
 from dunlintide_adapters import links
 from dunlintide_adapters.wire import link_pb2
+from dunlintide_core import coordination
 from dunlintide_core import hashing
-from dunlintide_core import lending
 from dunlintide_core import limits
 from dunlintide_daemon.entry import exchange
 
@@ -81,7 +81,7 @@
         self._before = before
         self._after = after
         self._leases = [limits.Lease() for _ in shards]
-        self._coordinators = [lending.Coordinator() for _ in shards]
+        self._coordinators = [coordination.Coordinator() for _ in shards]
         self._asked: list[dict[int, tuple[limits.Key, ...]]] = [
             {} for _ in shards
         ]
@@ -91,11 +91,11 @@
     ) -> limits.Grant:
         """Return what may be used under a key now."""
         lease = self._leases[find_shard(key)]
-        return lease.find(key, fraction, limit, self._clock())
+        return lease.find_grant(key, fraction, limit, self._clock())
 
     def covers(self, key: limits.Key) -> bool:
         """Tell whether a grant under a key is in force."""
-        return self._leases[find_shard(key)].covers(key, self._clock())
+        return self._leases[find_shard(key)].has_grant(key, self._clock())
 
     def ask(self, shard: int, needs: Needs, peers: exchange.Exchange) -> None:
         """Tell the coordinator of a shard what is needed."""
@@ -110,7 +110,7 @@
             now = self._clock()
             if not lease.choose(chosen, now):
                 return
-            if not needs and lease.is_quiet(now):
+            if not needs and lease.can_defer_demand(now):
                 return
             sequence = lease.send(now)
             self._asked[shard][sequence] = tuple(needs)
@@ -199,7 +199,7 @@
             return [
                 {
                     'coordinator': lease.coordinator,
-                    'leased': lease.tell_live(now),
+                    'leased': lease.is_live(now),
                     **coordinator.describe(),
                 }
                 for lease, coordinator in zip(self._leases, self._coordinators)
--- a/packages/daemon/src/dunlintide_daemon/suspicion.py
+++ b/packages/daemon/src/dunlintide_daemon/suspicion.py
@@ -67,7 +67,9 @@
         poison.Suspect(one.fingerprint, one.team, one.position)
         for one in message.suspects
     )
-    place = poison.Place(message.model, message.layer_start, message.layer_end)
+    place = poison.LayerRange(
+        message.model, message.layer_start, message.layer_end
+    )
     seconds = min(message.ttl_ms / 1000, longest)
     return poison.Crash(
         message.name, message.endpoint, place, suspects, now + seconds
@@ -102,7 +104,7 @@
         self,
         endpoint: str,
         life: int,
-        place: poison.Place,
+        place: poison.LayerRange,
         suspects: Iterable[poison.Suspect],
     ) -> None:
         """Take note of a crash of the own endpoint and tell of it.
@@ -171,7 +173,9 @@
                 message = link_pb2.Suspects(crashes=crashes)
                 send(link_pb2.Frame(suspects=message))
 
-    def note_steps(self, place: poison.Place, steps: Iterable[Passed]) -> None:
+    def note_steps(
+        self, place: poison.LayerRange, steps: Iterable[Passed]
+    ) -> None:
         """Take note of steps that ran well, and tell who is cleared."""
         # Most steps say nothing new, so they cost no lock.
         told = [
@@ -180,7 +184,7 @@
             if step.fingerprint
             and (
                 not step.position
-                or self._evidence.is_accused(step.fingerprint)
+                or self._evidence.is_suspected(step.fingerprint)
             )
         ]
         if not told:
@@ -189,7 +193,7 @@
             cleared = [
                 link_pb2.Clearance(crash=name, fingerprint=step.fingerprint)
                 for step in told
-                for name in self._evidence.note_step(
+                for name in self._evidence.record_step(
                     step.fingerprint, place, step.end
                 )
             ]
@@ -200,15 +204,15 @@
         return self._evidence.is_quarantined(fingerprint)
 
     def runs_alone(
-        self, fingerprint: bytes, team: str, place: poison.Place
+        self, fingerprint: bytes, team: str, place: poison.LayerRange
     ) -> bool:
         """Tell whether a request's step must share the endpoint with none."""
         evidence = self._evidence
-        if not evidence.is_accused(fingerprint):
-            if not evidence.is_watched(team):
+        if not evidence.is_suspected(fingerprint):
+            if not evidence.is_team_isolated(team):
                 return False
         with self._lock:
-            return evidence.runs_alone(fingerprint, team, place)
+            return evidence.must_run_alone(fingerprint, team, place)
 
     def tick(self) -> None:
         """Forget what has expired; call it a few times a second."""
@@ -231,7 +235,7 @@
                     }
                     for one in self._evidence.list_quarantines(now)
                 ],
-                'watched_members': self._evidence.list_watched(),
+                'watched_members': self._evidence.list_isolated_teams(),
                 'crashes': [
                     {
                         'name': crash.name,
--- a/packages/trials/src/dunlintide_trials/cases/cache.py
+++ b/packages/trials/src/dunlintide_trials/cases/cache.py
@@ -8,7 +8,7 @@
 
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import affinity
-from dunlintide_core import cachenews
+from dunlintide_core import cacheupdates
 from dunlintide_core import prefixes
 from dunlintide_trials import figures
 from dunlintide_trials import prefixload
@@ -130,8 +130,8 @@
         ]
         sequence += len(events)
         started = time.process_time()
-        view.begin(session, prompt, tokens)
-        view.take(events)
+        view.add_session(session, prompt, tokens)
+        view.apply_events(events)
         spent += time.process_time() - started
     return view, spent / sequence * 1e6
 
@@ -182,7 +182,7 @@
             BYTES_BOUND,
             note=f'{size} B in each report, {_LINKS} links',
         )
-    size = _size_news(cachenews.MAX_TOLD)
+    size = _size_news(cacheupdates.MAX_PUBLISHED)
     yield figures.plain('cache.bytes.all', size, 'B, once a new link')
 
 
--- a/packages/trials/src/dunlintide_trials/cases/plan.py
+++ b/packages/trials/src/dunlintide_trials/cases/plan.py
@@ -6,9 +6,9 @@
 import time
 
 from dunlintide_core import affinity
-from dunlintide_core import choose
 from dunlintide_core import fleet
 from dunlintide_core import plan as plans
+from dunlintide_core import selection
 from dunlintide_trials import figures
 from dunlintide_trials import mixes
 
@@ -29,8 +29,8 @@
     return mixes.draw(1, LAYERS, KINDS_EACH, DOMAINS)
 
 
-def _make_chooser(mix: mixes.Mix) -> choose.Chooser:
-    chooser = choose.Chooser()
+def _make_chooser(mix: mixes.Mix) -> selection.Chooser:
+    chooser = selection.Chooser()
     plan = plans.make_plan(mix.stops, mix.layers, mix.links)
     chooser.adopt(plan, mix.stops, mix.layers)
     rng = random.Random(2)
@@ -40,7 +40,7 @@
     return chooser
 
 
-def _time_choices(chooser: choose.Chooser, prompts: list[str]) -> float:
+def _time_choices(chooser: selection.Chooser, prompts: list[str]) -> float:
     """Give the median over rounds of microseconds a request."""
     rng = random.Random(3)
     held = affinity.AffinityMap()
--- a/packages/trials/src/dunlintide_trials/cases/throughput.py
+++ b/packages/trials/src/dunlintide_trials/cases/throughput.py
@@ -83,7 +83,7 @@
 def _count_sessions(plan: plans.Plan) -> int:
     held = 0.0
     for chain in plan.chains:
-        steps = sum(stages.BATCH / stop.capacity for stop in chain.stops)
+        steps = sum(stages.BATCH / stop.capacity for stop in chain.stages)
         held += chain.share * (chain.latency + steps)
     return int(SESSIONS_FACTOR * held)
 
@@ -214,7 +214,7 @@
 def _busiest_link(plan: plans.Plan) -> tuple[str, str]:
     carried: dict[tuple[str, str], float] = {}
     for chain in plan.chains:
-        for source, target in zip(chain.stops, chain.stops[1:]):
+        for source, target in zip(chain.stages, chain.stages[1:]):
             pair = source.failure_domain, target.failure_domain
             if pair[0] != pair[1]:
                 carried[pair] = carried.get(pair, 0.0) + chain.share
--- a/packages/trials/src/dunlintide_trials/mixes.py
+++ b/packages/trials/src/dunlintide_trials/mixes.py
@@ -20,7 +20,7 @@
 class Mix:
     """Endpoints, the number of layers, and links."""
 
-    stops: list[plans.Stop]
+    stops: list[plans.Stage]
     layers: int
     links: plans.Links
 
@@ -41,7 +41,7 @@
         for index, kind in enumerate(kinds):
             domain = f'domain-{rng.randrange(domains)}'
             name = f'agent-{start}-{index}'
-            stops.append(plans.Stop(name, start, start + 1, kind, domain))
+            stops.append(plans.Stage(name, start, start + 1, kind, domain))
     links = {}
     for source in range(domains):
         for target in range(domains):
--- a/packages/trials/src/dunlintide_trials/prefixload.py
+++ b/packages/trials/src/dunlintide_trials/prefixload.py
@@ -14,11 +14,11 @@
 import attrs
 
 from dunlintide_core import affinity
-from dunlintide_core import cachenews
-from dunlintide_core import choose
+from dunlintide_core import cacheupdates
 from dunlintide_core import fleet
 from dunlintide_core import plan as plans
 from dunlintide_core import prefixes
+from dunlintide_core import selection
 from dunlintide_standins.engine import cache
 
 __all__ = ['EVENTS', 'GUESS', 'LOAD', 'WAYS', 'Result', 'Shape', 'run']
@@ -63,7 +63,7 @@
     :ivar news: prefixes that an agent tells in a second
     :ivar cache_tokens: size of each engine's cache
     :ivar seconds: time that counts, after a start that doesn't
-    :ivar factor: see ``choose.Chooser``
+    :ivar factor: see ``selection.Chooser``
     """
 
     way: str = EVENTS
@@ -79,7 +79,7 @@
     cache_tokens: int = 65_536
     seconds: float = 120.0
     seed: int = 1
-    factor: float = choose.AFFINITY_FACTOR
+    factor: float = selection.AFFINITY_FACTOR
 
 
 @attrs.frozen
@@ -110,7 +110,7 @@
     name: str
     cache: cache.PrefixCache
     view: prefixes.View
-    teller: cachenews.Teller
+    teller: cacheupdates.Publisher
     free_at: float = 0.0
     work: float = 0.0
     running: int = 0
@@ -118,7 +118,7 @@
 
 @attrs.define(eq=False)
 class _Entry:
-    chooser: choose.Chooser
+    chooser: selection.Chooser
     map: affinity.AffinityMap
     names: frozenset[str]
 
@@ -165,7 +165,7 @@
             _draw(self.load, _SYSTEM_TOKENS) for _ in range(shape.teams)
         ]
 
-    def _add_engine(self, layer: int, index: int) -> plans.Stop:
+    def _add_engine(self, layer: int, index: int) -> plans.Stage:
         shape = self.shape
         name = f'{layer}-{index}'
         held = cache.PrefixCache(
@@ -176,18 +176,18 @@
             random.Random(self.rng.random()),
         )
         self.engines[name] = _Engine(
-            name, held, prefixes.View(), cachenews.Teller(shape.news)
+            name, held, prefixes.View(), cacheupdates.Publisher(shape.news)
         )
-        return plans.Stop(name, layer, layer + 1, 1 / _PER_TOKEN, 'domain')
+        return plans.Stage(name, layer, layer + 1, 1 / _PER_TOKEN, 'domain')
 
-    def _add_entry(self, stops: list[plans.Stop]) -> _Entry:
+    def _add_entry(self, stops: list[plans.Stage]) -> _Entry:
         shape = self.shape
         known = []
         for layer in range(_RANGES):
             same = [stop for stop in stops if stop.layer_start == layer]
             known += self.rng.sample(same, min(shape.subset, len(same)))
         known.sort(key=lambda stop: stop.agent)
-        chooser = choose.Chooser(shape.factor)
+        chooser = selection.Chooser(shape.factor)
         plan = plans.make_plan(known, _RANGES, plans.Links())
         chooser.adopt(plan, known, _RANGES)
         names = frozenset(stop.agent for stop in known)
@@ -280,7 +280,7 @@
         engine.running += 1
         count = len(turn.prompt)
         held = prefixes.Prefixes(turn.blocks, count * _CHARACTERS_PER_TOKEN)
-        engine.view.begin(turn.session, held, count)
+        engine.view.add_session(turn.session, held, count)
         salt = f'salt-{turn.team}'
         rest = count - engine.cache.match(turn.session, salt, turn.prompt)
         self.asked += count
@@ -329,8 +329,8 @@
             )
             for event in found
         ]
-        engine.view.take(events)
-        news = engine.teller.tell(engine.view)
+        engine.view.apply_events(events)
+        news = engine.teller.publish(engine.view)
         self.news += len(news.held) + len(news.lost)
         for entry in self.entries:
             if engine.name in entry.names:
--- a/packages/trials/src/dunlintide_trials/routing.py
+++ b/packages/trials/src/dunlintide_trials/routing.py
@@ -3,9 +3,9 @@
 import itertools
 import random
 
-from dunlintide_core import choose
 from dunlintide_core import plan as plans
 from dunlintide_core import replan
+from dunlintide_core import selection
 from dunlintide_trials import stages
 
 __all__ = [
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        stops: list[plans.Stop],
+        stops: list[plans.Stage],
         layers: int,
         links: plans.Links,
         seed: int,
@@ -33,7 +33,7 @@
         """
         self.replanner = replan.Replanner(layers, links)
         self.replanner.set_stops(stops)
-        self.chooser = choose.Chooser()
+        self.chooser = selection.Chooser()
         self._layers = layers
         self._rng = random.Random(seed)
         self._learns = learns
@@ -70,7 +70,7 @@
             self.chooser.adopt(plan, self.replanner.stops, self._layers)
 
 
-def make_round_robin(stops: list[plans.Stop], layers: int) -> stages.Entry:
+def make_round_robin(stops: list[plans.Stage], layers: int) -> stages.Entry:
     """Take the endpoints of each layer range in turn.
 
     Ranges must not overlap in part, here and below.
@@ -92,7 +92,7 @@
 
 
 def make_least_outstanding(
-    stops: list[plans.Stop], layers: int, seed: int
+    stops: list[plans.Stage], layers: int, seed: int
 ) -> stages.Entry:
     """Take for each range the endpoint with least work over capacity."""
     rng = random.Random(seed)
@@ -103,7 +103,7 @@
         for start in range(layers)
     ]
 
-    def rank(stop: plans.Stop) -> tuple[float, float]:
+    def rank(stop: plans.Stage) -> tuple[float, float]:
         load = own[stop.agent] + others[stop.agent]
         return load / stop.capacity, rng.random()
 
--- a/packages/trials/src/dunlintide_trials/saturation.py
+++ b/packages/trials/src/dunlintide_trials/saturation.py
@@ -124,10 +124,10 @@
                         process.kill()
 
 
-def list_stops(running: deployment.Deployment) -> list[plans.Stop]:
+def list_stops(running: deployment.Deployment) -> list[plans.Stage]:
     """Give the endpoints as a planner sees them."""
     return [
-        plans.Stop(
+        plans.Stage(
             agent.name,
             agent.endpoint.settings['layer_start'],
             agent.endpoint.settings['layer_end'],
@@ -138,7 +138,7 @@
     ]
 
 
-def find_bound(stops: Iterable[plans.Stop]) -> float:
+def find_bound(stops: Iterable[plans.Stage]) -> float:
     """Give the tokens/s that endpoints can carry together."""
     return plans.make_plan(stops, LAYERS).bound
 
--- a/packages/trials/src/dunlintide_trials/stages.py
+++ b/packages/trials/src/dunlintide_trials/stages.py
@@ -115,7 +115,7 @@
 
     def __init__(
         self,
-        stops: list[plans.Stop],
+        stops: list[plans.Stage],
         links: plans.Links,
         entries: list[Entry],
         sessions: int,
@@ -204,7 +204,7 @@
 
     def _arrive(self, sessions: list[Session]) -> None:
         session = sessions[0]
-        stage = self.stages[session.chain.stops[session.stage].agent]
+        stage = self.stages[session.chain.stages[session.stage].agent]
         stage.waiting.extend(sessions)
         self._work(stage)
 
@@ -226,8 +226,8 @@
         stage.seconds += seconds
         messages = collections.defaultdict(list)
         for session in batch:
-            if session.stage + 1 < len(session.chain.stops):
-                stops = session.chain.stops
+            if session.stage + 1 < len(session.chain.stages):
+                stops = session.chain.stages
                 hop = stops[session.stage], stops[session.stage + 1]
                 session.stage += 1
                 messages[hop].append(session)
@@ -263,6 +263,6 @@
             interval = (self.now - session.observed) / TOKENS_PER_OBSERVATION
             session.observed = self.now
             session.entry.tokens(session.chain, interval, self.now)
-        stops = session.chain.stops
+        stops = session.chain.stages
         back = self._links.between(stops[-1], stops[0]).latency
         self._at(self.now + back, self._arrive, [session])
