--- a/packages/core/src/dunlintide_core/activations.py
+++ b/packages/core/src/dunlintide_core/activations.py
@@ -1,8 +1,9 @@
-"""Activations that a stage has sent on, kept in bounded memory.
+"""Bounded buffer of the activations that a stage has sent downstream.
 
-A later stage that dies takes its KV cache along; its replacement needs
-all that was sent to it. When memory is full, the sessions that began
-first are given up whole, as a part of one is of no use.
+When a later stage dies, its KV cache is lost, and its replacement needs
+all activations sent so far. When the buffer is full, the oldest sessions
+are evicted completely, because a session can only be replayed from its
+first position.
 """
 
 import collections
@@ -17,10 +18,11 @@
 
 @attrs.frozen
 class Span:
-    """Activations of some positions.
+    """Activations of consecutive positions.
 
-    :ivar position: the first one
+    :ivar position: first position
     :ivar count: number of positions
+    :ivar data: the activations, the same number of bytes per position
     """
 
     position: int
@@ -30,22 +32,28 @@
 
 @attrs.define
 class _Buffer:
+    """Activations of one session.
+
+    :ivar width: bytes per position
+    :ivar end: position after the last one that is buffered
+    """
+
     width: int
     end: int = 0
     data: bytearray = attrs.field(factory=bytearray)
 
 
 class Store:
-    """Activations of many sessions, each from position 0 on.
+    """Activations of many sessions, each from position 0.
 
-    :ivar used: bytes that are kept
-    :ivar evicted: sessions that were given up for room
+    :ivar used: size of the buffered activations in bytes
+    :ivar evicted: number of sessions evicted because the buffer was full
     """
 
     def __init__(self, limit: int) -> None:
-        """Begin empty.
+        """Create an empty store.
 
-        :param limit: bytes of activations, 0 to keep none
+        :param limit: capacity in bytes, 0 to buffer nothing
         """
         self.used = 0
         self.evicted = 0
@@ -58,9 +66,11 @@
         return len(self._buffers)
 
     def add(self, session: str, span: Span) -> None:
-        """Keep a span behind what is kept of a session.
+        """Append a span to the buffer of a session.
 
-        One that does not begin there is of a session that was given up.
+        A span that does not continue the buffer drops the session. One
+        that starts after position 0 without a buffer is ignored: its
+        session has been evicted.
         """
         buffer = self._buffers.get(session)
         if buffer is None:
@@ -79,9 +89,9 @@
             self.evicted += 1
 
     def read(self, session: str, start: int, end: int) -> Span | None:
-        """Return the positions from ``start`` up to ``end``.
+        """Return the positions from ``start`` up to ``end``, exclusive.
 
-        :returns: None when not all of them are kept
+        :returns: None when not all of them are buffered
         """
         buffer = self._buffers.get(session)
         if buffer is None or buffer.end < end:
@@ -90,7 +100,7 @@
         return Span(start, end - start, bytes(data))
 
     def truncate(self, session: str, end: int) -> None:
-        """Forget the positions from ``end`` on."""
+        """Discard the positions from ``end`` on."""
         buffer = self._buffers.get(session)
         if buffer is None or buffer.end <= end:
             return
@@ -99,7 +109,7 @@
         buffer.end = end
 
     def drop(self, session: str) -> None:
-        """Forget a session."""
+        """Discard the activations of a session."""
         buffer = self._buffers.pop(session, None)
         if buffer is not None:
             self.used -= len(buffer.data)
--- a/packages/core/src/dunlintide_core/affinity.py
+++ b/packages/core/src/dunlintide_core/affinity.py
@@ -1,9 +1,10 @@
-"""Which agents likely hold a team's prompt prefix in their caches.
+"""Approximate map of the agents that cache prompt prefixes.
 
-The map is approximate and bounded: it learns from own routing and from
-cache events, which come late and with gaps, so a wrong entry costs one
-prefill and nothing else. Keys contain the team's salt, so that no
-team can find, by timing or otherwise, what another one asked.
+The map is bounded. It learns from the routing decisions of this process
+and from cache events, which arrive late and with gaps. A wrong item costs
+one prefill and has no other effect. Hashes include the salt of the team,
+so that no team can find out, for instance by timing, what another team
+has sent.
 """
 
 import collections
@@ -18,43 +19,47 @@
 ]
 
 BLOCK_CHARACTERS = 256
-# A longer prefix gains little more; it bounds the work for one prompt.
+# Bounds the work for one prompt; hashing more of it gains little.
 MAX_BLOCKS = 64
 DEFAULT_LIMIT = 50_000
-# Agents remembered for one block: a few chains of a few stages.
+# Agents recorded for one block: enough for a few chains of a few stages.
 _MAX_HOLDERS = 16
-# Engines evict within minutes under load, and their events may be lost.
+# Engines evict blocks within minutes under load, and the eviction event may
+# be lost.
 _MAX_AGE_SECONDS = 600.0
 
 
 def hash_blocks(salt: str, prompt: str) -> tuple[int, ...]:
-    """Hash each whole block of a prompt together with all before it.
+    """Hash each complete block of a prompt together with all before it.
 
-    :param salt: cache salt of the team; it must not be empty
-    :raises ValueError: without a salt, as teams would share entries
+    An incomplete last block is ignored.
+
+    :param salt: cache salt of the team, not empty
+    :raises ValueError: when the salt is empty, since teams would then
+        share cached blocks
     """
     if not salt:
         raise ValueError('a cache salt is required')
-    # The length sets salt and prompt apart.
+    # The length marks where the salt ends and the prompt begins.
     state = xxhash.xxh3_64(f'{len(salt)}/{salt}'.encode())
     count = min(len(prompt) // BLOCK_CHARACTERS, MAX_BLOCKS)
     hashes = []
     for index in range(count):
         start = index * BLOCK_CHARACTERS
         block = prompt[start : start + BLOCK_CHARACTERS]
-        # A caller's JSON may hold half of a surrogate pair.
+        # JSON from a caller may contain an unpaired surrogate.
         state.update(block.encode('utf-8', 'surrogatepass'))
         hashes.append(state.intdigest())
     return tuple(hashes)
 
 
 class AffinityMap:
-    """Blocks and the agents whose engines likely hold them."""
+    """Prefix blocks and the agents whose engines probably cache them."""
 
     def __init__(self, limit: int = DEFAULT_LIMIT) -> None:
-        """Start empty.
+        """Create an empty map.
 
-        :param limit: most blocks that are remembered
+        :param limit: maximum number of blocks
         """
         self._limit = limit
         self._blocks: collections.OrderedDict[int, dict[str, float]] = (
@@ -68,7 +73,7 @@
     def record(
         self, blocks: Iterable[int], agents: Sequence[str], now: float
     ) -> None:
-        """Note that agents ran these blocks, or say that they hold them.
+        """Record that agents ran these blocks or reported them as cached.
 
         :param now: time in seconds
         """
@@ -84,7 +89,7 @@
             self._blocks.popitem(last=False)
 
     def remove(self, agent: str, blocks: Iterable[int]) -> None:
-        """Note that an agent's engine evicted these blocks."""
+        """Record that the engine of an agent evicted these blocks."""
         for block in blocks:
             holders = self._blocks.get(block)
             if holders is None:
@@ -94,22 +99,30 @@
                 del self._blocks[block]
 
     def invalidate(self, agent: str, now: float) -> None:
-        """Forget what an agent held: a gap in its events, or a restart."""
+        """Ignore what was recorded for an agent before ``now``.
+
+        Needed after a gap in its cache events and after a restart.
+
+        :param now: time in seconds
+        """
         self._invalidated_at[agent] = now
 
     def forget(self, agent: str) -> None:
-        """Drop the note of a distrusted agent that is gone for good."""
+        """Drop the invalidation time of an agent that has been removed."""
         self._invalidated_at.pop(agent, None)
 
     def find(self, blocks: Sequence[int], now: float) -> dict[str, float]:
-        """Tell which part of a prompt each agent holds from its start.
+        """Estimate how much of a prompt each agent has cached.
 
+        :param blocks: hashes of the blocks of the prompt, first to last
         :param now: time in seconds
-        :returns: shares above 0 up to 1 by agent; empty when nothing is
-            known
+        :returns: by agent, the fraction of the blocks from the start of
+            the prompt, above 0 and up to 1; agents without a cached block
+            are absent
         """
         found: dict[str, float] = {}
-        # A block's hash covers all before it, so the deepest one counts.
+        # The hash of a block covers all blocks before it, so the last match
+        # determines the fraction.
         for index in range(len(blocks) - 1, -1, -1):
             for agent, recorded_at in self._blocks.get(
                 blocks[index], {}
--- a/packages/core/src/dunlintide_core/budget.py
+++ b/packages/core/src/dunlintide_core/budget.py
@@ -1,4 +1,4 @@
-"""Token bucket that bounds retries to a share of the requests."""
+"""Retry budget: a token bucket that limits retries to a share of requests."""
 
 import attrs
 
@@ -7,24 +7,26 @@
     'RetryBudget',
 ]
 
-# Below the tenth that is promised: at any moment an entry has up to one
-# retry saved from before, which comes on top of a window's own.
+# Retries per first attempt. Below the documented limit of 0.1, because up to
+# one retry saved before a time window may be spent within it.
 DEFAULT_RATIO = 0.095
+# Maximum number of saved retries.
 DEFAULT_BURST = 10.0
-# Absorbs rounding, so that ten tenths buy one retry.
+# Tolerates rounding errors, so that ten deposits of 0.1 allow one retry.
 _EPSILON = 1e-9
 
 
 @attrs.define
 class RetryBudget:
-    """Let retries be at most a share of the requests plus a burst.
+    """Limit retries to a share of the first attempts, plus a burst.
+
+    Without the limit, a failure that affects all requests would double
+    the load while capacity is reduced.
 
-    Without such a bound a failure that hits all requests would double
-    the load just when capacity is gone.
     :ivar ratio: retries earned by each first attempt
-    :ivar burst: most retries that can be saved up
-    :ivar spent: retries granted so far
-    :ivar denied: retries refused so far
+    :ivar burst: maximum number of saved retries
+    :ivar spent: number of retries granted so far
+    :ivar denied: number of retries refused so far
     """
 
     ratio: float = DEFAULT_RATIO
@@ -38,15 +40,18 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that can be granted now."""
+        """Saved retries, including fractions."""
         return self._tokens
 
     def earn(self) -> None:
-        """Take note of one first attempt."""
+        """Add the share of a retry that a first attempt earns."""
         self._tokens = min(self.burst, self._tokens + self.ratio)
 
     def spend(self) -> bool:
-        """Take one retry; False when the budget is used up."""
+        """Spend one retry.
+
+        :returns: False when the budget is exhausted
+        """
         if self._tokens < 1.0 - _EPSILON:
             self.denied += 1
             return False
--- a/packages/core/src/dunlintide_core/cacheupdates.py
+++ b/packages/core/src/dunlintide_core/cacheupdates.py
@@ -1,4 +1,7 @@
-"""What an agent tells entries of its view, few words at a time."""
+"""Incremental updates about the cached prefixes of an agent.
+
+An agent attaches them to the load reports that it sends to all entries.
+"""
 
 import collections
 from collections.abc import Collection
@@ -13,15 +16,18 @@
     'Publisher',
 ]
 
-# Prefixes that entries are told of one agent at any time.
+# Prefixes that an agent has published at any time.
 MAX_PUBLISHED = 256
 
 
 @attrs.frozen
 class Update:
-    """Prefixes that came and went since the last news.
+    """Change of the published prefixes since the previous update.
 
-    :ivar all: whether these are all, in place of what was told before
+    :ivar held: prefixes that are cached now
+    :ivar lost: prefixes that are no longer published
+    :ivar all: whether ``held`` is the complete list, which replaces all
+        earlier updates
     """
 
     held: tuple[int, ...] = ()
@@ -30,13 +36,13 @@
 
 
 class Publisher:
-    """Keeps what entries were told in step with a view."""
+    """Builds the updates that keep entries in step with a cache view."""
 
     def __init__(self, limit: int, max_published: int = MAX_PUBLISHED) -> None:
-        """Begin with nothing told.
+        """Start with no published prefixes.
 
-        :param limit: prefixes in one piece of news
-        :param most: prefixes that entries know at any time
+        :param limit: maximum number of prefixes in one update
+        :param max_published: maximum number of published prefixes
         """
         self._limit = limit
         self._max_published = max_published
@@ -48,7 +54,10 @@
         return len(self._published)
 
     def publish(self, view: prefixes.View) -> Update:
-        """Give the next news; for all entries alike."""
+        """Build the next update, which must be sent to all entries.
+
+        :param view: the current contents of the cache
+        """
         ranked = list(
             itertools.islice(view.rank_blocks(), self._max_published)
         )
@@ -68,6 +77,7 @@
         self, view: prefixes.View, ranked: Collection[int]
     ) -> list[int]:
         lost = [block for block in self._published if block not in view]
+        # Make room for higher-ranked prefixes only when space is short.
         if len(self._published) + self._limit > self._max_published:
             lost += [
                 block
@@ -77,5 +87,5 @@
         return lost[: self._limit]
 
     def build_snapshot(self) -> Update:
-        """Give all that was told, for an entry that is new."""
+        """Build an update with all published prefixes, for a new entry."""
         return Update(tuple(self._published), all=True)
--- a/packages/core/src/dunlintide_core/capacity.py
+++ b/packages/core/src/dunlintide_core/capacity.py
@@ -1,10 +1,11 @@
-"""Actual capacity of endpoints, learnt from their load reports.
-
-Evidence against an endpoint: it delivers less than it should while work
-waits for it, or its steps take several times as long as they did at that
-rate of work. Evidence for it: it delivers more, or its steps take the
-usual time. Without evidence an estimate drifts back, later each time
-that this proves wrong, so that a recovered endpoint is found again.
+"""Effective capacity of endpoints, estimated from their load reports.
+
+An estimate falls when an endpoint delivers less than estimated while
+requests are queued, or when its steps take several times as long as usual
+at the same amount of work in service. It rises when the endpoint delivers
+more, or when its steps take the usual time. Without evidence an estimate
+drifts back to the declared capacity, so that a recovered endpoint gets
+work again. Each time this proves wrong, the next drift starts later.
 """
 
 from collections.abc import Iterable
@@ -20,18 +21,20 @@
     'Factor',
 ]
 
-# A slow endpoint keeps this share, so that its recovery shows.
+# A slow endpoint keeps this share of its capacity, so that it gets some work
+# and its recovery is noticed.
 MIN_FACTOR = 0.03
-# Declared capacity may be too low by this much.
+# The declared capacity may be too low by up to this factor.
 MAX_FACTOR = 1.5
-# An estimate rises at most by this factor with each report.
+# Largest factor by which one report raises an estimate.
 _MAX_INCREASE = 1.6
-# Less than this below the estimate is noise.
+# Samples above this multiple of the estimate do not lower it.
 _NOISE_THRESHOLD = 0.9
-# Steps this many times longer than usual mean a slow endpoint, and below
-# the second multiple a sound one.
+# Multiples of the usual step duration: from the first on an endpoint is slow,
+# below the second it is normal.
 _SLOW_STEP = 3.0
 _NORMAL_STEP = 1.5
+# Weight of a new sample in the usual step duration.
 _BASELINE_WEIGHT = 0.2
 _MIN_HOLD_SECONDS = 4.0
 _MAX_HOLD_SECONDS = 64.0
@@ -39,13 +42,15 @@
 
 @attrs.define
 class Factor:
-    """A learnt multiple of a declared quality, with damping.
+    """Estimated multiple of a declared quality, with damping.
 
-    Each fall doubles the time for which lack of evidence counts for
-    nothing; after that the value drifts upwards.
+    Each decrease after the end of a hold doubles the next hold, the time
+    during which the value does not rise without evidence. After it, the
+    value drifts upwards.
 
-    :ivar value: multiple of what was declared
+    :ivar value: multiple of the declared quality
     :ivar published: value that the last plan was made with
+    :ivar ceiling: upper bound of the value
     """
 
     value: float = 1.0
@@ -56,14 +61,21 @@
     _raised_at: float = 0.0
 
     def lower(self, sample: float, now: float) -> None:
-        """Move down to a sample."""
+        """Lower the value to a sample.
+
+        :param sample: multiple of the declared quality
+        :param now: time in seconds
+        """
         self.value = max(MIN_FACTOR, min(self.value, sample))
         if now >= self._hold_until:
             self._hold = min(2.0 * self._hold, _MAX_HOLD_SECONDS)
         self._hold_until = now + self._hold
 
     def raise_towards(self, sample: float) -> None:
-        """Move up towards a sample, by a bounded step."""
+        """Raise the value towards a sample, by a bounded factor.
+
+        :param sample: multiple of the declared quality
+        """
         known_good = (
             self.value >= 1.0 and sample < self.value / _NOISE_THRESHOLD
         )
@@ -73,7 +85,12 @@
             self._hold = _MIN_HOLD_SECONDS
 
     def drift(self, now: float) -> None:
-        """Move up for lack of evidence, once a second after the hold."""
+        """Raise the value towards 1 without evidence.
+
+        This has an effect after the hold, at most once a second.
+
+        :param now: time in seconds
+        """
         if self.value >= 1.0 or now < self._hold_until:
             return
         if now - self._raised_at >= 1.0:
@@ -81,23 +98,30 @@
             self.value = min(1.0, self.value * _MAX_INCREASE)
 
     def compute_change(self) -> float:
-        """Give the factor by which the value moved since the last plan."""
+        """Return the factor, 1 or more, of the change since the last plan."""
         ratio = self.value / self.published
         return max(ratio, 1.0 / ratio)
 
 
 @attrs.define
 class _StepTimes:
-    """Usual duration of a step by tokens in service, in powers of two.
+    """Usual duration of a step by the number of tokens in service.
 
-    Tokens in service are the rate times the duration of a step (Little's
-    law), which needs no knowledge of batches.
+    The numbers are grouped by powers of two. By Little's law the tokens
+    in service are the rate times the duration of a step, so that batch
+    sizes need not be known.
     """
 
     _baselines: dict[int, float] = attrs.field(factory=dict)
 
     def compare(self, in_service: float, seconds: float) -> float:
-        """Compare a duration with the usual one; above 1 is slower."""
+        """Return the ratio of a step duration to the usual one.
+
+        The usual duration follows the samples that are not slow.
+
+        :param in_service: tokens in service
+        :param seconds: duration of the step
+        """
         bucket = max(0, round(math.log2(max(1.0, in_service))))
         baseline = self._find_baseline(bucket)
         if baseline is None:
@@ -113,7 +137,7 @@
             return self._baselines[bucket]
         lower = [size for size in self._baselines if size < bucket]
         if lower:
-            # A step grows at most in proportion to its work.
+            # The duration grows at most in proportion to the work.
             nearest = max(lower)
             return self._baselines[nearest] * 2.0 ** (bucket - nearest)
         return None
@@ -121,10 +145,15 @@
 
 @attrs.define
 class _Endpoint:
-    """What is known of one endpoint.
-
-    :ivar limited: whether it fell although its steps took the usual
-        time: something else limits it, so steps are no evidence for it
+    """Estimate and evidence of one endpoint.
+
+    :ivar declared: declared capacity in tokens/s
+    :ivar reported_at: time of the last report in seconds
+    :ivar slow: multiple of the declared rate that the last report gave as
+        evidence of slowness, None without such evidence
+    :ivar limited: whether the estimate fell although steps took the usual
+        time. Something else then limits the endpoint, and a usual step
+        duration does not raise the estimate.
     """
 
     declared: float
@@ -138,11 +167,12 @@
 
 @attrs.frozen
 class _Sample:
-    """What one report says.
+    """Evidence from one load report.
 
-    :ivar rate: multiple of the declared rate that it delivers
-    :ivar slow: multiple of it that evidence of slowness gives, or None
-    :ivar sound: whether its steps take the usual time
+    :ivar rate: delivered multiple of the declared rate
+    :ivar slow: multiple of the declared rate to which evidence of
+        slowness limits the endpoint, None without such evidence
+    :ivar is_normal: whether the steps take the usual time
     """
 
     rate: float
@@ -158,19 +188,24 @@
     in_service = report.tokens_per_second * report.step_seconds
     slowness = endpoint.steps.compare(in_service, report.step_seconds)
     if slowness >= _SLOW_STEP:
-        # What it delivers bounds its capacity from below.
+        # The capacity is at least the delivered rate.
         slow = max(rate, min(slow or 1.0, 1.0 / slowness))
     return _Sample(rate, slow, slowness < _NORMAL_STEP)
 
 
 class CapacityModel:
-    """Estimates of all endpoints' capacities."""
+    """Capacity estimates of all endpoints."""
 
     def __init__(self) -> None:
         self._endpoints: dict[str, _Endpoint] = {}
 
     def track(self, stages: Iterable[plans.Stage]) -> None:
-        """Follow these endpoints, by declared capacity, and no others."""
+        """Set the endpoints to estimate.
+
+        An endpoint whose declared capacity changes starts anew.
+
+        :param stages: the endpoints with their declared capacities
+        """
         kept = {}
         for stage in stages:
             known = self._endpoints.get(stage.agent)
@@ -182,7 +217,7 @@
     def observe(
         self, agent: str, report: fleet.LoadReport, now: float
     ) -> None:
-        """Take a load report.
+        """Update the estimate of an agent's endpoint with a load report.
 
         :param now: time in seconds
         """
@@ -209,7 +244,7 @@
             sample.slow is not None
             and sample.slow < _NOISE_THRESHOLD * factor.value
         ):
-            # Two reports in a row must agree; the milder one counts.
+            # Two consecutive reports must agree; the higher value counts.
             if previous is not None:
                 factor.lower(max(previous, sample.slow), now)
                 endpoint.limited = sample.is_normal
@@ -223,14 +258,17 @@
             factor.drift(now)
 
     def is_slow(self, agent: str) -> bool:
-        """Tell whether an agent itself delays what runs over it."""
+        """Return whether the last report shows queued requests or slowness.
+
+        Delays of chains over such an agent are no evidence against links.
+        """
         known = self._endpoints.get(agent)
         if known is None or known.last_report is None:
             return False
         return known.last_report.queued > 0 or known.slow is not None
 
     def apply(self, stages: Iterable[plans.Stage]) -> list[plans.Stage]:
-        """Give the stops with their learnt capacities, for a plan."""
+        """Return the stages with their estimated capacities, for a plan."""
         result = []
         for stage in stages:
             known = self._endpoints.get(stage.agent)
@@ -244,7 +282,7 @@
         return result
 
     def compute_change(self) -> float:
-        """Give the largest factor by which an estimate moved."""
+        """Return the largest factor by which an estimate has changed."""
         changes = (
             endpoint.factor.compute_change()
             for endpoint in self._endpoints.values()
@@ -252,7 +290,7 @@
         return max(changes, default=1.0)
 
     def list_factors(self) -> dict[str, float]:
-        """Give the multiple of its declared capacity for each agent."""
+        """Return the estimated multiple of the declared capacity by agent."""
         return {
             name: endpoint.factor.value
             for name, endpoint in self._endpoints.items()
--- a/packages/core/src/dunlintide_core/caps.py
+++ b/packages/core/src/dunlintide_core/caps.py
@@ -1,4 +1,4 @@
-"""Policies that bound what is in flight at an endpoint."""
+"""Concurrency limits: policies that bound the requests at an endpoint."""
 
 from typing import Callable
 
@@ -14,20 +14,22 @@
     'build_fixed',
 ]
 
+# Fractions of the KV cache at which the adaptive cap shrinks and grows.
 HIGH_KV_USAGE = 0.8
 LOW_KV_USAGE = 0.6
 DECREASE_FACTOR = 0.7
 INCREASE_FACTOR = 1.25
-# Requests before anything is known of an engine.
+# Limit in requests before an engine has sent a load report.
 INITIAL_REQUESTS = 16
 
 
 @attrs.define
 class InFlight:
-    """What runs at an endpoint now.
+    """Requests in flight at an endpoint.
 
-    :ivar tokens: most KV cache positions that these may come to need
-    :ivar finished: requests that have ended since the start
+    :ivar requests: number of requests
+    :ivar tokens: maximum number of KV cache positions that they may need
+    :ivar finished: number of requests that have ended since the start
     """
 
     requests: int = 0
@@ -37,11 +39,11 @@
 
 @attrs.frozen
 class Usage:
-    """Load as an engine reports it, with a lag.
+    """Load that an engine reports, with a delay.
 
-    :ivar kv_usage: used part of the KV cache, 0 to 1
-    :ivar kv_tokens: positions that the KV cache holds, 0 unknown
-    :ivar queued: requests that wait inside the engine
+    :ivar kv_usage: used fraction of the KV cache, 0 to 1
+    :ivar kv_tokens: size of the KV cache in positions, 0 if unknown
+    :ivar queued: number of requests queued inside the engine
     """
 
     kv_usage: float = 0.0
@@ -51,11 +53,12 @@
 
 @attrs.frozen
 class Cap:
-    """One policy, as three functions over its own state.
+    """A policy: three functions that share its state.
 
-    :ivar admits: whether a request of so many tokens may start
-    :ivar observe: takes note of a load report
-    :ivar limit: returns the current bound, in requests
+    :ivar admits: returns whether a request with the given number of
+        tokens may start
+    :ivar observe: updates the state with a load report
+    :ivar limit: returns the current limit in requests
     """
 
     admits: Callable[[InFlight, int], bool]
@@ -68,7 +71,7 @@
 
 
 def build_fixed(requests: int) -> Cap:
-    """Build a cap on the number of requests."""
+    """Build a cap with a fixed number of requests."""
     return Cap(
         admits=lambda in_flight, _: in_flight.requests < requests,
         observe=_ignore,
@@ -77,14 +80,15 @@
 
 
 def build_budget(requests: int, fraction: float = 0.9) -> Cap:
-    """Build a cap on the KV cache positions that may come to be needed.
+    """Build a cap on the KV cache positions that requests may need.
 
-    Until the engine has told its size, a few requests may run, and twice
-    as many with each report that finds so many in flight. One request may
-    always start, so a large one does not wait for ever.
+    Until the engine has reported the size of its cache, the cap is a small
+    number of requests, which doubles with each report that finds it fully
+    used. If nothing is in flight, any request may start, so that a large
+    one does not wait forever.
 
-    :param requests: bound on the number as well
-    :param part: part of the cache to hand out, 0 to 1
+    :param requests: maximum number of requests
+    :param fraction: fraction of the cache to allocate, 0 to 1
     """
     cache_tokens = 0
     unsized_limit = min(INITIAL_REQUESTS, requests)
@@ -98,7 +102,7 @@
 
     def observe(in_flight: InFlight, usage: Usage) -> None:
         nonlocal cache_tokens, unsized_limit
-        # A report may leave it out; the cache does not change its size.
+        # Some reports omit the size, which does not change.
         cache_tokens = usage.kv_tokens or cache_tokens
         if not cache_tokens and in_flight.requests >= unsized_limit:
             unsized_limit = min(requests, 2 * unsized_limit)
@@ -117,13 +121,14 @@
 def build_adaptive(start: int, ceiling: int) -> Cap:
     """Build a cap that follows the reported KV cache usage.
 
-    Above 0.8 it is cut by 30%, once, until the pool has drained below
-    the new cap; below 0.6 with nothing queued it grows by 25%, once per
-    turnover of the pool. The idea is from TRL's AsyncGRPO ("Adaptive
-    in-flight cap from vLLM load").
+    Above a usage of 0.8 the cap is cut by 30%, and not again until the
+    requests in flight have fallen below the new cap. Below 0.6, with
+    nothing queued in the engine, it grows by 25%, and not again until as
+    many requests have finished as the cap allows. The policy follows
+    "Adaptive in-flight cap from vLLM load" in TRL's AsyncGRPO.
 
-    :param start: cap before the first report, in requests
-    :param ceiling: largest cap, in requests
+    :param start: cap in requests before the first report
+    :param ceiling: maximum cap in requests
     """
     cap = start
     draining = False
--- a/packages/core/src/dunlintide_core/claims.py
+++ b/packages/core/src/dunlintide_core/claims.py
@@ -1,10 +1,10 @@
-"""Claims that bind a non-idempotent request to its one executor.
+"""Claims that bind a non-idempotent request to a single executor.
 
-A claim lives in a bucket chosen by the hash of its key. A bucket is a
-small head, which counts commits, and one segment of new claims for each
-commit. Whoever commits must have seen every earlier segment: the
-compare-and-swap on the head is the fence between two writers, and a
-commit costs only its own claims, however many the bucket holds.
+The hash of its key assigns a claim to a bucket. A bucket consists of a
+small head, which counts commits, and one segment of new claims per commit.
+A writer must have read every earlier segment before it commits: the
+compare-and-swap on the head fences concurrent writers. A commit writes
+only its new claims, whatever the size of the bucket.
 """
 
 import hashlib
@@ -35,8 +35,9 @@
     'fingerprint_request',
 ]
 
-# Agreed by all nodes for ever: another number would look for a claim in
-# another bucket. See docs/design/claims.md for the arithmetic.
+# Must be the same on all nodes and never change: with another number a claim
+# would be looked up in the wrong bucket. docs/design/claims.md explains the
+# choice of the number.
 BUCKETS = 64
 KEY_DIGEST_BYTES = 16
 FINGERPRINT_BYTES = 8
@@ -45,16 +46,16 @@
 
 
 class Binding(msgspec.Struct, array_like=True, frozen=True):
-    """A claim as it is kept: which executor may run the request.
+    """Stored form of a claim: the executor that may run the request.
 
     :ivar key_digest: digest of team and idempotency key
-    :ivar fingerprint: digest of what was asked
-    :ivar executor: name of the agent that alone may run it
-    :ivar incarnation: the executor's life that it is bound to
+    :ivar fingerprint: digest of the content of the request
+    :ivar executor: name of the only agent that may run the request
+    :ivar incarnation: incarnation of the executor that the claim binds to
     :ivar attempt: unique id of the attempt that made the claim
-    :ivar generation: executor's generation when it was claimed
-    :ivar bound_at: wall clock of the writer, in seconds
-    :ivar retention: seconds for which the claim is kept
+    :ivar generation: generation of the executor at the time of the claim
+    :ivar bound_at: wall-clock time of the writer in seconds
+    :ivar retention: time for which the claim is stored, in seconds
     """
 
     key_digest: bytes
@@ -67,14 +68,15 @@
     retention: int
 
 
-# Executor of a record that releases a claim; no agent has this name.
+# Executor name of a record that releases a claim; agent names are not empty.
 _RELEASED = ''
 
 
 class Segment(msgspec.Struct, array_like=True, frozen=True):
     """The claims of one commit.
 
-    A writer whose answer was lost finds out by the attempts in it.
+    A writer that got no response to a commit finds its own attempts in
+    the segment if the commit succeeded.
     """
 
     bindings: tuple[Binding, ...]
@@ -86,9 +88,9 @@
 
 @attrs.frozen
 class Conflict:
-    """The key is bound already, by an earlier claim of the same request.
+    """The key is already bound by an earlier claim of the same request.
 
-    :ivar binding: the claim that holds
+    :ivar binding: the earlier claim, which stays valid
     """
 
     binding: Binding
@@ -96,7 +98,10 @@
 
 @attrs.frozen
 class ReusedKey:
-    """The key is bound already, to a request with other content."""
+    """The key is already bound to a request with different content.
+
+    :ivar binding: the earlier claim, which stays valid
+    """
 
     binding: Binding
 
@@ -109,7 +114,7 @@
 def decode_binding(data: bytes) -> Binding:
     """Decode one claim.
 
-    :raises msgspec.DecodeError: when it is not a claim
+    :raises msgspec.DecodeError: if the data are not a claim
     """
     return msgspec.msgpack.decode(data, type=Binding)
 
@@ -119,21 +124,22 @@
 
 
 def build_release(binding: Binding) -> Binding:
-    """Build the record that frees the key of a claim for a new one.
+    """Build the record that releases a claim, so that its key is free.
+
+    Use it only if the executor has confirmed that the attempt never ran
+    and never will. The record contains the attempt, so that it cannot
+    release a later claim of the same key.
 
-    Only for a claim whose executor has said that this attempt never ran
-    and never will; the release names the attempt, so that it cannot free
-    a later claim of the same key.
     :param binding: the claim to release
     """
     return msgspec.structs.replace(binding, executor=_RELEASED)
 
 
 def digest_key(team: str, key: str) -> bytes:
-    """Digest a team's idempotency key; equal keys of two teams differ.
+    """Digest an idempotency key together with the name of its team.
 
     :param team: name of the team
-    :param key: the key as the caller gave it
+    :param key: the key that the caller sent
     """
     state = hashlib.blake2b(digest_size=KEY_DIGEST_BYTES)
     state.update(team.encode())
@@ -143,7 +149,7 @@
 
 
 def fingerprint_request(*parts: bytes) -> bytes:
-    """Digest what is asked, so that a key reused for another shows.
+    """Digest a request, to detect a key reused for another request.
 
     :param parts: method, path and body, in this order
     """
@@ -155,17 +161,19 @@
 
 
 def choose_bucket(key_digest: bytes) -> int:
-    """Tell the bucket of a key.
+    """Return the bucket of a key.
 
-    :param key_digest: as ``digest_key`` gives it
+    :param key_digest: result of ``digest_key``
     """
     return int.from_bytes(key_digest[:4], 'big') % BUCKETS
 
 
 def choose_owner(bucket: int, names: Iterable[str]) -> str:
-    """Tell which process commits a bucket's claims, as all see it.
+    """Choose the process that commits the claims of a bucket.
+
+    All processes make the same choice by rendezvous hashing: a name that
+    is added or removed moves only the buckets that it owns.
 
-    A name that comes or goes moves only the buckets that it owns.
     :param names: the processes to choose from, at least one
     """
     return max(names, key=lambda name: hashing.hash_text(name, bucket))
@@ -180,9 +188,9 @@
 
 
 def decode_head(data: bytes) -> int:
-    """Tell the number of commits that a head counts.
+    """Return the number of commits in an encoded head.
 
-    :raises msgspec.DecodeError: when it is not a head
+    :raises msgspec.DecodeError: if the data are not a head
     """
     return msgspec.msgpack.decode(data, type=_Head).sequence
 
@@ -195,16 +203,16 @@
 def decode_segment(data: bytes) -> Segment:
     """Decode the claims of one commit.
 
-    :raises msgspec.DecodeError: when it is not a segment
+    :raises msgspec.DecodeError: if the data are not a segment
     """
     return msgspec.msgpack.decode(data, type=Segment)
 
 
 class Bucket:
-    """What a writer knows of one bucket.
+    """Copy of one bucket at a writer.
 
-    :ivar sequence: commits that have been taken in
-    :ivar head_revision: store revision of the head, 0 when absent
+    :ivar sequence: number of commits that have been applied
+    :ivar head_revision: store revision of the head, 0 if there is none
     """
 
     __slots__ = ('_expiries', '_held', 'head_revision', 'sequence')
@@ -212,18 +220,18 @@
     def __init__(self) -> None:
         self.sequence = 0
         self.head_revision = 0
-        # Encoded, as a decoded binding takes twice the memory.
+        # Encoded, since a decoded binding takes twice the memory.
         self._held: dict[bytes, bytes] = {}
-        # Keys by the minute in which their retention has ended.
+        # Key digests by the first minute after the end of their retention.
         self._expiries: dict[int, list[bytes]] = {}
 
     def __len__(self) -> int:
         return len(self._held)
 
     def apply_segments(self, segments: Iterable[Segment]) -> None:
-        """Take in segments, oldest first; the first claim of a key stays.
+        """Apply segments, oldest first; the first claim of a key wins.
 
-        :param segments: commits that are new since the last call
+        :param segments: segments committed since the last call
         """
         for segment in segments:
             for binding in segment.bindings:
@@ -245,9 +253,10 @@
             self._expiries.setdefault(minute, []).append(digest)
 
     def find_conflict(self, wanted: Binding) -> Conflict | ReusedKey | None:
-        """Look for an earlier claim of the same key.
+        """Look up an earlier claim of the same key.
 
-        :param wanted: the claim that is to be made
+        :param wanted: the claim to be made
+        :returns: None if the key is free
         """
         held = self._get_binding(wanted.key_digest)
         if held is None or wanted.executor == _RELEASED:
@@ -257,9 +266,10 @@
         return Conflict(held)
 
     def expire(self, now: float) -> int:
-        """Forget claims past their retention and tell how many.
+        """Remove claims whose retention has ended.
 
-        :param now: wall clock in seconds
+        :param now: wall-clock time in seconds
+        :returns: the number of removed claims
         """
         current = int(now) // _SECONDS_PER_MINUTE
         ended = [minute for minute in self._expiries if minute <= current]
@@ -269,7 +279,7 @@
         removed = 0
         for digest in self._expiries.pop(minute):
             held = self._get_binding(digest)
-            # A released key may have been claimed anew, for longer.
+            # The key may have been released and claimed again.
             if held is not None and _find_expiry_minute(held) <= minute:
                 del self._held[digest]
                 removed += 1
--- a/packages/core/src/dunlintide_core/coordination.py
+++ b/packages/core/src/dunlintide_core/coordination.py
@@ -1,6 +1,7 @@
-"""Division of the limits that entries have lent to a coordinator.
+"""Coordinator that divides limits among entries by demand.
 
-``limits`` says why the sum of what may be used stays within each limit.
+The module ``limits`` explains why the sum of the grants in use stays
+within each limit.
 """
 
 import functools
@@ -17,7 +18,8 @@
     'Coordinator',
 ]
 
-# Bounds the keys of which an entry is told to give up what it owns.
+# Maximum number of keys without a need for which one answer reduces the base
+# share of an entry.
 MAX_RECLAIMED_KEYS = 64
 
 
@@ -27,10 +29,13 @@
 
 @attrs.define
 class _Contribution:
-    """What one entry has lent, for all keys.
+    """Fraction of all limits that one entry has lent to the coordinator.
 
-    :ivar answered: newest of its demands that was answered
-    :ivar counted: whether the entry is known to heed what it is granted
+    :ivar fraction: the lent fraction of each limit
+    :ivar expires_at: end of the lease, time in seconds
+    :ivar answered: sequence number of the last answered demand
+    :ivar is_confirmed: whether the entry has acknowledged a grant, and so
+        applies the grants
     """
 
     fraction: float
@@ -41,20 +46,22 @@
 
 @attrs.define
 class _Allocation:
-    """What one entry may be using under one key.
+    """Grants that one entry may be using under one key.
 
-    :ivar grants: sequence, grant and end of each that may be in use
+    :ivar need: its last demand, None if it has none
+    :ivar grants: sequence number, grant and expiry time of each grant
+        that may be in use
     """
 
     need: limits.Need | None = None
     grants: list[tuple[int, limits.Grant, float]] = attrs.field(factory=list)
 
     def drop_replaced(self, acknowledged: int) -> None:
-        """Forget grants that were replaced."""
+        """Drop the grants that an acknowledged grant has replaced."""
         self.grants = [one for one in self.grants if one[0] >= acknowledged]
 
     def is_default(self, base_share: limits.Grant) -> bool:
-        """Tell whether it uses no more and no less than it owns."""
+        """Return whether the entry uses exactly its base share."""
         uses_base_share = all(
             grant == base_share for _, grant, _ in self.grants
         )
@@ -63,9 +70,11 @@
     def find_max_use(
         self, base_share: limits.Grant, now: float
     ) -> limits.Grant:
-        """Return the most that it may be using.
+        """Return the largest share that the entry may be using.
 
-        :param own: what the entry owns, to which an ended grant shrinks
+        :param base_share: the base share of the entry, which limits an
+            expired grant
+        :param now: time in seconds
         """
         rate, slots = 0.0, self.need.in_flight if self.need else 0
         for _, grant, expires_at in self.grants:
@@ -78,12 +87,13 @@
 
 @attrs.define
 class _Limit:
-    """One key as its coordinator sees it.
+    """State of one key.
 
-    :ivar size: the limit in flight, 0 for none
-    :ivar entries: what may be used, by entry; one that is not here uses
-        what it owns at most
-    :ivar pressed: whether entries that did not ask must give up a part
+    :ivar size: the limit of requests in flight, 0 for none
+    :ivar entries: allocations by entry; an entry without one uses at most
+        its base share
+    :ivar is_oversubscribed: whether entries without a demand must give up
+        a part of their base shares
     """
 
     size: int = 0
@@ -93,7 +103,7 @@
 
 @attrs.define
 class Coordinator:
-    """Divides among entries what they have lent to it."""
+    """Divides the limits that entries have lent to it."""
 
     _contributions: dict[str, _Contribution] = attrs.field(factory=dict)
     _keys: dict[limits.Key, _Limit] = attrs.field(factory=dict)
@@ -107,28 +117,31 @@
         needs: Mapping[limits.Key, limits.Need],
         now: float,
     ) -> dict[limits.Key, limits.Grant]:
-        """Take in an entry's demand and grant it what can be granted.
-
-        :param entry: name of the entry in this life of it
-        :param fraction: what it lends of each limit
-        :param acknowledged: newest of its demands whose answer it applies,
-            0 before the first
-        :returns: its grants in the order of its needs, then those under
-            further keys of which others need what it owns; it has what
-            it owns under any other key
+        """Process the demand of an entry and compute its grants.
+
+        :param entry: name of the entry, unique to its incarnation
+        :param fraction: fraction of each limit that it lends
+        :param sequence: sequence number of the demand
+        :param acknowledged: sequence number of the last demand whose
+            answer the entry has applied, 0 before the first
+        :param needs: demands by key
+        :param now: time in seconds
+        :returns: grants for the needs, in their order, followed by grants
+            for other keys under which other entries need a part of its
+            base share; under all remaining keys it has its base share
         """
         self._expire(now)
         expires_at = now + limits.LEASE_SECONDS
         is_confirmed = acknowledged > 0
         previous = self._contributions.get(entry)
-        # Demands may overtake each other.
+        # Demands may arrive out of order.
         answered = max(sequence - 1, previous.answered if previous else 0)
         self._contributions[entry] = _Contribution(
             fraction, expires_at, max(sequence, answered), is_confirmed
         )
         self._record_needs(entry, acknowledged, needs)
         grants = {}
-        # One that was forgotten may have given up more than is known.
+        # Reductions of an entry whose lease expired here are no longer known.
         is_returning = is_confirmed and previous is None
         for key in [*needs, *self._list_reclaimed(entry, needs, is_returning)]:
             limit = self._keys[key]
@@ -136,7 +149,7 @@
             if entry not in limit.entries:
                 limit.entries[entry] = _Allocation()
                 if is_confirmed or previous is not None:
-                    # No answer before this one took it what it owns.
+                    # No earlier answer has reduced its base share.
                     old = (answered, base_share, math.inf)
                     limit.entries[entry].grants.append(old)
             allocation = limit.entries[entry]
@@ -148,7 +161,7 @@
         return grants
 
     def _expire(self, now: float) -> None:
-        """Forget entries that have been silent for a whole lease."""
+        """Remove entries that have sent no demand for the time of a lease."""
         self._contributions = {
             name: one
             for name, one in self._contributions.items()
@@ -188,12 +201,13 @@
         needs: Mapping[limits.Key, limits.Need],
         is_returning: bool,
     ) -> list[limits.Key]:
-        """List keys without a need of which others may need its part.
+        """List keys without a need whose base share others may need.
 
-        Those listed before stay: they may not fall back to what the
-        entry owns before there is room.
+        Keys listed before stay in the list, since the entry must not
+        return to its base share until that share is free.
 
-        :param returned: whether to list all that may have been listed
+        :param is_returning: whether to list all keys that may have been
+            listed before
         """
         is_confirmed = self._contributions[entry].is_confirmed
         known, new = [], []
@@ -245,7 +259,7 @@
         fractions: Mapping[str, float],
         now: float,
     ) -> limits.Grant:
-        """Return the most that others may be using."""
+        """Return the largest share that the other entries may be using."""
         default_use = _add(
             limits.compute_base_share(part, limit.size)
             for name, part in fractions.items()
@@ -263,7 +277,7 @@
         ).plus(default_use)
 
     def describe(self) -> dict[str, int]:
-        """Return how much it coordinates."""
+        """Return the numbers of entries, keys and oversubscribed keys."""
         return {
             'entries': len(self._contributions),
             'keys': len(self._keys),
--- a/packages/core/src/dunlintide_core/delays.py
+++ b/packages/core/src/dunlintide_core/delays.py
@@ -1,9 +1,10 @@
-"""Degraded links, found from token intervals of whole chains.
+"""Detection of degraded links from the token intervals of chains.
 
-A chain's interval is compared with its own usual one, and with what the
-other chains do at the time, so that a general rise of load accuses no
-link. A link is suspected when every chain through it has become several
-times slower; one good interval through it clears it.
+The token interval of a chain is compared with its own baseline, relative
+to the other chains at that time, so that a general rise in load is not
+attributed to links. A link is suspected after several consecutive slow
+intervals of chains that use it; one normal interval discards the
+collected evidence.
 """
 
 import collections
@@ -17,19 +18,21 @@
 
 __all__ = ['DelayModel']
 
-# Intervals this many times longer than usual are evidence against the
-# links of a chain, and below the second multiple evidence for them.
+# Multiples of the usual interval: from the first on an interval is evidence
+# against the links of its chain, below the second it is evidence for them.
 _SLOW_RATIO = 2.5
 _NORMAL_RATIO = 1.6
+# Slow intervals required before a link is suspected.
 _MIN_OBSERVATIONS = 4
-# One pair of agents must not condemn a link between failure domains.
+# One pair of agents is not enough to suspect a link between failure domains.
 _MIN_DOMAIN_PAIRS = 2
-# Evidence this old counts for nothing.
+# Older evidence is ignored.
 _WINDOW_SECONDS = 3.0
+# Weight of a new interval in the baseline.
 _BASELINE_WEIGHT = 0.1
 _BASELINE_OBSERVATIONS = 3
-# Recent intervals that tell how all chains fare; a rise is general when
-# all but this part of them show it.
+# Number of recent intervals, over all chains, that show a general change, and
+# the fraction of them that may be exempt from it.
 _RECENT_INTERVALS = 31
 _UNAFFECTED_FRACTION = 0.25
 _MAX_CHAINS = 4096
@@ -37,19 +40,26 @@
 _MAX_SLOWDOWN = 10.0
 
 _Pair = tuple[str, str]
-# A layer boundary and the failure domains that are joined there.
+# A layer boundary, and the source and target failure domains of its links.
 _Boundary = tuple[int, str, str]
 
 
 @attrs.define
 class _Baseline:
-    """Usual token interval of one chain, in seconds."""
+    """Usual token interval of one chain.
+
+    :ivar seconds: the interval
+    :ivar count: number of observations
+    """
 
     seconds: float
     count: int = 1
 
     def compare(self, seconds: float) -> float | None:
-        """Give the ratio to the usual interval, None while it is new."""
+        """Return the ratio of an interval to the baseline.
+
+        :returns: None until there are enough observations
+        """
         self.count += 1
         if self.count <= _BASELINE_OBSERVATIONS:
             self.seconds = min(self.seconds, seconds)
@@ -62,10 +72,13 @@
 
 @attrs.define
 class _Evidence:
-    """What chains say of one link.
+    """Evidence about one link.
 
-    :ivar place: where in the model and the deployment it is
-    :ivar pairs: pairs of agents that must agree before it is suspected
+    :ivar boundary: its layer boundary and failure domains
+    :ivar min_pairs: number of pairs of agents with slow intervals that
+        are required before it is suspected
+    :ivar factor: estimated multiple of the declared quality
+    :ivar slow: time, ratio and pair of agents of recent slow intervals
     """
 
     boundary: _Boundary
@@ -74,11 +87,11 @@
     slow: list[tuple[float, float, _Pair]] = attrs.field(factory=list)
 
     def is_suspected(self) -> bool:
-        """Tell whether it is known to be several times slower."""
+        """Return whether the link is estimated to be several times slower."""
         return self.factor.value < 1.0 / _SLOW_RATIO
 
     def add(self, ratio: float, pair: _Pair, now: float) -> None:
-        """Weigh the ratio of one chain's interval to its usual one."""
+        """Add the interval of a chain, as the ratio to its baseline."""
         if ratio < _NORMAL_RATIO:
             self.slow.clear()
             self.factor.raise_towards(1.0)
@@ -99,14 +112,14 @@
 
 
 class _LruMap(collections.OrderedDict):
-    """A map that forgets what was not used for longest."""
+    """A bounded map that evicts the least recently used item."""
 
     def __init__(self, limit: int) -> None:
         super().__init__()
         self._limit = limit
 
     def get_or_create(self, key, make: Callable):
-        """Give the value of a key, made when it is missing."""
+        """Return the value of a key, created if it is missing."""
         value = self.get(key)
         if value is None:
             value = self[key] = make()
@@ -118,7 +131,7 @@
 
 
 class DelayModel:
-    """Evidence against links between agents and failure domains."""
+    """Quality estimates of links between agents and failure domains."""
 
     def __init__(self) -> None:
         self._baselines = _LruMap(_MAX_CHAINS)
@@ -135,12 +148,12 @@
         now: float,
         is_slow: Callable[[str], bool] = lambda agent: False,
     ) -> None:
-        """Take the mean interval between some tokens of one request.
+        """Record the mean interval between some tokens of one request.
 
-        :param interval: in seconds
+        :param interval: mean interval in seconds
         :param now: time in seconds
-        :param explained: tells whether an agent is known to be slow, in
-            which case its chains accuse no link
+        :param is_slow: returns whether an agent is known to be slow; slow
+            chains through it are no evidence against links
         """
         baseline = self._baselines.get(chain.agents)
         if baseline is None:
@@ -161,17 +174,17 @@
             for source, target in zip(chain.stages, chain.stages[1:])
         ]
         if ratio >= _NORMAL_RATIO:
-            # A link that is known to be slow explains the whole chain.
+            # If the chain uses a suspected link, only that link is blamed.
             hops = [hop for hop in hops if hop[2].is_suspected()] or hops
         for pair, pair_evidence, boundary_evidence in hops:
             pair_evidence.add(ratio, pair, now)
             boundary_evidence.add(ratio, pair, now)
 
     def apply(self, links: plans.Links) -> plans.Links:
-        """Give the links with what was learnt, for a plan.
+        """Return the links with their estimated qualities, for a plan.
 
-        A pair of agents is listed only when the link between their
-        failure domains is not suspected as a whole.
+        A pair of agents is listed only if the link between their failure
+        domains is not suspected.
         """
         for evidence in self._list_all():
             evidence.factor.published = evidence.factor.value
@@ -192,22 +205,22 @@
         return attrs.evolve(links, boundaries=boundaries, agents=agents)
 
     def drift(self, now: float) -> None:
-        """Let suspicion fade; to be called about once a second."""
+        """Reduce suspicion without evidence; call it about once a second."""
         for evidence in self._list_all():
             evidence.factor.drift(now)
 
     def compute_change(self) -> float:
-        """Give the largest factor by which an estimate moved."""
+        """Return the largest factor by which an estimate has changed."""
         changes = (
             evidence.factor.compute_change() for evidence in self._list_all()
         )
         return max(changes, default=1.0)
 
     def list_factors(self) -> dict[_Boundary | _Pair, float]:
-        """Give learnt multiples of suspected links.
+        """Return the estimated quality multiples of degraded links.
 
-        Keys are (layer boundary, from, to) with failure domains, and
-        (from, to) with agents.
+        Keys are (layer boundary, source domain, target domain) or
+        (source agent, target agent).
         """
         both = itertools.chain(
             self._list_suspected(self._boundaries),
--- a/packages/core/src/dunlintide_core/division.py
+++ b/packages/core/src/dunlintide_core/division.py
@@ -1,4 +1,4 @@
-"""Division of one limit by demand."""
+"""Max-min fair division of a limit among entries."""
 
 import math
 from typing import Mapping
@@ -16,7 +16,7 @@
 def _allocate_rates(
     total: float, demands: Mapping[str, float]
 ) -> dict[str, float]:
-    """Meet small wants in full and divide the rest evenly."""
+    """Divide a rate so that small demands are met in full."""
     shares, remaining = {}, len(demands)
     for name, demand in sorted(demands.items(), key=lambda item: item[1]):
         shares[name] = min(demand, total / remaining)
@@ -28,7 +28,7 @@
 def _allocate_slots(total: int, demands: Mapping[str, int]) -> dict[str, int]:
     shares, remaining = {}, len(demands)
     for name, demand in sorted(demands.items(), key=lambda item: item[::-1]):
-        # Rounded up, so that a single slot goes to somebody.
+        # Rounded up, so that a single slot is assigned.
         shares[name] = min(demand, math.ceil(total / remaining))
         total -= shares[name]
         remaining -= 1
@@ -37,10 +37,12 @@
 
 @attrs.frozen
 class Division:
-    """How one limit is divided among entries.
+    """Division of one limit among entries.
 
-    :ivar shares: of the entries that asked, with room to grow
-    :ivar kept: part of what the others own that they keep, 0 to 1
+    :ivar shares: shares of the entries with a demand, including their
+        part of what remains
+    :ivar kept_fraction: fraction of their base shares that the other
+        entries keep, 0 to 1
     """
 
     shares: Mapping[str, limits.Grant]
@@ -53,15 +55,17 @@
     needs: Mapping[str, limits.Need],
     idle_share: limits.Grant,
 ) -> Division:
-    """Divide by demand: small wants are met in full, the rest is even.
+    """Divide a limit by max-min fairness.
 
-    Next come the entries that did not ask, which keep what they own, so
-    that a first burst there needs no word of anybody. What is then left
-    is spread evenly over those that asked.
+    Small demands are met in full, and the larger ones get equal shares.
+    If something remains, the entries without a demand keep their base
+    shares, so that a first burst there needs no coordination. What then
+    remains is divided evenly among the entries with a demand.
 
-    :param total: share of the limit that there is to divide
-    :param limit: the limit in flight, 0 for none
-    :param unasked: what entries that did not ask own together
+    :param total: fraction of the limit that is to be divided
+    :param limit: the limit of requests in flight, 0 for none
+    :param needs: the demands by entry
+    :param idle_share: sum of the base shares of entries without a demand
     """
     rates = _allocate_rates(total, {n: one.rate for n, one in needs.items()})
     spare_rate = max(0.0, total - math.fsum(rates.values()))
--- a/packages/core/src/dunlintide_core/hashing.py
+++ b/packages/core/src/dunlintide_core/hashing.py
@@ -1,4 +1,4 @@
-"""Hash of names, equal on all processes."""
+"""Hash function for names that gives equal results in all processes."""
 
 import xxhash
 
@@ -8,8 +8,10 @@
 
 
 def hash_text(text: str, seed: int = 0) -> int:
-    """Hash a text to 64 bits; not fit against forgery.
+    """Hash a text to 64 bits.
 
-    :param seed: gives independent hashes
+    The hash is not cryptographic: collisions can be constructed.
+
+    :param seed: selects one of a family of independent hash functions
     """
     return xxhash.xxh3_64_intdigest(text.encode(), seed=seed)
--- a/packages/core/src/dunlintide_core/ledger.py
+++ b/packages/core/src/dunlintide_core/ledger.py
@@ -1,9 +1,9 @@
-"""Executor's ledger of non-idempotent attempts.
+"""Records of the non-idempotent attempts at an executor.
 
-Each key runs at most once. An entry stays as a tombstone after its
-answer had to go, and a tombstone must outlive every claim that could
-still ask for the run: claims carry the executor's generation, and one
-older than the retention window is refused instead of run.
+Each key runs at most once. When the answer of an attempt is dropped, its
+record stays as a tombstone. A tombstone must outlive every claim that
+could still start the attempt. For this, claims contain the generation of
+the executor, and a claim older than the retention window is refused.
 """
 
 import collections
@@ -21,21 +21,22 @@
     'State',
 ]
 
+# Time between calls of ``Ledger.tick``.
 GENERATION_SECONDS = 60.0
 
 
 class State(enum.StrEnum):
-    """Where an attempt stands."""
+    """State of an attempt."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
     FINISHED = 'finished'
-    DROPPED = 'dropped'  # it ran; the answer is no longer kept
-    SEALED = 'sealed'  # it never ran and never will
+    DROPPED = 'dropped'  # it may have run; there is no answer
+    SEALED = 'sealed'  # it never ran and never will run
 
 
 class Verdict(enum.StrEnum):
-    """What to do with an attempt that has come in."""
+    """Decision about an attempt that has arrived."""
 
     START = 'start'
     ATTACH = 'attach'
@@ -50,7 +51,10 @@
 
 @attrs.frozen
 class Claim:
-    """Binding of a request to this executor, as the store has it."""
+    """Binding of a request to this executor, as read from the store.
+
+    ``claims.Binding`` describes the fields.
+    """
 
     key_digest: bytes
     fingerprint: bytes
@@ -63,10 +67,10 @@
 class Record:
     """One attempt.
 
-    :ivar generation: executor's generation when the attempt came in
-    :ivar work: what runs it, while it is queued or running
-    :ivar answer: the whole answer, once it has finished
-    :ivar size: bytes of the answer
+    :ivar generation: generation of the executor when the attempt arrived
+    :ivar work: the running request, while it is queued or running
+    :ivar answer: the complete answer, once the attempt has finished
+    :ivar size: size of the answer in bytes
     """
 
     key_digest: bytes
@@ -81,11 +85,12 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds of a ledger.
+    """Limits of a ledger.
 
-    :ivar entries: attempts, with tombstones
-    :ivar answer_bytes: bytes of all kept answers
-    :ivar window: generations for which a claim may ask for a run
+    :ivar records: maximum number of records, including tombstones
+    :ivar answer_bytes: maximum size of all stored answers
+    :ivar window: number of generations for which a claim may start an
+        attempt
     """
 
     records: int = 200_000
@@ -103,10 +108,11 @@
 
 
 class Ledger:
-    """Attempts of this life of the executor.
+    """Attempts of this incarnation of the executor.
 
-    :ivar generation: rises every ``GENERATION_SECONDS``; the caller
-        calls ``tick`` by its own monotonic clock
+    :ivar generation: number of calls of ``tick``, which the owner calls
+        every ``GENERATION_SECONDS`` of its monotonic clock
+    :ivar answer_bytes: size of all stored answers
     """
 
     def __init__(self, incarnation: int, limits: Limits = Limits()) -> None:
@@ -115,7 +121,7 @@
         self._incarnation = incarnation
         self._limits = limits
         self._records: dict[bytes, Record] = {}
-        # By generation, so that expiry costs only what expires.
+        # Oldest generation first, so that expiry visits only expired records.
         self._by_age: collections.deque[Record] = collections.deque()
         self._answers: collections.OrderedDict[bytes, Record] = (
             collections.OrderedDict()
@@ -125,7 +131,7 @@
         return len(self._records)
 
     def tick(self) -> None:
-        """Begin the next generation and drop expired tombstones."""
+        """Start the next generation and drop expired records."""
         self.generation += 1
         oldest = self.generation - self._limits.window
         unfinished = []
@@ -137,7 +143,7 @@
             self._drop_answer(record)
             if self._records.get(record.key_digest) is record:
                 del self._records[record.key_digest]
-        # What still runs is younger than its age says.
+        # Queued and running attempts do not expire.
         self._by_age.extendleft(reversed(unfinished))
 
     def _drop_answer(self, record: Record) -> None:
@@ -181,9 +187,9 @@
         return Verdict.START, None
 
     def open(self, claim: Claim) -> tuple[Verdict, Record | None]:
-        """Decide about an attempt that asks to run.
+        """Decide about an attempt that is to run.
 
-        START comes with a new entry, ATTACH and REPLAY with the old one.
+        START returns a new record, ATTACH and REPLAY the existing one.
         """
         verdict, record = self._decide(claim)
         if verdict is Verdict.START:
@@ -191,10 +197,10 @@
         return verdict, record
 
     def attach(self, claim: Claim) -> tuple[Verdict, Record | None]:
-        """Decide about a caller that asks for an earlier answer.
+        """Decide about a request for the answer of an earlier attempt.
 
-        An attempt that never came in is sealed, so that it cannot run
-        after its caller was told that it did not.
+        An attempt that has not arrived is sealed, so that it cannot run
+        after the caller has been informed that it did not run.
         """
         verdict, record = self._decide(claim)
         if verdict is Verdict.START:
@@ -202,16 +208,18 @@
         return verdict, record
 
     def seal(self, record: Record) -> None:
-        """Note that an attempt never ran; it never will."""
+        """Mark an attempt that has not run, so that it never will."""
         record.state = State.SEALED
         record.work = None
 
     def finish(self, record: Record, answer: Any, size: int) -> None:
-        """Keep an answer while the budget lasts.
+        """Store the answer of an attempt.
+
+        The oldest answers are dropped to stay within the size limit.
 
-        :param answer: what a repeat gets; None when it may have run but
-            there is no whole answer
-        :param size: bytes that the answer takes
+        :param answer: the answer for repeated requests; None if the
+            attempt may have run but has no complete answer
+        :param size: size of the answer in bytes
         """
         record.work = None
         if answer is None or size > self._limits.answer_bytes:
--- a/packages/core/src/dunlintide_core/limits.py
+++ b/packages/core/src/dunlintide_core/limits.py
@@ -1,25 +1,26 @@
-"""Limits for a team over all entries, without a shared counter.
-
-Each of N entries owns 1/N of every limit and uses that without asking.
-It lends what it owns to a coordinator, which divides what it was lent by
-demand and grants parts of it for a short time (a lease). Under a key that
-a coordinator says nothing about, an entry keeps what it owns; the part of
-an entry that did not ask is granted to others only after that entry has
-acknowledged that it gave it up. What may be used never passes what was
-lent, so the sum over all entries stays within the limit whatever is lost
-on the way and wherever the entries are cut apart:
-
-- A grant ends at the entry ``LEASE_SECONDS`` after the entry sent the
-  demand that it answers, and at the coordinator as long after that
-  demand came, which is later.
-- A smaller grant counts as the larger one before it until the entry has
-  acknowledged it.
-- An entry that hears nothing shrinks to the smaller of its grant and
-  1/N, and takes its own 1/N back only after two leases and
-  ``SLACK_SECONDS``, when no grant can rest on it any more.
-
-So entries admit, in any span of T seconds, at most ``rate * T`` plus
-``rate * BURST_SECONDS`` plus one request an entry.
+"""Team limits that hold over all entries without a shared counter.
+
+Each of N entries has a base share of 1/N of every limit, which it uses
+without coordination. It lends its base shares to a coordinator, which
+divides the lent shares by demand and grants them for a short time (a
+lease). Under a key without a grant, an entry uses its base share. If an
+entry has no demand under a key, its base share is granted to others only
+after the entry has acknowledged the reduction. The granted shares never
+exceed the lent shares. The sum over all entries therefore stays within
+the limit, whatever messages are lost and however the network is
+partitioned:
+
+- A grant expires at the entry ``LEASE_SECONDS`` after the entry sent the
+  demand. At the coordinator it expires ``LEASE_SECONDS`` after the demand
+  arrived, which is later.
+- Until the entry acknowledges a smaller grant, the coordinator counts the
+  larger one before it.
+- An entry without a valid grant uses the smaller of its last grant and
+  its base share. It returns to its base share after two leases and
+  ``SLACK_SECONDS``, when no grant to another entry can depend on it.
+
+In any T seconds the entries together admit at most ``rate * T`` plus
+``rate * BURST_SECONDS`` requests, plus one request per entry.
 """
 
 import math
@@ -43,28 +44,30 @@
 
 BURST_SECONDS = 1.0
 LEASE_SECONDS = 8.0
-# Longest time on the way for which the bound is exact. A demand that was
-# longer on its way lets its entry count 1/N twice for the rest.
+# Longest network delay for which the limit is exact. After a longer delay of a
+# demand, the base share of its entry may be in use twice for the excess time.
 SLACK_SECONDS = 2.0
-# One that needs nothing, and of which nothing is needed, asks so seldom:
-# in time for one more demand within its lease.
+# Interval of demands from an entry without needs and without a reduced share.
+# It leaves time for one more demand within the lease.
 IDLE_DEMAND_SECONDS = 5.0
-# Bound on the rounding errors of sums of shares.
+# Upper bound of rounding errors in sums of shares.
 EPSILON = 1e-9
-# A share that shrinks by more is acknowledged at once.
+# A larger decrease of a share is acknowledged at once.
 _SIGNIFICANT_DECREASE = 0.02
 
-# Team and rule: all keys and connections of a team count as one.
+# Team and rule. All API keys and connections of a team share one limit.
 Key = tuple[str, str]
 
 
 @attrs.define
 class Bucket:
-    """Token bucket that may be one request in debt.
+    """Token bucket that may go into debt by one request.
 
-    A debt is remembered until it is paid, so one first request is served
-    at once at an entry that holds no share yet, and none is free. It
-    begins with what has gathered while nobody asked.
+    The debt lets an entry without a share serve a first request at once.
+    It is kept until refills have paid for it, so that no request is free.
+
+    :ivar updated: time of the last refill in seconds
+    :ivar tokens: available tokens, negative for a debt
     """
 
     updated: float
@@ -72,18 +75,20 @@
 
     @classmethod
     def from_share(cls, now: float, rate: float) -> 'Bucket':
-        """Build a full one.
+        """Build a full bucket, as after a time without requests.
 
-        :param rate: tokens a second of this entry's share
+        :param now: time in seconds
+        :param rate: share of this entry in tokens per second
         """
         return cls(now, rate * BURST_SECONDS)
 
     def take(self, now: float, rate: float) -> float:
         """Take a token.
 
-        :param rate: tokens a second of this entry's share
-        :returns: 0 when it was taken, else the seconds until one can be,
-            infinite without a share
+        :param now: time in seconds
+        :param rate: share of this entry in tokens per second
+        :returns: 0 if a token was taken, else the seconds until one is
+            available, infinite without a share
         """
         self.refill(now, rate)
         if self.tokens >= -EPSILON:
@@ -92,7 +97,7 @@
         return -self.tokens / rate if rate > 0 else math.inf
 
     def refill(self, now: float, rate: float) -> None:
-        """Add what has come since it was last used."""
+        """Add the tokens for the time since the last refill."""
         grown = self.tokens + rate * max(0.0, now - self.updated)
         self.tokens = min(rate * BURST_SECONDS, grown)
         self.updated = now
@@ -100,12 +105,12 @@
 
 @attrs.frozen
 class Need:
-    """What an entry asks for under one key.
+    """Demand of an entry under one key.
 
-    :ivar rate: share of the rate that it could use, 1 for all of it
-    :ivar slots: requests that it would have in flight
-    :ivar in_flight: requests that it has in flight
-    :ivar limit: the limit in flight, 0 for none
+    :ivar rate: fraction of the rate that it could use, 0 to 1
+    :ivar slots: number of requests that it would have in flight
+    :ivar in_flight: number of requests that it has in flight
+    :ivar limit: the limit of requests in flight, 0 for none
     """
 
     rate: float = 0.0
@@ -116,40 +121,41 @@
 
 @attrs.frozen
 class Grant:
-    """What an entry may use under one key.
+    """Share of an entry under one key.
 
-    :ivar rate: share of the rate, 0 to 1
-    :ivar slots: requests in flight
+    :ivar rate: fraction of the rate, 0 to 1
+    :ivar slots: maximum number of requests in flight
     """
 
     rate: float = 0.0
     slots: int = 0
 
     def plus(self, other: 'Grant') -> 'Grant':
-        """Return the sum of both."""
+        """Return the sum of two grants."""
         return Grant(self.rate + other.rate, self.slots + other.slots)
 
 
 def find_minimum(one: Grant, other: Grant) -> Grant:
-    """Return the smaller part of each."""
+    """Return the smaller rate and the smaller number of slots."""
     return Grant(min(one.rate, other.rate), min(one.slots, other.slots))
 
 
 def compute_base_share(fraction: float, limit: int) -> Grant:
-    """Return what an entry owns, in whole slots.
+    """Compute the base share of an entry, with slots rounded down.
 
-    :param fraction: what it owns of each limit
-    :param limit: the limit in flight, 0 for none
+    :param fraction: fraction of each limit that is the base share
+    :param limit: the limit of requests in flight, 0 for none
     """
     return Grant(fraction, math.floor(limit * fraction + EPSILON))
 
 
 @attrs.define
 class Lease:
-    """An entry's standing with a coordinator.
+    """Lease of an entry from a coordinator.
 
-    :ivar coordinator: who is asked, empty for nobody
-    :ivar acknowledged: newest demand whose answer is applied
+    :ivar coordinator: name of the coordinator, empty for none
+    :ivar acknowledged: sequence number of the last demand whose answer
+        has been applied, 0 for none
     """
 
     coordinator: str = ''
@@ -163,24 +169,26 @@
     _must_acknowledge: bool = False
 
     def is_live(self, now: float) -> bool:
-        """Tell whether grants are in force."""
+        """Return whether the grants are valid."""
         return now < self._confirmed_at + LEASE_SECONDS
 
     def is_base_share_free(self, now: float) -> bool:
-        """Tell whether what the entry owns is its own again."""
+        """Return whether no grant of others can rest on the base shares."""
         if not self.acknowledged:
             return True
         released_at = self._last_sent_at + 2 * LEASE_SECONDS + SLACK_SECONDS
         return not self.is_live(now) and now >= released_at
 
     def choose(self, coordinator: str, now: float) -> bool:
-        """Turn to a coordinator as soon as no other is lent anything.
+        """Select a coordinator, once nothing is lent to another one.
 
-        :param coordinator: empty to stay with the present one
-        :returns: whether it is to be sent a demand now
+        :param coordinator: preferred coordinator; empty for none, which
+            does not end a valid lease
+        :param now: time in seconds
+        :returns: whether to send a demand to the current coordinator now
         """
         if self.acknowledged and not self.is_base_share_free(now):
-            # With a better choice in reach the lease is left to end.
+            # If another coordinator is preferred, the lease is not renewed.
             stays = coordinator in ('', self.coordinator)
             return stays and self.is_live(now)
         waited = now - self._selected_at > LEASE_SECONDS
@@ -197,17 +205,20 @@
         self._grants = {}
 
     def can_defer_demand(self, now: float) -> bool:
-        """Tell whether a demand without needs can wait.
+        """Return whether a demand without needs can wait.
 
-        It can while no grant differs from what the entry owns, and the
-        coordinator knows that, as long as what it lends stays lent.
+        It can while the lease is valid, all grants equal the base shares,
+        and the coordinator has the acknowledgement of that.
         """
         is_recent = now - self._last_sent_at < IDLE_DEMAND_SECONDS
         is_settled = not self._grants and not self._must_acknowledge
         return is_recent and is_settled and self.is_live(now)
 
     def send(self, now: float) -> int:
-        """Return the number of a demand that is sent now."""
+        """Record that a demand is sent now.
+
+        :returns: the sequence number of the demand
+        """
         self._sequence += 1
         self._last_sent_at = now
         self._must_acknowledge = False
@@ -215,20 +226,23 @@
         return self._sequence
 
     def accept(self, sequence: int, grants: Mapping[Key, Grant]) -> bool:
-        """Apply an answer; False for one that is old or was not asked."""
+        """Apply the answer to a demand.
+
+        :returns: False for an outdated or unexpected answer
+        """
         sent = self._sent.get(sequence)
         if sent is None or sequence <= self.acknowledged:
             return False
         self._sent = {n: at for n, at in self._sent.items() if n > sequence}
         self.acknowledged = sequence
         self._confirmed_at = sent
-        # Others get what is given up here once that is acknowledged.
+        # The coordinator grants a reduction to others once it is acknowledged.
         self._must_acknowledge = self._grants != grants
         self._grants = grants
         return True
 
     def is_shrunk_by(self, grants: Mapping[Key, Grant]) -> bool:
-        """Tell whether any grant is less than the one in force."""
+        """Return whether any grant is smaller than the current one."""
         for key, old in self._grants.items():
             new = grants.get(key, old)
             if (
@@ -241,10 +255,10 @@
     def find_grant(
         self, key: Key, fraction: float, limit: int, now: float
     ) -> Grant:
-        """Return what may be used under a key.
+        """Return the share that may be used under a key.
 
-        :param fraction: what the entry owns of each limit
-        :param limit: the limit in flight, 0 for none
+        :param fraction: fraction of each limit that is the base share
+        :param limit: the limit of requests in flight, 0 for none
         """
         base_share = compute_base_share(fraction, limit)
         if self.is_base_share_free(now):
@@ -253,5 +267,5 @@
         return grant if self.is_live(now) else find_minimum(grant, base_share)
 
     def has_grant(self, key: Key, now: float) -> bool:
-        """Tell whether a grant under a key is in force."""
+        """Return whether there is a valid grant under a key."""
         return self.is_live(now) and key in self._grants
--- a/packages/core/src/dunlintide_core/loads.py
+++ b/packages/core/src/dunlintide_core/loads.py
@@ -1,4 +1,4 @@
-"""Outstanding work of endpoints, from own counts and late reports."""
+"""Outstanding requests of endpoints, from own counts and delayed reports."""
 
 from collections.abc import Iterable
 
@@ -12,22 +12,21 @@
     'score',
 ]
 
-# A load report counts linearly less with age, and not at all after this
-# many seconds.
+# The weight of a load report falls linearly with its age, to 0 at this age.
 _REPORT_LIFETIME_SECONDS = 10.0
-# Time in one stage, about, when only the links' latencies are known.
+# Approximate time in one stage, where only link latencies are known.
 _STEP_SECONDS = 0.02
 _MIN_SATURATION = 1e-9
 
 
 @attrs.define
 class Load:
-    """Outstanding work of one agent, in requests.
+    """Outstanding requests of one agent.
 
-    :ivar room: requests that it holds when it is just kept busy
+    :ivar saturation: number of requests that just keep the endpoint busy
     :ivar own: requests of this process
-    :ivar others: requests of all other processes, as last reported
-    :ivar reported: time of that report, in seconds
+    :ivar others: requests of all other processes, by the last report
+    :ivar reported_at: time of that report in seconds
     """
 
     saturation: float
@@ -39,14 +38,15 @@
 def estimate_saturation(
     plan: plans.Plan, stages: Iterable[plans.Stage]
 ) -> dict[str, float]:
-    """Estimate how many requests keep each endpoint just busy.
+    """Estimate the number of requests that just keep each endpoint busy.
 
-    By Little's law that is its rate times the time that a token takes
-    round its chains. Work over capacity alone would shun far endpoints,
-    whose requests are mostly on the way.
+    By Little's law it is the rate of the endpoint times the round trip of
+    a token through its chains. Dividing requests by capacity alone would
+    put remote endpoints at a disadvantage, since most of their requests
+    are on the network.
 
-    :param stops: all endpoints, also those outside the plan
-    :returns: by agent
+    :param stages: all endpoints, including those not in the plan
+    :returns: the number of requests by agent
     """
     round_trips: dict[str, float] = {}
     shares: dict[str, float] = {}
@@ -71,9 +71,9 @@
 
 
 def score(loads: Iterable[Load], now: float) -> float:
-    """Give the work of the fullest endpoint over its room.
+    """Return the highest ratio of requests to saturation.
 
-    :param now: time in seconds, against which reports age
+    :param now: time in seconds, from which the age of reports counts
     """
     worst = 0.0
     for load in loads:
--- a/packages/core/src/dunlintide_core/outcomes.py
+++ b/packages/core/src/dunlintide_core/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes that callers see and the failures that lead to them."""
+"""Outcomes of requests and the failure codes behind them."""
 
 import enum
 
@@ -13,7 +13,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request, as told to its caller."""
+    """Outcome of a request, as reported to the caller."""
 
     COMPLETE = 'complete'
     NOT_RUN = 'not-run'
@@ -21,7 +21,7 @@
 
 
 class FailCode(enum.StrEnum):
-    """Why a request, or one attempt at it, ended without an answer."""
+    """Reason why a request or an attempt ended without an answer."""
 
     BAD_REQUEST = 'bad-request'
     UNAUTHENTICATED = 'unauthenticated'
@@ -48,7 +48,7 @@
     INTERNAL = 'internal'
 
 
-# HTTP status for each failure, by RFC 9110.
+# HTTP status codes (RFC 9110); all other failures use the default.
 _STATUS = {
     FailCode.BAD_REQUEST: 400,
     FailCode.UNAUTHENTICATED: 401,
@@ -72,15 +72,16 @@
 
 @attrs.frozen
 class Refusal:
-    """An answer other than the one asked for.
+    """Refusal or failure of a request or an attempt.
 
     :ivar code: the reason
-    :ivar outcome: what became of the request
+    :ivar outcome: outcome of the request
     :ivar detail: one sentence for the caller, without request content
-    :ivar retry_after: seconds after which a repeat makes sense, or None
-    :ivar sealed: whether the executor of its claim said that it never ran
-        and never will
-    :ivar held: whether the executor keeps the run for a new chain
+    :ivar retry_after: seconds after which the caller may retry, or None
+    :ivar sealed: whether the executor of the claim has confirmed that the
+        request never ran and never will
+    :ivar held: whether the executor keeps the state of the request, so
+        that it can continue on a new chain
     """
 
     code: FailCode
@@ -92,7 +93,7 @@
 
     @property
     def status(self) -> int:
-        """HTTP status that goes with the code."""
+        """HTTP status of the code."""
         return _STATUS.get(self.code, _DEFAULT_STATUS)
 
 
@@ -103,12 +104,13 @@
     ran: bool = False,
     retry_after: float | None = None,
 ) -> Refusal:
-    """Build a refusal; ``ran`` tells whether anything may have run.
+    """Build a refusal.
 
     :param code: the reason
     :param detail: one sentence for the caller
-    :param ran: False only when provably nothing of the request ran
-    :param retry_after: seconds after which a repeat makes sense
+    :param ran: whether any part of the request may have run; False only
+        if it certainly did not
+    :param retry_after: seconds after which the caller may retry
     """
     outcome = Outcome.UNKNOWN if ran else Outcome.NOT_RUN
     return Refusal(code, outcome, detail, retry_after)
--- a/packages/core/src/dunlintide_core/plan.py
+++ b/packages/core/src/dunlintide_core/plan.py
@@ -1,8 +1,8 @@
-"""Maximum flow over layer ranges: the throughput bound and its chains.
+"""Throughput planning: maximum flow over layer ranges, split into chains.
 
-Layer boundaries of a model are the places, endpoints are edges between
-them, and so are the links. Links are aggregated by pairs of failure
-domains, which keeps the graph linear in the number of endpoints.
+The nodes of the flow network are layer boundaries of a model, and its
+edges are endpoints and links. Links are aggregated by pairs of failure
+domains, so that the graph grows linearly with the number of endpoints.
 """
 
 from collections.abc import Iterable, Mapping
@@ -22,9 +22,9 @@
     'make_plan',
 ]
 
-# Flows are whole numbers, so that they are exact and ties are stable.
+# Integer flows are exact, and ties are resolved deterministically.
 _UNITS_PER_TOKEN = 1000
-# Latencies are whole microseconds in the network, for the same reason.
+# Latencies are integer microseconds, for the same reason.
 _COST_PER_SECOND = 1_000_000
 _SOURCE = 0
 _SINK = 1
@@ -32,11 +32,11 @@
 
 @attrs.frozen
 class Stage:
-    """An endpoint as the planner sees it.
+    """An endpoint that runs a range of layers.
 
-    Layers are the half-open range ``[layer_start, layer_end)``.
+    The layers are the half-open range ``[layer_start, layer_end)``.
 
-    :ivar agent: name of the agent before it
+    :ivar agent: name of the agent of the endpoint
     :ivar capacity: tokens/s over all sessions
     """
 
@@ -49,10 +49,11 @@
 
 @attrs.frozen
 class LinkQuality:
-    """What a link carries.
+    """Latency and throughput of a link.
 
-    :ivar latency: one way, in seconds
-    :ivar tokens_per_second: activations of this many positions a second
+    :ivar latency: one-way latency in seconds
+    :ivar tokens_per_second: positions whose activations it carries per
+        second
     """
 
     latency: float = 0.0005
@@ -63,13 +64,13 @@
 class Links:
     """Qualities of all links, by direction.
 
-    :ivar default: where nothing else is known
-    :ivar domains: by (from, to) failure domain: what all agents of the
-        two carry together at one layer boundary
-    :ivar boundaries: by (layer boundary, from, to) failure domain, where
-        that differs from the other boundaries
-    :ivar agents: by (from, to) agent: what was measured for that pair;
-        it only decides which agents of two failure domains are paired
+    :ivar default: quality of links that are not listed
+    :ivar domains: quality by (source, target) failure domain, for all
+        agents of the two together at one layer boundary
+    :ivar boundaries: quality by (layer boundary, source, target) failure
+        domain, where it differs from that at other boundaries
+    :ivar agents: measured quality by (source, target) agent; it only
+        affects which agents of two failure domains are paired
     """
 
     default: LinkQuality = LinkQuality()
@@ -82,9 +83,9 @@
     def between_domains(
         self, boundary: int, source: str, target: str
     ) -> LinkQuality:
-        """Give the quality between two failure domains.
+        """Return the quality of the link between two failure domains.
 
-        :param boundary: first layer behind the link
+        :param boundary: first layer after the link
         """
         known = self.boundaries.get((boundary, source, target))
         if known is not None:
@@ -92,7 +93,7 @@
         return self.domains.get((source, target), self.default)
 
     def between(self, source: Stage, target: Stage) -> LinkQuality:
-        """Give the quality between two endpoints."""
+        """Return the quality of the link between two stages."""
         measured = self.agents.get((source.agent, target.agent))
         if measured is not None:
             return measured
@@ -103,10 +104,11 @@
 
 @attrs.frozen
 class Chain:
-    """Endpoints whose layer ranges tile the model, in order.
+    """Stages whose layer ranges cover the model, in order.
 
-    :ivar share: tokens/s of the plan that go this way
-    :ivar latency: sum of the links' latencies, back to the head, seconds
+    :ivar share: tokens/s that the plan assigns to the chain
+    :ivar latency: sum of the link latencies in seconds, including the
+        link from the last stage back to the first (the head)
     """
 
     stages: tuple[Stage, ...]
@@ -115,7 +117,7 @@
 
     @property
     def agents(self) -> tuple[str, ...]:
-        """Names of the agents, head first."""
+        """Names of the agents, starting with the head."""
         return tuple(stage.agent for stage in self.stages)
 
 
@@ -124,7 +126,7 @@
     """The throughput bound and the chains that reach it.
 
     :ivar bound: tokens/s that the endpoints and links allow
-    :ivar chains: their shares sum to the bound
+    :ivar chains: chains whose shares add up to the bound
     """
 
     bound: float
@@ -139,7 +141,12 @@
 
 
 class _Network:
-    """Flow network under construction; nodes are whole numbers."""
+    """Flow network; its nodes are integers.
+
+    A stage is an edge between two nodes of its own. Hubs collect the
+    stages of a failure domain that start or end at a layer boundary, and
+    the edges between hubs are the links.
+    """
 
     def __init__(self, stages: list[Stage], layers: int, links: Links) -> None:
         self.stages = stages
@@ -153,7 +160,7 @@
         self._join_hubs()
 
     def get_stage(self, node: int) -> Stage | None:
-        """Give the endpoint of a node, None for a hub, source or sink."""
+        """Return the stage of a node, None for a hub, source or sink."""
         index = (node - 2) // 2
         if node < 2 or index >= len(self.stages):
             return None
@@ -206,7 +213,10 @@
 
 
 def _find_flow(graph: networkx.DiGraph) -> dict[int, dict[int, int]]:
-    """Find the maximum flow of least total latency, without its zeros."""
+    """Find the maximum flow with the least total latency.
+
+    :returns: positive flows by source and target node
+    """
     bound = networkx.maximum_flow_value(
         graph, _SOURCE, _SINK, flow_func=flows.preflow_push
     )
@@ -222,7 +232,7 @@
 
 
 class _Decomposition:
-    """Takes a flow apart into chains, by fast links first."""
+    """Splits a flow into chains, following the fastest links first."""
 
     def __init__(
         self,
@@ -235,10 +245,10 @@
         self._links = links
 
     def list_chains(self) -> Iterable[Chain]:
-        """Yield chains until no flow is left.
+        """Yield chains until no flow remains.
 
-        The graph is acyclic, so each walk over positive flow ends at the
-        sink, and each takes at least one edge's flow away.
+        The graph is acyclic, so each walk along positive flow ends at the
+        sink. Each walk removes the flow of at least one edge.
         """
         while self._flow.get(_SOURCE):
             path = self._walk()
@@ -286,12 +296,13 @@
 def make_plan(
     stages: Iterable[Stage], layers: int, links: Links = Links()
 ) -> Plan:
-    """Find the most tokens/s that the stops can carry, and by which way.
+    """Compute the maximum throughput and the chains that achieve it.
 
-    The same input gives the same plan, in every process. It takes tens
-    of milliseconds at 600 endpoints, so it belongs in the background.
+    The same input gives the same plan in every process. Planning takes
+    tens of milliseconds for 600 endpoints, so call it on a background
+    thread.
 
-    :param stops: live endpoints of one model version
+    :param stages: live endpoints of one model version
     :param layers: number of layers of the model
     :param links: qualities of the links between them
     """
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -1,10 +1,10 @@
-"""Which request crashes endpoints, by elimination.
+"""Identification of poison requests, which crash endpoints.
 
-A crash accuses every request whose step was under way. Its accused only
-ever become fewer, so copies of the evidence at many processes can be
-merged in any order. A request that later gets past the point at which it
-was accused is cleared; until then each endpoint runs it alone, so that
-the next crash has one accused.
+The suspects of a crash are all requests with a step in progress. Suspects
+are only ever removed, so that copies of the evidence in several processes
+can be merged in any order. A suspect that later runs past the position of
+the crash is cleared. Until then each endpoint runs it in isolation, so
+that the next crash has a single suspect.
 """
 
 import collections
@@ -24,15 +24,16 @@
 
 @attrs.frozen
 class Limits:
-    """Constants of the evidence.
-
-    :ivar seconds: how long a crash is remembered, and so the longest
-        quarantine
-    :ivar team_crashes: crashes that accuse one team alone from which
-        on its unknown requests run alone
-    :ivar crashes: crashes that are kept, the newest
-    :ivar suspects: accused that are kept over all crashes
-    :ivar known: requests kept as known to run well
+    """Limits of the evidence.
+
+    :ivar seconds: time for which a crash is recorded, and therefore the
+        longest quarantine
+    :ivar team_crashes: number of crashes with suspects of only one team
+        from which on the team is isolated: its requests that are not
+        known to be good run alone
+    :ivar crashes: maximum number of recorded crashes; the newest are kept
+    :ivar suspects: maximum number of suspects over all crashes
+    :ivar known_good: maximum number of requests recorded as good
     """
 
     seconds: float = 600.0
@@ -42,22 +43,23 @@
     known_good: int = 8192
 
 
-# Crashes that convict a request which was the only accused of one of
-# them: on two endpoints, or more often on one, which may be faulty itself.
+# A request that was the only suspect of a crash is quarantined after crashes
+# of two endpoints. If a single endpoint crashes, which may itself be faulty,
+# three crashes are required.
 _MIN_ENDPOINTS = 2
 _MIN_CRASHES = 3
 
 
 @attrs.frozen
 class LayerRange:
-    """Layers of a model, at which a request may do harm."""
+    """Range ``[layer_start, layer_end)`` of the layers of a model."""
 
     model: str
     layer_start: int
     layer_end: int
 
     def overlaps(self, other: 'LayerRange') -> bool:
-        """Tell whether two places share a layer."""
+        """Return whether two ranges share a layer."""
         return (
             self.model == other.model
             and self.layer_start < other.layer_end
@@ -67,10 +69,10 @@
 
 @attrs.frozen
 class Suspect:
-    """A request that a crash accuses.
+    """A request that may have caused a crash.
 
     :ivar fingerprint: digest of its team and content
-    :ivar position: first position of the step that was under way
+    :ivar position: first position of the step in progress
     """
 
     fingerprint: bytes
@@ -82,9 +84,10 @@
 class Crash:
     """One crash of an endpoint.
 
-    :ivar name: unique over all crashes
-    :ivar endpoint: agent of the endpoint
-    :ivar expires: monotonic time in seconds at which it is forgotten
+    :ivar name: unique name of the crash
+    :ivar endpoint: name of the agent of the endpoint
+    :ivar place: layers of the endpoint
+    :ivar expires: monotonic time in seconds at which the record expires
     """
 
     name: str
@@ -96,10 +99,10 @@
 
 @attrs.frozen
 class Quarantine:
-    """A request that is refused for some time.
+    """A request that is refused until the quarantine ends.
 
-    :ivar crashes: crashes that accuse it
-    :ivar seconds: time left
+    :ivar crashes: number of crashes of which it is a suspect
+    :ivar seconds: remaining time
     """
 
     fingerprint: bytes
@@ -110,9 +113,10 @@
 
 @attrs.define(eq=False)
 class _CrashRecord:
-    """A crash and who is still accused of it.
+    """A crash and its remaining suspects.
 
-    :ivar team: the team that all accused belong to, if it is one
+    :ivar suspects: suspects by fingerprint
+    :ivar team: the team of all suspects, empty if there are several
     """
 
     crash: Crash
@@ -125,10 +129,10 @@
 
 
 class Evidence:
-    """Crashes and what follows from them at one process."""
+    """Recorded crashes, and the suspects and quarantines that follow."""
 
     def __init__(self, limits: Limits = Limits()) -> None:
-        """Begin with no crash."""
+        """Start without recorded crashes."""
         self._limits = limits
         self._records: dict[str, _CrashRecord] = {}
         self._records_by_request: dict[bytes, dict[str, _CrashRecord]] = {}
@@ -142,9 +146,10 @@
         return len(self._records)
 
     def add(self, crash: Crash, now: float) -> bool:
-        """Take in a crash, or fewer accused of one that is known.
+        """Record a crash, or fewer suspects of a recorded one.
 
-        :returns: whether anything was new
+        :param now: monotonic time in seconds
+        :returns: whether the evidence has changed
         """
         self.expire(now)
         if crash.expires <= now:
@@ -166,9 +171,10 @@
         return True
 
     def clear(self, name: str, fingerprint: bytes) -> bool:
-        """Accuse a request of a crash no more.
+        """Remove a request from the suspects of a crash.
 
-        :returns: whether it was accused of it
+        :param name: name of the crash
+        :returns: whether it was a suspect
         """
         record = self._records.get(name)
         if record is None or fingerprint not in record.suspects:
@@ -181,10 +187,11 @@
     def record_step(
         self, fingerprint: bytes, place: LayerRange, end: int
     ) -> list[str]:
-        """Take note of a step that ran without a crash.
+        """Record a step that ran without a crash.
 
-        :param end: position behind the step
-        :returns: names of the crashes that it is cleared of
+        :param place: layers of the endpoint that ran the step
+        :param end: position after the last one of the step
+        :returns: names of the crashes of which the request is cleared
         """
         self._known_good[fingerprint] = None
         self._known_good.move_to_end(fingerprint)
@@ -210,14 +217,14 @@
         self._review_request(fingerprint)
 
     def _draw_conclusions(self, record: _CrashRecord) -> None:
-        """Draw conclusions from a case that has changed."""
+        """Update quarantines and suspects after a change of a record."""
         self._count_team(record, record.find_common_team())
         for fingerprint in list(record.suspects):
             self._review_request(fingerprint)
         culprits = [one for one in record.suspects if one in self._quarantined]
         if not culprits or len(culprits) == len(record.suspects):
             return
-        # The crash is explained, so its other accused are innocent.
+        # The quarantined request explains the crash; clear the others.
         for fingerprint in list(record.suspects):
             if fingerprint not in self._quarantined:
                 self.clear(record.crash.name, fingerprint)
@@ -290,7 +297,7 @@
             self._forget(oldest)
 
     def expire(self, now: float) -> None:
-        """Forget the crashes whose time has passed."""
+        """Remove the crashes whose time has expired."""
         old = [
             name
             for name, record in self._records.items()
@@ -300,21 +307,24 @@
             self._forget(name)
 
     def is_suspected(self, fingerprint: bytes) -> bool:
-        """Tell whether any crash accuses a request."""
+        """Return whether a request is a suspect of any crash."""
         return fingerprint in self._records_by_request
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is to be refused."""
+        """Return whether a request must be refused."""
         return fingerprint in self._quarantined
 
     def is_team_isolated(self, team: str) -> bool:
-        """Tell whether a team's unknown requests are to run alone."""
+        """Return whether requests of a team run alone until known good."""
         return self._teams[team] >= self._limits.team_crashes
 
     def must_run_alone(
         self, fingerprint: bytes, team: str, place: LayerRange
     ) -> bool:
-        """Tell whether a request's step must share the endpoint with none."""
+        """Return whether a step of a request must not be batched.
+
+        :param place: layers of the endpoint that is to run the step
+        """
         records = self._records_by_request.get(fingerprint)
         if records is not None and any(
             record.crash.place.overlaps(place) for record in records.values()
@@ -325,18 +335,22 @@
         )
 
     def list_crashes(self) -> Iterator[Crash]:
-        """Yield the crashes with those who are still accused."""
+        """Yield the recorded crashes with their remaining suspects."""
         for record in self._records.values():
             suspects = tuple(record.suspects.values())
             yield attrs.evolve(record.crash, suspects=suspects)
 
     def list_quarantines(self, now: float) -> Iterable[Quarantine]:
-        """Return the requests that are refused now."""
+        """Return the current quarantines.
+
+        :param now: monotonic time in seconds
+        """
         found = []
         for fingerprint in sorted(self._quarantined):
             records = list(self._records_by_request[fingerprint].values())
             ends = sorted(record.crash.expires for record in records)
-            # The last crash by itself convicts only a watched team's.
+            # One crash is enough only for an isolated team, so the quarantine
+            # ends when the last crash but one expires.
             end = ends[-min(2, len(ends))]
             team = records[0].suspects[fingerprint].team
             found.append(
@@ -345,5 +359,5 @@
         return found
 
     def list_isolated_teams(self) -> list[str]:
-        """Return the teams whose unknown requests run alone."""
+        """Return the names of the isolated teams, sorted."""
         return sorted(filter(self.is_team_isolated, self._teams))
--- a/packages/core/src/dunlintide_core/positions.py
+++ b/packages/core/src/dunlintide_core/positions.py
@@ -1,8 +1,8 @@
-"""Order of the steps that one pipeline stage takes for one request.
+"""Ordering of the steps of a request at a pipeline stage.
 
 Every layer must run exactly once for each position, in order. A stage
-keeps the newest epoch that it has seen and the next position; whatever
-does not fit is dropped by name, so that each drop can be counted.
+tracks the newest epoch it has seen and the next position. A step that
+does not match is dropped with a reason, so that drops can be counted.
 """
 
 import collections
@@ -20,7 +20,7 @@
 
 
 class Action(enum.StrEnum):
-    """What to do with a step."""
+    """Action to take on a step; the value is part of a counter name."""
 
     ACCEPT = 'accept'
     TRIM = 'trim'
@@ -33,7 +33,7 @@
 class Verdict:
     """Decision about one step.
 
-    :ivar trim: leading positions to leave out, since they have run
+    :ivar trim: number of leading positions to skip, which have already run
     """
 
     action: Action
@@ -41,7 +41,7 @@
 
     @property
     def runs(self) -> bool:
-        """Whether the step, or what is left of it, is to run."""
+        """Whether the step runs, possibly without its first positions."""
         return self.action in (Action.ACCEPT, Action.TRIM)
 
 
@@ -55,9 +55,11 @@
 class Cursor:
     """Newest epoch of a request at a stage, and its next position.
 
-    :ivar failed: whether this epoch saw a gap; nothing more of it runs
-    :ivar rewound: whether the stage before was asked anew for positions
-        and may not have heard; what it sent until then is no gap
+    :ivar failed: whether a gap occurred in this epoch, after which no
+        step of the epoch runs
+    :ivar rewound: whether earlier positions have been requested again
+        from the previous stage; steps that it sent before it received
+        the request are stale and no gap
     """
 
     epoch: int
@@ -66,12 +68,12 @@
     rewound: bool = False
 
     def accept(self, epoch: int, position: int, count: int) -> Verdict:
-        """Decide about a step and move on when it runs.
+        """Decide about a step and advance if it runs.
 
-        A newer epoch replaces the one before and starts at position 0.
+        A newer epoch replaces the current one and starts at position 0.
 
         :param position: first position of the span
-        :param count: positions in the span, above 0
+        :param count: number of positions in the span, above 0
         """
         if epoch < self.epoch:
             return _STALE
@@ -96,16 +98,16 @@
         return Verdict(Action.TRIM, trim) if trim else _ACCEPT
 
     def advance_epoch(self, epoch: int) -> None:
-        """Go on in a newer epoch with the positions that have run."""
+        """Continue in a newer epoch after the positions that have run."""
         self.epoch = epoch
         self.failed = False
         self.rewound = False
 
 
 def build_rewound(epoch: int, position: int) -> Cursor:
-    """Make the cursor of a stage that asks anew for positions.
+    """Build the cursor of a stage that requests positions again.
 
-    :param position: the first one that it asks for
+    :param position: first position that it requests
     """
     return Cursor(epoch, position, rewound=True)
 
@@ -113,8 +115,8 @@
 class Fences:
     """Newest ended epochs of recent requests, bounded in number.
 
-    A frame that was under way while its epoch ended must not begin it
-    again.
+    They fence off late frames: a frame that was in transit when its epoch
+    ended must not start the epoch again.
     """
 
     def __init__(self, capacity: int = 16_384) -> None:
@@ -127,7 +129,7 @@
         return len(self._epochs)
 
     def end(self, request_id: str, epoch: int) -> None:
-        """Fence an epoch and all that came before it."""
+        """Mark an epoch of a request and all earlier ones as ended."""
         newest = max(epoch, self._epochs.pop(request_id, epoch))
         self._epochs[request_id] = newest
         if len(self._epochs) > self._capacity:
--- a/packages/core/src/dunlintide_core/prefixes.py
+++ b/packages/core/src/dunlintide_core/prefixes.py
@@ -1,13 +1,13 @@
-"""What an agent knows of the prefixes in its engine's cache.
+"""View of the prompt prefixes in the cache of an engine.
 
-Engines name cached blocks by hashes of their own, which nobody else can
-compute; but their events name the session that stored a block. An agent
-knows the prompt blocks of that session, hashed under its team's salt
-(``affinity.hash_blocks``), and so translates the one into the other.
+Engines identify cached blocks by hashes that only they can compute, but
+their events contain the session that stored a block. An agent knows the
+prompt blocks of that session, hashed with the salt of its team
+(``affinity.hash_blocks``), and maps the blocks of the engine to them.
 
-Events come late and with gaps. A lost one shows in the sequence numbers
-and makes the view unsure until it is read anew; a wrong entry costs one
-prefill and nothing else.
+Events arrive late and with gaps. A gap in the sequence numbers makes the
+view incomplete until the contents of the cache are read again. A wrong
+item costs one prefill and has no other effect.
 """
 
 import bisect
@@ -31,20 +31,21 @@
 ]
 
 DEFAULT_LIMIT = 20_000
-# Sessions whose events may still come, and prefixes worth telling.
+# Sessions whose events may still arrive.
 _MAX_SESSIONS = 2_000
+# Prefixes that are candidates for publication, of each kind.
 _MAX_RANKED = 2_000
 
 
 @attrs.frozen
 class Event:
-    """One change of an engine's cache, or a block that it holds.
+    """A change of the cache of an engine, or a block that it holds.
 
-    :ivar sequence: counts all events, so that a lost one shows
-    :ivar stored: False when the block was evicted
+    :ivar sequence: consecutive number of the event, to detect losses
+    :ivar stored: False if the block was evicted
     :ivar session: session that stored the block
-    :ivar block: the engine's own name of it
-    :ivar tokens: length of the prefix that ends with it
+    :ivar block: identifier that the engine gave the block
+    :ivar tokens: length of the prefix that ends with the block
     """
 
     sequence: int
@@ -56,9 +57,10 @@
 
 @attrs.frozen
 class Prefixes:
-    """Hashes of a prompt's blocks, each with all before it.
+    """Hashed blocks of a prompt.
 
-    :ivar characters: length of the whole prompt
+    :ivar blocks: hashes, each of a block and all blocks before it
+    :ivar characters: length of the complete prompt in characters
     """
 
     blocks: tuple[int, ...]
@@ -67,7 +69,7 @@
     def estimate_ends(self, tokens: int) -> tuple[int, ...]:
         """Estimate the number of tokens up to the end of each block.
 
-        :param tokens: length of the whole prompt
+        :param tokens: length of the complete prompt in tokens
         """
         if self.characters <= 0:
             return ()
@@ -79,17 +81,19 @@
 
 @attrs.frozen
 class _Session:
+    """Prompt blocks of a session and the token counts at their ends."""
+
     blocks: tuple[int, ...]
     ends: tuple[int, ...]
 
     def find(self, tokens: int) -> int:
-        """Give the index of the block that a position falls into."""
+        """Return the index of the block that contains a position."""
         return bisect.bisect_left(self.ends, tokens)
 
     def count(self, index: int, block_tokens: int) -> int:
-        """Count the engine's blocks that end in one of the prompt's.
+        """Count the blocks of the engine that end in a prompt block.
 
-        :param grain: tokens in a block of the engine
+        :param block_tokens: number of tokens in a block of the engine
         """
         previous = self.ends[index - 1] if index else 0
         return self.ends[index] // block_tokens - previous // block_tokens
@@ -107,33 +111,35 @@
 
 
 class View:
-    """Prefixes that an engine holds, as far as its events tell.
+    """Prefixes that an engine has cached, according to its events.
 
-    :ivar sequence: of the last event that was seen
-    :ivar unsure: whether events were missed since it was last read anew
-    :ivar gaps: number of times that events were missing
+    :ivar sequence: sequence number of the last event
+    :ivar is_incomplete: whether events have been missed since the last
+        complete read
+    :ivar gaps: number of gaps in the sequence of events
     """
 
     def __init__(self, limit: int = DEFAULT_LIMIT) -> None:
-        """Start empty.
+        """Create an empty view.
 
-        :param limit: most blocks that are remembered, of each kind
+        :param limit: maximum number of prompt blocks, and of engine
+            blocks
         """
         self.sequence = 0
         self.is_incomplete = False
         self.gaps = 0
         self._limit = limit
-        # Tokens in a block of the engine: the end of the first one.
+        # Tokens in a block of the engine: the shortest prefix reported so far.
         self._block_tokens = 0
         self._sessions: collections.OrderedDict[str, _Session] = (
             collections.OrderedDict()
         )
-        # Blocks that are held, each with the one before it.
+        # Cached prompt blocks, each with the preceding block.
         self._held: collections.OrderedDict[int, int | None] = (
             collections.OrderedDict()
         )
         self._children: dict[int, set[int]] = {}
-        # The engine's blocks, each with the prompt's block it lies in.
+        # Prompt block that contains each block of the engine.
         self._prompt_blocks: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
         )
@@ -153,9 +159,9 @@
     def add_session(
         self, session: str, prefixes: Prefixes, tokens: int
     ) -> None:
-        """Note what a session asks, before its events come.
+        """Record the prompt of a session, before its events arrive.
 
-        :param tokens: length of its prompt
+        :param tokens: length of the prompt in tokens
         """
         blocks = prefixes.blocks
         ends = prefixes.estimate_ends(tokens)
@@ -165,20 +171,20 @@
         _trim(self._sessions, _MAX_SESSIONS)
         depth = self.count_cached(blocks)
         if depth:
-            # Others came back to it, so it is worth more than the rest.
+            # Prompts share this prefix, so it ranks first.
             _touch(self._reused, blocks[depth - 1])
         if depth == len(blocks):
             _touch(self._prompt_ends, blocks[-1])
 
     def count_cached(self, blocks: Sequence[int]) -> int:
-        """Count the blocks at a prompt's start that are held."""
+        """Count the leading blocks of a prompt that are cached."""
         for index, block in enumerate(blocks):
             if block not in self._held:
                 return index
         return len(blocks)
 
     def apply_events(self, events: Iterable[Event]) -> None:
-        """Take events in the order of their sequence numbers."""
+        """Apply events, in the order of their sequence numbers."""
         for event in events:
             if event.sequence <= self.sequence:
                 continue
@@ -192,21 +198,22 @@
                 self._evict(event)
 
     def clear(self) -> None:
-        """Forget what is held; the engine counts on."""
+        """Remove all blocks, but keep the sequence number."""
         self._held.clear()
         self._children.clear()
         self._prompt_blocks.clear()
 
     def reset(self) -> None:
-        """Forget all: the engine was started anew and counts from 1."""
+        """Reset the view after a restart; the engine counts from 1 again."""
         self.clear()
         self.sequence = 0
         self.is_incomplete = False
 
     def replace(self, sequence: int, blocks: Sequence[Event]) -> None:
-        """Take what the engine says that it holds in place of the view.
+        """Replace the view by the complete contents of the cache.
 
-        :param sequence: of the last event that is contained in it
+        :param sequence: sequence number of the last event in them
+        :param blocks: all blocks that the engine holds
         """
         self.sequence = sequence
         self.is_incomplete = False
@@ -231,7 +238,7 @@
     def _drop_missing(
         self, names: Collection[int], counts: Mapping[int, int]
     ) -> None:
-        """Drop blocks of which a part, or all, is not held any more."""
+        """Drop prompt blocks that are no longer cached completely."""
         removed = [name for name in self._prompt_blocks if name not in names]
         for name in removed:
             self._drop(self._prompt_blocks.pop(name))
@@ -242,7 +249,11 @@
         return not index or session.blocks[index - 1] in self._held
 
     def _locate(self, event: Event) -> tuple[int, _Session] | None:
-        """Find the prompt's block in which an engine's block lies."""
+        """Find the prompt block that contains a block of the engine.
+
+        :returns: index of the prompt block and its session, None if the
+            session is unknown or the block is outside its prompt blocks
+        """
         session = self._sessions.get(event.session)
         if session is None:
             return None
@@ -261,7 +272,8 @@
         if location is None:
             return
         index, session = location
-        # All before it was there when it was stored, events or not.
+        # When a block is stored, all blocks before it are cached, even if
+        # their events were lost.
         count = index + (
             event.tokens + self._block_tokens > session.ends[index]
         )
@@ -290,7 +302,7 @@
             self._drop(block)
 
     def _drop(self, block: int) -> None:
-        """Forget a block and all that only counts behind it."""
+        """Remove a block and the blocks whose prefix contains it."""
         pending = [block]
         while pending:
             one = pending.pop()
@@ -304,10 +316,10 @@
             pending += self._children.pop(one, ())
 
     def rank_blocks(self) -> Iterator[int]:
-        """List held blocks that entries should know, best first.
+        """Yield the cached blocks to publish, the most useful first.
 
-        Where prompts parted that were asked here before, and then the
-        ends of prompts, the newest first.
+        First come the ends of prefixes that several prompts share, then
+        the ends of prompts, the most recent first in both groups.
         """
         for blocks in (self._reused, self._prompt_ends):
             for block in reversed(blocks):
--- a/packages/core/src/dunlintide_core/queueing.py
+++ b/packages/core/src/dunlintide_core/queueing.py
@@ -1,8 +1,8 @@
-"""Fair queue between the teams that share an endpoint.
+"""Fair queue for the teams that share an endpoint.
 
-Deficit round robin by cost in its surplus form, one ring of lanes for each
-priority. Lower priorities get a bounded share of the picks once their
-oldest request has waited, so none starves.
+The queue uses surplus round robin, a form of deficit round robin, by cost
+and with one ring of flows for each priority. A fixed share of the picks is
+decided by age and priority together, so that no priority starves.
 """
 
 import collections
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Costs:
-    """Cost of a token by kind; a decoded one takes a step of its own."""
+    """Cost of a token by kind; decoding takes one step per token."""
 
     prefill: float = 1.0
     decode: float = 4.0
@@ -35,14 +35,14 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds and constants of a queue.
-
-    :ivar per_team: waiting requests of one team
-    :ivar total: waiting requests of all teams
-    :ivar quantum: cost that a round grants a team of weight 1
-    :ivar max_cost: more than this counts as this
-    :ivar ageing: seconds of waiting worth one priority
-    :ivar aged_every: each so manieth pick goes by age
+    """Limits and parameters of a queue.
+
+    :ivar per_team: maximum number of waiting requests of one team
+    :ivar total: maximum number of waiting requests of all teams
+    :ivar quantum: cost that a team of weight 1 is credited per round
+    :ivar max_cost: upper bound of the cost of a request
+    :ivar ageing_seconds: waiting time that outweighs one priority
+    :ivar age_pick_interval: one of this many picks considers the age
     :ivar fair: False for first come, first served over all teams
     """
 
@@ -57,10 +57,14 @@
 
 @attrs.define(eq=False)
 class Ticket:
-    """One waiting request.
-
-    :ivar since: time at which it was queued, in seconds
-    :ivar item: what the caller wants back
+    """One request in a queue.
+
+    :ivar weight: weight of the team
+    :ivar priority: 0 is the highest
+    :ivar cost: estimated cost, see ``compute_cost``
+    :ivar queued_at: time at which it was queued, in seconds
+    :ivar item: data of the caller
+    :ivar waiting: whether it is still in the queue
     """
 
     team: str
@@ -75,7 +79,7 @@
 def compute_cost(
     prompt_tokens: int, max_tokens: int, costs: Costs = Costs()
 ) -> float:
-    """Return the cost of a completion."""
+    """Compute the cost of a completion from its numbers of tokens."""
     return prompt_tokens * costs.prefill + max_tokens * costs.decode
 
 
@@ -83,8 +87,8 @@
 class _Flow:
     """Requests of one team at one priority.
 
-    :ivar account: cost that it may still spend; below 0 it has had more
-        than its share and waits until rounds have paid for it
+    :ivar credit: cost that the flow may still spend; a negative credit is
+        a debt, which further rounds must pay off before its next request
     """
 
     weight: float
@@ -96,12 +100,13 @@
 
 
 class _Level:
-    """Lanes of one priority: a ring for turns, a line for age.
+    """Flows of one priority, in a ring for their turns and by age.
 
-    A lane with something to spend may go below 0 once. One that comes
-    without a debt goes before the ring, so that a team below its share
-    waits for no round of the others. An empty lane stays until its debt
-    is paid, so nobody gains by coming and going.
+    A flow with positive credit may start a request that costs more, which
+    leaves it with a debt. New flows, which have no debt, precede the ring,
+    so that a team below its share does not wait for a round of the others.
+    An empty flow stays until its debt is paid, so that a team cannot shed
+    it by pausing.
     """
 
     def __init__(self, quantum: float) -> None:
@@ -111,7 +116,7 @@
         self._by_age: collections.deque[Ticket] = collections.deque()
 
     def list_teams(self) -> list[str]:
-        """Return the teams that something is known of."""
+        """Return the teams that have a flow."""
         return [*self._new_flows, *self._ring]
 
     def _find(self, team: str) -> _Flow | None:
@@ -131,12 +136,12 @@
         self._by_age.append(ticket)
 
     def find_oldest(self) -> Ticket | None:
-        """Return the request that has waited longest."""
+        """Return the request that has waited longest, None if none waits."""
         by_age = self._by_age
         while by_age and not by_age[0].waiting:
             by_age.popleft()
         if not by_age:
-            # Nobody is left whose share a debt would have cost.
+            # Without waiting requests, debts are at the expense of no one.
             self._new_flows.clear()
             self._ring.clear()
         return by_age[0] if by_age else None
@@ -147,21 +152,21 @@
         return bool(flow.tickets) and flow.credit > 0
 
     def _skip_rounds(self) -> None:
-        """Grant at once the rounds in which nobody could go."""
+        """Credit the rounds in which no flow could start a request."""
         owed = (
             -flow.credit / (self._quantum * flow.weight)
             for flow in self._ring.values()
             if flow.tickets
         )
-        # Below 0 for a lane that may go in the round to come.
+        # Negative for a flow that can start in the next round.
         rounds = max(0, int(min(owed, default=0.0)))
         for flow in self._ring.values():
             flow.credit += rounds * self._quantum * flow.weight
 
     def find_next(self) -> Ticket | None:
-        """Return the request whose turn it is, without taking it.
+        """Return the next request without removing it.
 
-        A request must be waiting.
+        At least one request must be waiting.
         """
         while self._new_flows:
             team, flow = next(iter(self._new_flows.items()))
@@ -185,7 +190,7 @@
         return None
 
     def find(self, is_allowed: Callable[[str], bool]) -> Ticket | None:
-        """Return the first request of a team that may start one."""
+        """Return the first request of a team that is allowed to start."""
         for flows in (self._new_flows, self._ring):
             for team, flow in flows.items():
                 self._is_ready(flow)
@@ -194,20 +199,20 @@
         return None
 
     def take(self, ticket: Ticket) -> None:
-        """Take what ``turn`` or ``find`` returned."""
+        """Remove a request that ``find_next`` or ``find`` returned."""
         flow = self._find(ticket.team)
         flow.tickets.popleft()
         flow.credit -= ticket.cost
 
     def count_debt_rounds(self, team: str) -> float:
-        """Return the rounds that it takes to pay a team's debt."""
+        """Return the number of rounds that pay off the debt of a team."""
         flow = self._find(team)
         if flow is None:
             return 0.0
         return max(0.0, -flow.credit / (self._quantum * flow.weight))
 
     def adjust_cost(self, team: str, cost: float, max_cost: float) -> None:
-        """Charge a lane for what a request cost beyond its estimate."""
+        """Charge the difference between actual and estimated cost."""
         flow = self._find(team)
         if flow is not None:
             credit = flow.credit - cost
@@ -215,7 +220,10 @@
 
 
 class Queue:
-    """Requests that wait for their turn at an endpoint."""
+    """Requests that wait for an endpoint.
+
+    :ivar cost: total cost of the waiting requests
+    """
 
     def __init__(self, limits: Limits = Limits()) -> None:
         self._limits = limits
@@ -238,12 +246,13 @@
     def estimate_wait(
         self, team: str, weight: float, cost: float, rate: float
     ) -> float:
-        """Estimate the wait of a further request, in seconds.
+        """Estimate how long another request would wait, in seconds.
 
-        A team waits for its own queue at its share of the rate, and
-        never longer than for the whole queue at the full rate.
+        A team waits for its own requests at its share of the rate, but no
+        longer than for all requests at the full rate.
 
-        :param rate: cost that the endpoint finishes a second, 0 unknown
+        :param rate: cost that the endpoint finishes per second, 0 if
+            unknown
         """
         if rate <= 0:
             return 0.0
@@ -259,10 +268,12 @@
         deadline: float,
         rate: float,
     ) -> outcomes.Refusal | None:
-        """Queue a request, or refuse it at once with the reason.
+        """Queue a request or refuse it.
 
-        :param deadline: seconds that the request has left
-        :param rate: cost that the endpoint finishes a second, 0 unknown
+        :param deadline: time until the deadline of the request in seconds
+        :param rate: cost that the endpoint finishes per second, 0 if
+            unknown
+        :returns: the refusal, None if the request was queued
         """
         ticket.weight = min(max(ticket.weight, MIN_WEIGHT), MAX_WEIGHT)
         ticket.cost = min(max(ticket.cost, 1.0), self._limits.max_cost)
@@ -310,28 +321,31 @@
             del self._costs[ticket.team]
             self._weight_sum -= self._weights.pop(ticket.team)
         if not self._size:
-            # Rounding must not build up.
+            # Discard accumulated rounding errors.
             self.cost = self._weight_sum = 0.0
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a waiting request out; False when it no longer waits."""
+        """Remove a waiting request.
+
+        :returns: False if it was not waiting any more
+        """
         if not ticket.waiting:
             return False
         self._remove(ticket)
         return True
 
     def adjust_cost(self, ticket: Ticket, cost: float) -> None:
-        """Charge what a request really cost in place of its estimate.
+        """Replace the estimated cost of a picked request by the actual one.
 
-        :param ticket: as it was picked
-        :param cost: what it really cost
+        :param ticket: the picked request
+        :param cost: actual cost
         """
         level = self._levels[ticket.priority]
         max_cost = self._limits.max_cost
         level.adjust_cost(ticket.team, cost - ticket.cost, max_cost)
 
     def count_debt_rounds(self, team: str) -> float:
-        """Return the rounds by which a team is ahead of its share."""
+        """Return how many rounds a team is ahead of its share."""
         return max(level.count_debt_rounds(team) for level in self._levels)
 
     def _choose(self, now: float) -> _Level | None:
@@ -366,14 +380,16 @@
         admits: Callable[[Ticket], bool],
         is_allowed: Callable[[str], bool] = lambda team: True,
     ) -> Ticket | None:
-        """Take the request whose turn it is, if it may start now.
+        """Remove and return the next request, if it may start now.
 
-        One that may not start keeps its turn, so a large request is not
-        passed by small ones for ever.
+        A request that the cap does not admit keeps its turn, so that small
+        requests do not overtake a large one forever.
 
         :param now: monotonic time in seconds
-        :param admits: whether the in-flight cap lets a request start
-        :param may: whether a team may start one; others pass it by
+        :param admits: returns whether the concurrency cap admits a request
+        :param is_allowed: returns whether a team may start a request; the
+            teams for which it is false are skipped
+        :returns: None if no request may start
         """
         level = self._choose(now)
         if level is None:
--- a/packages/core/src/dunlintide_core/rates.py
+++ b/packages/core/src/dunlintide_core/rates.py
@@ -1,23 +1,24 @@
-"""How fast an endpoint works off what waits for it."""
+"""Throughput estimate of an endpoint, for predicting queueing delays."""
 
 __all__ = ['Rate']
 
 _SMOOTHING = 0.3
-# A full batch of a slow endpoint ends together, and then nothing does for
-# as long; only beyond this does a pause say that the endpoint is slower.
+# The requests of a batch end together on a slow endpoint, and none ends while
+# the next batch runs. A longer time without a finished request than this
+# lowers the estimate.
 _MAX_PAUSE_SECONDS = 30.0
 
 
 class Rate:
-    """Cost that a busy endpoint finishes a second, smoothed.
+    """Smoothed rate at which a busy endpoint finishes work.
 
-    :ivar value: cost a second, 0 while it is unknown
+    :ivar value: finished cost per second, 0 while unknown
     """
 
     __slots__ = ('value', '_done', '_ended', '_kept', '_since')
 
     def __init__(self, now: float) -> None:
-        """Begin with an unknown rate.
+        """Start with an unknown rate.
 
         :param now: monotonic time in seconds
         """
@@ -28,20 +29,21 @@
         self._since = now
 
     def add(self, cost: float) -> None:
-        """Take note of a request that has ended, with its cost."""
+        """Record the cost of a request that has ended."""
         self._done += cost
         self._ended += 1
 
     def sample(self, now: float, is_busy: bool, in_flight: int) -> None:
-        """Take what has been finished into the rate.
+        """Update the rate with the work finished since the last sample.
 
-        A request counts once it has ended, and the short ones of a batch
-        end first, so a look takes as many ends as requests are in flight.
+        The short requests of a batch end first, which would bias the rate.
+        A sample on a busy endpoint therefore covers at least as many
+        finished requests as are in flight.
 
         :param now: monotonic time in seconds
-        :param is_busy: whether more work waits; only then does the
-            endpoint show what it can do
-        :param in_flight: requests that the endpoint has
+        :param is_busy: whether more work is queued; an endpoint without a
+            queue does not work at its full rate
+        :param in_flight: number of requests in flight
         """
         elapsed = now - self._since
         if elapsed <= 0:
@@ -62,6 +64,6 @@
             self.value = self._kept * _MAX_PAUSE_SECONDS / elapsed
 
     def _blend(self, seen: float, elapsed: float) -> None:
-        """Weigh a pace by the time for which it was seen."""
+        """Average a rate in, weighted by the time over which it was seen."""
         kept = (1.0 - _SMOOTHING) ** elapsed if self._kept else 0.0
         self.value = self._kept = kept * self._kept + (1.0 - kept) * seen
--- a/packages/core/src/dunlintide_core/roundrobin.py
+++ b/packages/core/src/dunlintide_core/roundrobin.py
@@ -1,4 +1,4 @@
-"""Round robin over layer ranges: the baseline for measurements."""
+"""Round-robin selection of chains: the baseline for benchmarks."""
 
 from collections.abc import Collection, Iterable
 import itertools
@@ -11,7 +11,7 @@
 def _list_reaching(
     stages: Iterable[plans.Stage], layers: int
 ) -> list[plans.Stage]:
-    """Keep the stops from which the last layer can be reached."""
+    """List the stages from which the last layer can be reached."""
     reaching = {layers}
     kept = []
     for stage in sorted(stages, key=lambda stage: -stage.layer_start):
@@ -22,10 +22,13 @@
 
 
 class RoundRobin:
-    """Endpoints of each layer boundary in turn, whatever their load."""
+    """Selects the endpoints at each layer boundary in turn.
+
+    The load of the endpoints is ignored.
+    """
 
     def __init__(self) -> None:
-        """Begin with the first endpoint of each boundary."""
+        """Start with the first endpoint at each layer boundary."""
         self._counts: dict[int, Iterable[int]] = {}
 
     def choose(
@@ -34,11 +37,12 @@
         layers: int,
         avoid: Collection[str] = (),
     ) -> plans.Chain | None:
-        """Choose the next chain; None when nothing tiles.
+        """Choose the next chain.
 
-        :param stops: all live endpoints
+        :param stages: all live endpoints
         :param layers: number of layers of the model
-        :param avoid: agents that must not be met
+        :param avoid: names of agents to exclude
+        :returns: None when the endpoints do not cover all layers
         """
         usable = [stage for stage in stages if stage.agent not in avoid]
         by_start: dict[int, list[plans.Stage]] = {}
--- a/packages/core/src/dunlintide_core/selection.py
+++ b/packages/core/src/dunlintide_core/selection.py
@@ -1,4 +1,9 @@
-"""Choice of a chain for each request: two drawn by share, one kept."""
+"""Selection of a chain for each request.
+
+Two chains are drawn at random, weighted by their shares of the plan, and
+the less loaded one is used (the power of two choices). A chain that has
+a part of the prompt cached is preferred while its load permits.
+"""
 
 import bisect
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -17,13 +22,14 @@
     'find_path',
 ]
 
-# Chains that are weighed because they hold a part of a prompt.
+# Maximum number of chains considered because of cached prefixes.
 _MAX_CACHED_CHAINS = 8
-# Draws that may hit an avoided agent before the chains are filtered.
+# Random draws that may yield an avoided agent before all chains are filtered.
 _MAX_DRAWS = 8
 
-# A chain that saves the whole prefill is taken while its load is within
-# this factor of the one drawn; a part of the prefill counts for less.
+# A chain that saves the complete prefill is preferred while its load is within
+# this factor of the load of the drawn chain. The factor falls linearly to 1
+# with the saved share.
 AFFINITY_FACTOR = 2.5
 
 _NO_AGENTS: frozenset[str] = frozenset()
@@ -36,16 +42,16 @@
     layer_end: int,
     cost: Callable[[plans.Stage], float],
 ) -> tuple[plans.Stage, ...]:
-    """Find the cheapest endpoints that tile a range of layers.
+    """Find the cheapest sequence of stages that covers a range of layers.
 
-    :param stops: endpoints that may be used
-    :param cost: what it costs to pass through one, at least 0
-    :returns: the stops in order, empty when no path exists
+    :param stages: stages that may be used
+    :param cost: returns the cost of using a stage, 0 or more
+    :returns: the stages in order, empty when no path exists
     """
     best: dict[int, float] = {layer_start: 0.0}
     previous: dict[int, plans.Stage] = {}
-    # Every stop leads upwards, so the order of starts settles each
-    # boundary before it is left.
+    # A stage ends above its start, so in the order of starts the cost of a
+    # boundary is final before a stage from there is considered.
     for stage in sorted(
         stages, key=lambda stage: (stage.layer_start, stage.agent)
     ):
@@ -66,9 +72,11 @@
 
 
 def _compute_saving(chain: plans.Chain, holders: Mapping[str, float]) -> float:
-    """Give the share of a prompt's prefill that caches save.
+    """Compute the share of prefill time that cached prefixes save.
+
+    A stage saves only its own work, which takes longer on a slow stage.
 
-    A stage saves its own work only, which takes longer on a slow one.
+    :param holders: cached fraction of the prompt by agent
     """
     saved = total = 0.0
     for stage in chain.stages:
@@ -80,7 +88,12 @@
 
 @attrs.frozen
 class _Table:
-    """Chains that may be drawn, with running sums of their shares."""
+    """Chains that may be drawn.
+
+    :ivar cumulative_shares: running sums of the shares of the chains
+    :ivar chain_loads: for each chain, the loads of its agents
+    :ivar by_agent: indexes of the chains of each agent
+    """
 
     chains: tuple[plans.Chain, ...] = ()
     cumulative_shares: tuple[float, ...] = ()
@@ -89,13 +102,13 @@
 
 
 class Chooser:
-    """Outstanding work of each agent, and the plan that is in force."""
+    """Selects chains by the current plan and the load of the agents."""
 
     def __init__(self, factor: float = AFFINITY_FACTOR) -> None:
-        """Begin without a plan.
+        """Start without a plan.
 
-        :param factor: load that a chain which saves the whole prefill
-            may have, against the one drawn
+        :param factor: maximum ratio of the load of a chain that saves the
+            complete prefill to the load of the drawn chain
         """
         self._factor = factor
         self._plan = plans.EMPTY
@@ -110,9 +123,9 @@
     def adopt(
         self, plan: plans.Plan, stages: Iterable[plans.Stage], layers: int
     ) -> None:
-        """Put a plan in force.
+        """Replace the plan.
 
-        :param stops: all live endpoints, also those outside the plan
+        :param stages: all live endpoints, including those not in the plan
         :param layers: number of layers of the model
         """
         self._plan = plan
@@ -128,7 +141,7 @@
         self._build_table()
 
     def exclude(self, agents: Collection[str]) -> None:
-        """Give these agents no new work: the dead and the leaving."""
+        """Send no new requests to these agents, which are dead or draining."""
         self._excluded = frozenset(agents)
         self._build_table()
 
@@ -138,9 +151,9 @@
         self._build_table()
 
     def report(self, agent: str, load: fleet.LoadReport, now: float) -> None:
-        """Take a load report of an agent.
+        """Update the load of an agent with a load report.
 
-        :param now: time in seconds; the report's age is counted from it
+        :param now: time in seconds, from which the age of the report counts
         """
         known = self._loads.get(agent)
         if known is not None:
@@ -154,11 +167,13 @@
         avoid: Collection[str] = _NO_AGENTS,
         holders: Mapping[str, float] = _NO_HOLDERS,
     ) -> plans.Chain | None:
-        """Choose the chain for one request; None when nothing tiles.
+        """Choose the chain for one request.
 
         :param now: time in seconds
-        :param avoid: agents that this request must not meet again
-        :param holders: share of its prompt's start that agents hold
+        :param avoid: agents that this request must not use
+        :param holders: by agent, the fraction of the prompt whose prefix
+            it has cached
+        :returns: None when no usable chain covers all layers
         """
         chosen = self._choose_by_load(now, rng, avoid)
         if chosen is None or not holders:
@@ -177,30 +192,33 @@
         return chosen
 
     def begin(self, chain: plans.Chain) -> None:
-        """Count a request that was sent along a chain."""
+        """Count a request as in flight on a chain."""
         for stage in chain.stages:
             load = self._loads.get(stage.agent)
             if load is not None:
                 load.own += 1
 
     def end(self, chain: plans.Chain) -> None:
-        """Count a request as over, whatever became of it."""
+        """Count a request on a chain as ended, with any outcome."""
         for stage in chain.stages:
             load = self._loads.get(stage.agent)
             if load is not None and load.own > 0:
                 load.own -= 1
 
     def score_chain(self, chain: plans.Chain, now: float) -> float:
-        """Give a chain's outstanding work; 1 keeps it just busy."""
+        """Return the load of a chain; at 1 its fullest endpoint is just busy.
+
+        :param now: time in seconds
+        """
         found = (self._loads.get(stage.agent) for stage in chain.stages)
         return loads.score([load for load in found if load is not None], now)
 
     def count_in_flight(self) -> Mapping[str, int]:
-        """Give this process's requests in flight by agent."""
+        """Return the requests of this process in flight by agent."""
         return {name: load.own for name, load in self._loads.items()}
 
     def list_reported(self) -> Mapping[str, float]:
-        """Give other processes' requests by agent, as last reported."""
+        """Return the last reported requests of other processes by agent."""
         return {name: load.others for name, load in self._loads.items()}
 
     def _prune_loads(self, live: Iterable[str]) -> None:
@@ -257,7 +275,7 @@
     def _list_cached(
         self, holders: Mapping[str, float], avoid: Collection[str]
     ) -> Iterator[plans.Chain]:
-        """List a few chains of the plan, those of the best holders first."""
+        """List a few planned chains, those with the most cached first."""
         table = self._table
         best = sorted(holders, key=holders.__getitem__, reverse=True)
         found: dict[int, None] = {}
@@ -278,7 +296,7 @@
         now: float,
     ) -> bool:
         factor = 1.0 + (self._factor - 1.0) * saved
-        # One more request on an idle chain must not undo its affinity.
+        # A single request on an idle chain must not exceed the limit.
         slack = 1.0 / min(
             self._loads[name].saturation for name in chain.agents
         )
@@ -319,7 +337,7 @@
     def _find_fallback(
         self, now: float, avoid: Collection[str]
     ) -> plans.Chain | None:
-        """Tile the layers with whatever lives, without a plan."""
+        """Find a chain of live endpoints that is not in the plan."""
         usable = [
             stage for stage in self._stages if self._is_eligible(stage, avoid)
         ]
--- a/packages/core/src/dunlintide_core/slots.py
+++ b/packages/core/src/dunlintide_core/slots.py
@@ -1,10 +1,11 @@
-"""Slots in flight that a team finds free when it comes back.
-
-A queue decides who is next, but not how soon a slot frees: a flood of
-long requests would hold them all. So what a team has used in the last
-seconds, up to its share and a headroom, is kept for it. A team that
-wants far more has nothing kept: it takes its turns in the queue.
-Nor do teams that sent nothing lately, and one alone may fill all slots.
+"""Reservation of request slots for teams that share an endpoint.
+
+A fair queue decides which request is next, but not how soon a slot becomes
+free: a flood of long requests from one team could occupy all slots.
+Therefore the slots that a team has used in the last seconds are reserved
+for it, up to its share plus headroom. Nothing is reserved for a team that
+demands far more than that, which waits in the queue, nor for a team
+without recent requests. A single team may use all slots.
 """
 
 import math
@@ -15,21 +16,24 @@
 __all__ = ['Slots']
 
 WINDOW_SECONDS = 5.0
-# Beside a flood a team's requests take longer, so it has more at once.
+# Factor on the recent peak: during a flood the requests of other teams take
+# longer, so more of them run at once.
 GROWTH_FACTOR = 1.5
-# Wanting this many times its reserve, a team floods.
+# A team with a higher demand than this multiple of its reserve is flooding.
 FLOOD_FACTOR = 2.0
-# Rounds of the queue that a team may be ahead and still has headroom.
-# So it bears bursts, and gains no more than these rounds by it.
+# A team with a larger debt, in rounds of the queue, gets no headroom. This
+# permits bursts and bounds what a team gains by them.
 MAX_DEBT_ROUNDS = 32.0
 
 
 @attrs.define
 class _Usage:
-    """What one team has under way.
+    """Requests of one team.
 
-    :ivar peak: most that were wanted at once in this window
-    :ivar before: the same in the window before
+    :ivar demand: number of requests that are queued or running
+    :ivar running: number of running requests
+    :ivar peak: highest demand in the current window
+    :ivar previous_peak: highest demand in the window before
     """
 
     weight: float
@@ -40,22 +44,23 @@
 
     @property
     def recent_peak(self) -> int:
-        """Most that were wanted at once lately."""
+        """Highest demand in the last two windows."""
         return max(self.peak, self.previous_peak)
 
 
 class Slots:
-    """Slots of one endpoint, by team."""
+    """Reserved slots of one endpoint, by team."""
 
     def __init__(
         self,
         now: float,
         count_debt_rounds: Callable[[str], float] = lambda team: 0.0,
     ) -> None:
-        """Begin with nobody.
+        """Start without teams.
 
         :param now: time in seconds
-        :param owes: returns the rounds by which a team is ahead
+        :param count_debt_rounds: returns the number of rounds by which a
+            team is ahead of its share in the queue
         """
         self._usages: dict[str, _Usage] = {}
         self._total_weight = 0.0
@@ -63,7 +68,10 @@
         self._count_debt_rounds = count_debt_rounds
 
     def add_request(self, team: str, weight: float) -> None:
-        """Take note of a request that waits or starts."""
+        """Count a request as queued or about to run.
+
+        :param weight: weight of the team
+        """
         usage = self._usages.get(team)
         if usage is None:
             usage = self._usages[team] = _Usage(0.0)
@@ -73,20 +81,23 @@
         usage.peak = max(usage.peak, usage.demand)
 
     def start(self, team: str) -> None:
-        """Take note that one of the wanted requests runs."""
+        """Count one of the requests of a team as running."""
         self._usages[team].running += 1
 
     def end(self, team: str, ran: bool) -> None:
-        """Take note that a wanted request is gone.
+        """Count a request of a team as ended.
 
-        :param ran: whether it had been started
+        :param ran: whether it was running
         """
         usage = self._usages[team]
         usage.demand -= 1
         usage.running -= ran
 
     def tick(self, now: float) -> None:
-        """Forget what was wanted long ago."""
+        """Start a new window if the current one is over.
+
+        Teams without requests in the last two windows are removed.
+        """
         if now - self._window_start < WINDOW_SECONDS:
             return
         self._window_start = now
@@ -102,10 +113,10 @@
         return limit * usage.weight / self._total_weight
 
     def _compute_reserve(self, team: str, usage: _Usage, limit: int) -> int:
-        """Return the share and its headroom.
+        """Return the share plus headroom, in slots.
 
-        A team at its share holds just that many slots on the average,
-        so more than that half of the time: square-root staffing.
+        A team at its share uses that many slots on average, and more half
+        of the time. The headroom follows the square-root staffing rule.
         """
         share = self._compute_share(usage, limit)
         is_ahead = self._count_debt_rounds(team) > MAX_DEBT_ROUNDS
@@ -124,21 +135,21 @@
         return max(0, reserve - usage.running)
 
     def _is_below_share(self, team: str, usage: _Usage, limit: int) -> bool:
-        """Return whether a team may start whatever is kept."""
+        """Return whether a team may start regardless of reservations."""
         share = self._compute_share(usage, limit)
         if self._is_flooding(team, usage, limit):
-            # It gives the others their headroom.
+            # The headroom of the others comes out of its share.
             share -= math.sqrt(share)
         return usage.running < max(1, int(share))
 
     def may_start(self, team: str, running: int, limit: int) -> bool:
-        """Return whether a further request leaves others their slots.
+        """Return whether a team may start another request.
 
-        :param running: requests in flight, of all teams
-        :param limit: most that may be in flight
+        :param running: number of requests in flight of all teams
+        :param limit: maximum number of requests in flight
         """
         if len(self._usages) > limit:
-            # The shares are below one slot.
+            # Shares below one slot cannot be reserved.
             return True
         if self._is_below_share(team, self._usages[team], limit):
             return True
--- a/packages/core/src/dunlintide_core/thresholds.py
+++ b/packages/core/src/dunlintide_core/thresholds.py
@@ -1,22 +1,22 @@
-"""Bound on what one of many may hold of a shared supply.
+"""Dynamic threshold for users of a shared pool.
 
-Dynamic thresholds, known from switches with shared memory (Choudhury and
-Hahne, 1998): each may hold a multiple of what is free now. One alone gets
-most of the supply; whoever comes next always finds something free, and
-nothing is set aside for those who do not come.
+Dynamic thresholds come from shared-memory switches (Choudhury and Hahne,
+1998): each user may hold up to a multiple of the units that are free now.
+A single user gets most of the pool, a new user always finds free units,
+and nothing is reserved for idle users.
 """
 
 __all__ = ['FACTOR', 'admits']
 
-# One alone may hold 4/5 of the supply, two 4/9 each.
+# Limits a single user to 4/5 of the pool, and each of two to 4/9.
 FACTOR = 4.0
 
 
 def admits(held: int, free: int, factor: float = FACTOR) -> bool:
-    """Return whether one that holds so many may take another.
+    """Return whether a user of the pool may take another unit.
 
-    :param held: what it holds already
-    :param free: what nobody holds
-    :param factor: multiple of the free ones that it may hold
+    :param held: units that the user holds
+    :param free: units that are free
+    :param factor: multiple of the free units that a user may hold
     """
     return held < factor * free
