--- a/packages/core/src/dunlintide_core/cacheupdates.py
+++ b/packages/core/src/dunlintide_core/cacheupdates.py
@@ -67,9 +67,7 @@
         room = min(
             self._limit - len(lost), self._max_published - len(self._published)
         )
-        held = [block for block in ranked if block not in self._published][
-            :room
-        ]
+        held = [one for one in ranked if one not in self._published][:room]
         self._published.update(dict.fromkeys(held))
         return Update(tuple(held), tuple(lost))
 
--- a/packages/core/src/dunlintide_core/coordination.py
+++ b/packages/core/src/dunlintide_core/coordination.py
@@ -23,7 +23,7 @@
 MAX_RECLAIMED_KEYS = 64
 
 
-def _add(grants: Iterable[limits.Grant]) -> limits.Grant:
+def _sum_grants(grants: Iterable[limits.Grant]) -> limits.Grant:
     return functools.reduce(limits.Grant.plus, grants, limits.Grant())
 
 
@@ -150,8 +150,8 @@
                 limit.entries[entry] = _Allocation()
                 if is_confirmed or previous is not None:
                     # No earlier answer has reduced its base share.
-                    old = (answered, base_share, math.inf)
-                    limit.entries[entry].grants.append(old)
+                    base_grant = (answered, base_share, math.inf)
+                    limit.entries[entry].grants.append(base_grant)
             allocation = limit.entries[entry]
             allocation.need = needs.get(key)
             grant = self._compute_grant(entry, limit, now)
@@ -234,7 +234,7 @@
             for name, allocation in limit.entries.items()
             if allocation.need is not None
         }
-        idle_share = _add(
+        idle_share = _sum_grants(
             limits.compute_base_share(part, limit.size)
             for name, part in fractions.items()
             if name not in needs
@@ -260,12 +260,12 @@
         now: float,
     ) -> limits.Grant:
         """Return the largest share that the other entries may be using."""
-        default_use = _add(
+        default_use = _sum_grants(
             limits.compute_base_share(part, limit.size)
             for name, part in fractions.items()
             if name != entry and name not in limit.entries
         )
-        return _add(
+        return _sum_grants(
             allocation.find_max_use(
                 limits.compute_base_share(
                     self._contributions[name].fraction, limit.size
--- a/packages/core/src/dunlintide_core/delays.py
+++ b/packages/core/src/dunlintide_core/delays.py
@@ -102,8 +102,8 @@
         self.slow = [
             item for item in self.slow if item[0] > now - _WINDOW_SECONDS
         ]
-        agreeing = len({item[2] for item in self.slow})
-        if len(self.slow) >= _MIN_OBSERVATIONS and agreeing >= self.min_pairs:
+        pairs = len({item[2] for item in self.slow})
+        if len(self.slow) >= _MIN_OBSERVATIONS and pairs >= self.min_pairs:
             mildest = min(item[1] for item in self.slow)
             sample = 1.0 / min(mildest, _MAX_SLOWDOWN)
             self.slow.clear()
@@ -189,14 +189,14 @@
         for evidence in self._list_all():
             evidence.factor.published = evidence.factor.value
         boundaries = dict(links.boundaries)
-        suspected = set()
-        for boundary, evidence in self._list_suspected(self._boundaries):
+        degraded = set()
+        for boundary, evidence in self._list_degraded(self._boundaries):
             declared = links.between_domains(*boundary)
             boundaries[boundary] = _degrade(declared, evidence.factor.value)
-            suspected.add(boundary)
+            degraded.add(boundary)
         agents = dict(links.agents)
-        for pair, evidence in self._list_suspected(self._pairs):
-            if evidence.boundary not in suspected:
+        for pair, evidence in self._list_degraded(self._pairs):
+            if evidence.boundary not in degraded:
                 declared = links.agents.get(pair)
                 declared = declared or links.between_domains(
                     *evidence.boundary
@@ -223,8 +223,8 @@
         (source agent, target agent).
         """
         both = itertools.chain(
-            self._list_suspected(self._boundaries),
-            self._list_suspected(self._pairs),
+            self._list_degraded(self._boundaries),
+            self._list_degraded(self._pairs),
         )
         return {key: evidence.factor.value for key, evidence in both}
 
@@ -253,7 +253,7 @@
         return itertools.chain(self._boundaries.values(), self._pairs.values())
 
     @staticmethod
-    def _list_suspected(
+    def _list_degraded(
         known: Mapping,
     ) -> Iterable[tuple]:
         return (item for item in known.items() if item[1].factor.value < 1.0)
--- a/packages/core/src/dunlintide_core/plan.py
+++ b/packages/core/src/dunlintide_core/plan.py
@@ -184,31 +184,31 @@
 
     def _add_stage(self, index: int) -> None:
         stage = self.stages[index]
-        entering, leaving = 2 + 2 * index, 3 + 2 * index
-        own = LinkQuality(0.0, stage.capacity)
-        self._add_edge(entering, leaving, own)
+        start_node, end_node = 2 + 2 * index, 3 + 2 * index
+        quality = LinkQuality(0.0, stage.capacity)
+        self._add_edge(start_node, end_node, quality)
         if stage.layer_start == 0:
-            self._add_edge(_SOURCE, entering, own)
+            self._add_edge(_SOURCE, start_node, quality)
         else:
             hub = self._get_hub('in', stage.layer_start, stage.failure_domain)
-            self._add_edge(hub, entering, own)
+            self._add_edge(hub, start_node, quality)
         if stage.layer_end == self._layers:
-            self._add_edge(leaving, _SINK, own)
+            self._add_edge(end_node, _SINK, quality)
         else:
             hub = self._get_hub('out', stage.layer_end, stage.failure_domain)
-            self._add_edge(leaving, hub, own)
+            self._add_edge(end_node, hub, quality)
 
     def _join_hubs(self) -> None:
         exits = [key for key in self._hubs if key[0] == 'out']
         entrances = [key for key in self._hubs if key[0] == 'in']
-        for leaving in exits:
-            for entering in entrances:
-                if leaving[1] == entering[1]:
+        for exit_key in exits:
+            for entrance_key in entrances:
+                if exit_key[1] == entrance_key[1]:
                     quality = self._links.between_domains(
-                        leaving[1], leaving[2], entering[2]
+                        exit_key[1], exit_key[2], entrance_key[2]
                     )
                     self._add_edge(
-                        self._hubs[leaving], self._hubs[entering], quality
+                        self._hubs[exit_key], self._hubs[entrance_key], quality
                     )
 
 
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -92,7 +92,7 @@
 
     name: str
     endpoint: str
-    place: LayerRange
+    layers: LayerRange
     suspects: tuple[Suspect, ...]
     expires: float
 
@@ -185,7 +185,7 @@
         return True
 
     def record_step(
-        self, fingerprint: bytes, place: LayerRange, end: int
+        self, fingerprint: bytes, layers: LayerRange, end: int
     ) -> list[str]:
         """Record a step that ran without a crash.
 
@@ -202,7 +202,7 @@
             for name, record in self._records_by_request.get(
                 fingerprint, {}
             ).items()
-            if record.crash.place.overlaps(place)
+            if record.crash.layers.overlaps(layers)
             and record.suspects[fingerprint].position < end
         ]
         for name in cleared:
@@ -280,7 +280,7 @@
         )
         return is_sole_suspect or common == {fingerprint}
 
-    def _forget(self, name: str) -> None:
+    def _drop_crash(self, name: str) -> None:
         record = self._records.pop(name)
         self._count_team(record, '')
         for fingerprint in list(record.suspects):
@@ -294,7 +294,7 @@
         ):
             oldest = next(iter(self._records))
             total -= len(self._records[oldest].suspects)
-            self._forget(oldest)
+            self._drop_crash(oldest)
 
     def expire(self, now: float) -> None:
         """Remove the crashes whose time has expired."""
@@ -304,7 +304,7 @@
             if record.crash.expires <= now
         ]
         for name in old:
-            self._forget(name)
+            self._drop_crash(name)
 
     def is_suspected(self, fingerprint: bytes) -> bool:
         """Return whether a request is a suspect of any crash."""
@@ -319,7 +319,7 @@
         return self._teams[team] >= self._limits.team_crashes
 
     def must_run_alone(
-        self, fingerprint: bytes, team: str, place: LayerRange
+        self, fingerprint: bytes, team: str, layers: LayerRange
     ) -> bool:
         """Return whether a step of a request must not be batched.
 
@@ -327,7 +327,7 @@
         """
         records = self._records_by_request.get(fingerprint)
         if records is not None and any(
-            record.crash.place.overlaps(place) for record in records.values()
+            record.crash.layers.overlaps(layers) for record in records.values()
         ):
             return True
         return (
--- a/packages/core/src/dunlintide_core/queueing.py
+++ b/packages/core/src/dunlintide_core/queueing.py
@@ -153,13 +153,13 @@
 
     def _skip_rounds(self) -> None:
         """Credit the rounds in which no flow could start a request."""
-        owed = (
+        debts = (
             -flow.credit / (self._quantum * flow.weight)
             for flow in self._ring.values()
             if flow.tickets
         )
         # Negative for a flow that can start in the next round.
-        rounds = max(0, int(min(owed, default=0.0)))
+        rounds = max(0, int(min(debts, default=0.0)))
         for flow in self._ring.values():
             flow.credit += rounds * self._quantum * flow.weight
 
@@ -259,8 +259,8 @@
         weights = self._weight_sum
         if team not in self._weights:
             weights += weight
-        own = (self._costs[team] if team in self._costs else 0.0) + cost
-        return min(own * weights / weight, self.cost + cost) / rate
+        own_cost = (self._costs[team] if team in self._costs else 0.0) + cost
+        return min(own_cost * weights / weight, self.cost + cost) / rate
 
     def push(
         self,
@@ -283,12 +283,12 @@
         wait = self.estimate_wait(
             ticket.team, ticket.weight, ticket.cost, rate
         )
-        full = (
+        is_full = (
             self._counts.get(ticket.team, 0) >= self._limits.per_team
             and self._limits.fair
             or len(self) >= self._limits.total
         )
-        if full:
+        if is_full:
             return outcomes.refuse(
                 outcomes.FailCode.QUEUE_FULL,
                 'too many requests wait at the endpoint',
--- a/packages/core/src/dunlintide_core/slots.py
+++ b/packages/core/src/dunlintide_core/slots.py
@@ -112,7 +112,9 @@
     def _compute_share(self, usage: _Usage, limit: int) -> float:
         return limit * usage.weight / self._total_weight
 
-    def _compute_reserve(self, team: str, usage: _Usage, limit: int) -> int:
+    def _compute_reserve_limit(
+        self, team: str, usage: _Usage, limit: int
+    ) -> int:
         """Return the share plus headroom, in slots.
 
         A team at its share uses that many slots on average, and more half
@@ -123,15 +125,17 @@
         return int(share if is_ahead else share + math.sqrt(share))
 
     def _is_flooding(self, team: str, usage: _Usage, limit: int) -> bool:
-        return usage.demand > FLOOD_FACTOR * self._compute_reserve(
+        return usage.demand > FLOOD_FACTOR * self._compute_reserve_limit(
             team, usage, limit
         )
 
-    def _compute_reserved(self, team: str, usage: _Usage, limit: int) -> int:
+    def _count_reserved(self, team: str, usage: _Usage, limit: int) -> int:
         if self._is_flooding(team, usage, limit):
             return 0
         expected = int(GROWTH_FACTOR * usage.recent_peak)
-        reserve = min(expected, self._compute_reserve(team, usage, limit))
+        reserve = min(
+            expected, self._compute_reserve_limit(team, usage, limit)
+        )
         return max(0, reserve - usage.running)
 
     def _is_below_share(self, team: str, usage: _Usage, limit: int) -> bool:
@@ -154,7 +158,7 @@
         if self._is_below_share(team, self._usages[team], limit):
             return True
         reserved = sum(
-            self._compute_reserved(other, usage, limit)
+            self._count_reserved(other, usage, limit)
             for other, usage in self._usages.items()
             if other != team
         )
--- a/packages/daemon/src/dunlintide_daemon/suspicion.py
+++ b/packages/daemon/src/dunlintide_daemon/suspicion.py
@@ -52,9 +52,9 @@
     return link_pb2.Crash(
         name=crash.name,
         endpoint=crash.endpoint,
-        model=crash.place.model,
-        layer_start=crash.place.layer_start,
-        layer_end=crash.place.layer_end,
+        model=crash.layers.model,
+        layer_start=crash.layers.layer_start,
+        layer_end=crash.layers.layer_end,
         ttl_ms=max(0, int((crash.expires - now) * 1000)),
         suspects=suspects,
     )
