--- a/packages/core/src/dunlintide_core/capacity.py
+++ b/packages/core/src/dunlintide_core/capacity.py
@@ -202,7 +202,8 @@
     def track(self, stages: Iterable[plans.Stage]) -> None:
         """Set the endpoints to estimate.
 
-        An endpoint whose declared capacity changes starts anew.
+        The estimate of an endpoint is reset when its declared capacity
+        changes.
 
         :param stages: the endpoints with their declared capacities
         """
--- a/packages/core/src/dunlintide_core/delays.py
+++ b/packages/core/src/dunlintide_core/delays.py
@@ -174,7 +174,7 @@
             for source, target in zip(chain.stages, chain.stages[1:])
         ]
         if ratio >= _NORMAL_RATIO:
-            # If the chain uses a suspected link, only that link is blamed.
+            # Attribute it to the suspected links only, if there are any.
             hops = [hop for hop in hops if hop[2].is_suspected()] or hops
         for pair, pair_evidence, boundary_evidence in hops:
             pair_evidence.add(ratio, pair, now)
@@ -184,7 +184,7 @@
         """Return the links with their estimated qualities, for a plan.
 
         A pair of agents is listed only if the link between their failure
-        domains is not suspected.
+        domains is not degraded.
         """
         for evidence in self._list_all():
             evidence.factor.published = evidence.factor.value
@@ -229,6 +229,7 @@
         return {key: evidence.factor.value for key, evidence in both}
 
     def _compute_general_ratio(self) -> float:
+        """Return the ratio that all but a quarter of the intervals reach."""
         ranked = sorted(self._recent)
         return ranked[int(_UNAFFECTED_FRACTION * len(ranked))]
 
--- a/packages/core/src/dunlintide_core/division.py
+++ b/packages/core/src/dunlintide_core/division.py
@@ -26,6 +26,7 @@
 
 
 def _allocate_slots(total: int, demands: Mapping[str, int]) -> dict[str, int]:
+    """Divide slots so that small demands are met in full."""
     shares, remaining = {}, len(demands)
     for name, demand in sorted(demands.items(), key=lambda item: item[::-1]):
         # Rounded up, so that a single slot is assigned.
--- a/packages/core/src/dunlintide_core/limits.py
+++ b/packages/core/src/dunlintide_core/limits.py
@@ -173,7 +173,7 @@
         return now < self._confirmed_at + LEASE_SECONDS
 
     def is_base_share_free(self, now: float) -> bool:
-        """Return whether no grant of others can rest on the base shares."""
+        """Return whether no other entry can still use the base shares."""
         if not self.acknowledged:
             return True
         released_at = self._last_sent_at + 2 * LEASE_SECONDS + SLACK_SECONDS
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -86,7 +86,7 @@
 
     :ivar name: unique name of the crash
     :ivar endpoint: name of the agent of the endpoint
-    :ivar place: layers of the endpoint
+    :ivar layers: layers of the endpoint
     :ivar expires: monotonic time in seconds at which the record expires
     """
 
@@ -189,7 +189,7 @@
     ) -> list[str]:
         """Record a step that ran without a crash.
 
-        :param place: layers of the endpoint that ran the step
+        :param layers: layers of the endpoint that ran the step
         :param end: position after the last one of the step
         :returns: names of the crashes of which the request is cleared
         """
@@ -323,7 +323,7 @@
     ) -> bool:
         """Return whether a step of a request must not be batched.
 
-        :param place: layers of the endpoint that is to run the step
+        :param layers: layers of the endpoint that is to run the step
         """
         records = self._records_by_request.get(fingerprint)
         if records is not None and any(
--- a/packages/core/src/dunlintide_core/prefixes.py
+++ b/packages/core/src/dunlintide_core/prefixes.py
@@ -143,6 +143,7 @@
         self._prompt_blocks: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
         )
+        # Ends of shared prefixes, and ends of prompts, the oldest first.
         self._reused: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
--- a/packages/core/src/dunlintide_core/rates.py
+++ b/packages/core/src/dunlintide_core/rates.py
@@ -23,6 +23,7 @@
         :param now: monotonic time in seconds
         """
         self.value = 0.0
+        # Last measured rate; ``value`` falls below it during a long pause.
         self._kept = 0.0
         self._done = 0.0
         self._ended = 0
--- a/packages/core/src/dunlintide_core/selection.py
+++ b/packages/core/src/dunlintide_core/selection.py
@@ -171,8 +171,8 @@
 
         :param now: time in seconds
         :param avoid: agents that this request must not use
-        :param holders: by agent, the fraction of the prompt whose prefix
-            it has cached
+        :param holders: by agent, the fraction of the prompt, from its
+            start, that the agent has cached
         :returns: None when no usable chain covers all layers
         """
         chosen = self._choose_by_load(now, rng, avoid)
@@ -257,6 +257,7 @@
     def _choose_by_load(
         self, now: float, rng: random.Random, avoid: Collection[str]
     ) -> plans.Chain | None:
+        """Choose the less loaded of two random chains of the plan."""
         table = self._table
         if not table.chains:
             return self._find_fallback(now, avoid)
@@ -275,7 +276,7 @@
     def _list_cached(
         self, holders: Mapping[str, float], avoid: Collection[str]
     ) -> Iterator[plans.Chain]:
-        """List a few planned chains, those with the most cached first."""
+        """Yield a few planned chains, those of the best holders first."""
         table = self._table
         best = sorted(holders, key=holders.__getitem__, reverse=True)
         found: dict[int, None] = {}
@@ -295,6 +296,12 @@
         other: plans.Chain,
         now: float,
     ) -> bool:
+        """Return whether the saved prefill outweighs the load of a chain.
+
+        :param saved: share of the prefill that the chain saves beyond the
+            drawn chain
+        :param other: the drawn chain
+        """
         factor = 1.0 + (self._factor - 1.0) * saved
         # A single request on an idle chain must not exceed the limit.
         slack = 1.0 / min(
@@ -306,6 +313,10 @@
     def _draw(
         self, table: _Table, rng: random.Random, avoid: Collection[str]
     ) -> int | None:
+        """Draw the index of a chain, weighted by share.
+
+        :returns: None if all draws yield chains with avoided agents
+        """
         total = table.cumulative_shares[-1]
         last = len(table.cumulative_shares) - 1
         for _ in range(_MAX_DRAWS if avoid else 1):
@@ -321,6 +332,7 @@
     def _choose_not_avoided(
         self, now: float, avoid: Collection[str]
     ) -> plans.Chain | None:
+        """Choose the least loaded planned chain without avoided agents."""
         rest = [
             index
             for index, chain in enumerate(self._table.chains)
@@ -337,7 +349,7 @@
     def _find_fallback(
         self, now: float, avoid: Collection[str]
     ) -> plans.Chain | None:
-        """Find a chain of live endpoints that is not in the plan."""
+        """Find a chain of live endpoints without using the plan."""
         usable = [
             stage for stage in self._stages if self._is_eligible(stage, avoid)
         ]
--- a/packages/core/src/dunlintide_core/slots.py
+++ b/packages/core/src/dunlintide_core/slots.py
@@ -19,7 +19,7 @@
 # Factor on the recent peak: during a flood the requests of other teams take
 # longer, so more of them run at once.
 GROWTH_FACTOR = 1.5
-# A team with a higher demand than this multiple of its reserve is flooding.
+# A team is flooding if its demand exceeds this multiple of its reserve limit.
 FLOOD_FACTOR = 2.0
 # A team with a larger debt, in rounds of the queue, gets no headroom. This
 # permits bursts and bounds what a team gains by them.
@@ -115,10 +115,11 @@
     def _compute_reserve_limit(
         self, team: str, usage: _Usage, limit: int
     ) -> int:
-        """Return the share plus headroom, in slots.
+        """Return the share of a team plus headroom, in slots.
 
-        A team at its share uses that many slots on average, and more half
-        of the time. The headroom follows the square-root staffing rule.
+        A team at its share uses that many slots on average, and more than
+        that half of the time. The headroom follows the square-root
+        staffing rule.
         """
         share = self._compute_share(usage, limit)
         is_ahead = self._count_debt_rounds(team) > MAX_DEBT_ROUNDS
@@ -139,7 +140,7 @@
         return max(0, reserve - usage.running)
 
     def _is_below_share(self, team: str, usage: _Usage, limit: int) -> bool:
-        """Return whether a team may start regardless of reservations."""
+        """Return whether a team is below the share that it may always use."""
         share = self._compute_share(usage, limit)
         if self._is_flooding(team, usage, limit):
             # The headroom of the others comes out of its share.
