--- a/packages/core/src/dunlintide_core/capacity.py
+++ b/packages/core/src/dunlintide_core/capacity.py
@@ -76,10 +76,8 @@
 
         :param sample: multiple of the declared quality
         """
-        known_good = (
-            self.value >= 1.0 and sample < self.value / _NOISE_THRESHOLD
-        )
-        if sample > self.value and not known_good:
+        is_noise = self.value >= 1.0 and sample < self.value / _NOISE_THRESHOLD
+        if sample > self.value and not is_noise:
             self.value = min(sample, self.value * _MAX_INCREASE, self.ceiling)
         if self.value >= 1.0:
             self._hold = _MIN_HOLD_SECONDS
--- a/packages/core/src/dunlintide_core/caps.py
+++ b/packages/core/src/dunlintide_core/caps.py
@@ -131,26 +131,26 @@
     :param ceiling: maximum cap in requests
     """
     cap = start
-    draining = False
-    grown_at = 0
+    is_reducing = False
+    finished_at_increase = 0
 
     def observe(in_flight: InFlight, usage: Usage) -> None:
-        nonlocal cap, draining, grown_at
-        if draining and in_flight.requests < cap:
-            draining = False
+        nonlocal cap, is_reducing, finished_at_increase
+        if is_reducing and in_flight.requests < cap:
+            is_reducing = False
         if usage.kv_usage > HIGH_KV_USAGE:
-            if not draining:
+            if not is_reducing:
                 cap = max(1, int(cap * DECREASE_FACTOR))
-                draining = True
+                is_reducing = True
             return
-        has_turned_over = in_flight.finished - grown_at >= cap
+        has_turned_over = in_flight.finished - finished_at_increase >= cap
         if (
             usage.kv_usage < LOW_KV_USAGE
             and not usage.queued
             and has_turned_over
         ):
             cap = min(ceiling, max(cap + 1, int(cap * INCREASE_FACTOR)))
-            grown_at = in_flight.finished
+            finished_at_increase = in_flight.finished
 
     return Cap(
         admits=lambda in_flight, _: in_flight.requests < cap,
