--- a/packages/core/src/dunlintide_core/cacheupdates.py
+++ b/packages/core/src/dunlintide_core/cacheupdates.py
@@ -12,8 +12,8 @@
 from dunlintide_core import prefixes
 
 __all__ = [
-    'Update',
     'Publisher',
+    'Update',
 ]
 
 # Prefixes that an agent has published at any time.
--- a/packages/core/src/dunlintide_core/caps.py
+++ b/packages/core/src/dunlintide_core/caps.py
@@ -5,8 +5,8 @@
 import attrs
 
 __all__ = [
-    'INITIAL_REQUESTS',
     'Cap',
+    'INITIAL_REQUESTS',
     'InFlight',
     'Usage',
     'build_adaptive',
--- a/packages/core/src/dunlintide_core/coordination.py
+++ b/packages/core/src/dunlintide_core/coordination.py
@@ -14,8 +14,8 @@
 from dunlintide_core import limits
 
 __all__ = [
-    'MAX_RECLAIMED_KEYS',
     'Coordinator',
+    'MAX_RECLAIMED_KEYS',
 ]
 
 # Maximum number of keys without a need for which one answer reduces the base
--- a/packages/core/src/dunlintide_core/ledger.py
+++ b/packages/core/src/dunlintide_core/ledger.py
@@ -14,11 +14,11 @@
 
 __all__ = [
     'Claim',
-    'Record',
     'Ledger',
     'Limits',
-    'Verdict',
+    'Record',
     'State',
+    'Verdict',
 ]
 
 # Time between calls of ``Ledger.tick``.
--- a/packages/core/src/dunlintide_core/limits.py
+++ b/packages/core/src/dunlintide_core/limits.py
@@ -30,16 +30,16 @@
 
 __all__ = [
     'BURST_SECONDS',
-    'EPSILON',
-    'LEASE_SECONDS',
-    'SLACK_SECONDS',
     'Bucket',
+    'EPSILON',
     'Grant',
     'Key',
+    'LEASE_SECONDS',
     'Lease',
     'Need',
-    'find_minimum',
+    'SLACK_SECONDS',
     'compute_base_share',
+    'find_minimum',
 ]
 
 BURST_SECONDS = 1.0
--- a/packages/core/src/dunlintide_core/plan.py
+++ b/packages/core/src/dunlintide_core/plan.py
@@ -13,8 +13,8 @@
 from networkx.algorithms import flow as flows
 
 __all__ = [
-    'EMPTY',
     'Chain',
+    'EMPTY',
     'LinkQuality',
     'Links',
     'Plan',
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -15,8 +15,8 @@
 __all__ = [
     'Crash',
     'Evidence',
-    'Limits',
     'LayerRange',
+    'Limits',
     'Quarantine',
     'Suspect',
 ]
--- a/packages/core/src/dunlintide_core/positions.py
+++ b/packages/core/src/dunlintide_core/positions.py
@@ -11,9 +11,9 @@
 import attrs
 
 __all__ = [
+    'Action',
     'Cursor',
     'Fences',
-    'Action',
     'Verdict',
     'build_rewound',
 ]
