--- a/packages/core/src/dunlintide_core/division.py
+++ b/packages/core/src/dunlintide_core/division.py
@@ -1,4 +1,4 @@
-"""Division of one limit by demand."""
+"""Max-min fair division of a limit among entries."""
 
 import math
 from typing import Mapping
@@ -13,75 +13,93 @@
 ]
 
 
-def _meet_rates(total: float, wants: Mapping[str, float]) -> dict[str, float]:
-    """Meet small wants in full and divide the rest evenly."""
-    shares, waiting = {}, len(wants)
-    for name, want in sorted(wants.items(), key=lambda item: item[1]):
-        shares[name] = min(want, total / waiting)
+def _allocate_rates(
+    total: float, demands: Mapping[str, float]
+) -> dict[str, float]:
+    """Divide a rate so that small demands are met in full."""
+    shares, remaining = {}, len(demands)
+    for name, demand in sorted(demands.items(), key=lambda item: item[1]):
+        shares[name] = min(demand, total / remaining)
         total -= shares[name]
-        waiting -= 1
+        remaining -= 1
     return shares
 
 
-def _meet_slots(total: int, wants: Mapping[str, int]) -> dict[str, int]:
-    shares, waiting = {}, len(wants)
-    for name, want in sorted(wants.items(), key=lambda item: item[::-1]):
-        # Rounded up, so that a single slot goes to somebody.
-        shares[name] = min(want, math.ceil(total / waiting))
+def _allocate_slots(total: int, demands: Mapping[str, int]) -> dict[str, int]:
+    """Divide slots so that small demands are met in full."""
+    shares, remaining = {}, len(demands)
+    for name, demand in sorted(demands.items(), key=lambda item: item[::-1]):
+        # Rounded up, so that a single slot is assigned.
+        shares[name] = min(demand, math.ceil(total / remaining))
         total -= shares[name]
-        waiting -= 1
+        remaining -= 1
     return shares
 
 
 @attrs.frozen
 class Division:
-    """How one limit is divided among entries.
+    """Division of one limit among entries.
 
-    :ivar shares: of the entries that asked, with room to grow
-    :ivar kept: part of what the others own that they keep, 0 to 1
+    :ivar shares: shares of the entries with a demand, including their
+        part of what remains
+    :ivar kept_fraction: fraction of their base shares that the other
+        entries keep, 0 to 1
     """
 
     shares: Mapping[str, limits.Grant]
-    kept: float = 1.0
+    kept_fraction: float = 1.0
 
 
 def divide(
     total: float,
     limit: int,
     needs: Mapping[str, limits.Need],
-    unasked: limits.Grant,
+    idle_share: limits.Grant,
 ) -> Division:
-    """Divide by demand: small wants are met in full, the rest is even.
+    """Divide a limit by max-min fairness.
 
-    Next come the entries that did not ask, which keep what they own, so
-    that a first burst there needs no word of anybody. What is then left
-    is spread evenly over those that asked.
+    Small demands are met in full, and the larger ones get equal shares.
+    If something remains, the entries without a demand keep their base
+    shares, so that a first burst there needs no coordination. What then
+    remains is divided evenly among the entries with a demand.
 
-    :param total: share of the limit that there is to divide
-    :param limit: the limit in flight, 0 for none
-    :param unasked: what entries that did not ask own together
+    :param total: fraction of the limit that is to be divided
+    :param limit: the limit of requests in flight, 0 for none
+    :param needs: the demands by entry
+    :param idle_share: sum of the base shares of entries without a demand
     """
-    rates = _meet_rates(total, {n: one.rate for n, one in needs.items()})
-    left = max(0.0, total - math.fsum(rates.values()))
-    slots = _meet_slots(
+    rates = _allocate_rates(total, {n: one.rate for n, one in needs.items()})
+    spare_rate = max(0.0, total - math.fsum(rates.values()))
+    slots = _allocate_slots(
         math.floor(limit * total + limits.EPSILON),
         {name: one.slots for name, one in needs.items()},
     )
-    free = math.floor(limit * total + limits.EPSILON) - sum(slots.values())
-    kept = min(
+    spare_slots = math.floor(limit * total + limits.EPSILON) - sum(
+        slots.values()
+    )
+    kept_fraction = min(
         1.0,
-        left / unasked.rate if unasked.rate > limits.EPSILON else 1.0,
-        free / unasked.slots if unasked.slots else 1.0,
+        (
+            spare_rate / idle_share.rate
+            if idle_share.rate > limits.EPSILON
+            else 1.0
+        ),
+        spare_slots / idle_share.slots if idle_share.slots else 1.0,
     )
-    if kept > 1 - limits.EPSILON:
-        kept = 1.0
+    if kept_fraction > 1 - limits.EPSILON:
+        kept_fraction = 1.0
     count = max(1, len(needs))
-    rest = (left - kept * unasked.rate) / count
-    room = (free - math.ceil(kept * unasked.slots - limits.EPSILON)) // count
+    extra_rate = (spare_rate - kept_fraction * idle_share.rate) / count
+    extra_slots = (
+        spare_slots
+        - math.ceil(kept_fraction * idle_share.slots - limits.EPSILON)
+    ) // count
     return Division(
         {
-            name: limits.Grant(rates[name] + rest, slots[name] + room)
+            name: limits.Grant(
+                rates[name] + extra_rate, slots[name] + extra_slots
+            )
             for name in needs
         },
-        kept,
+        kept_fraction,
     )
--- a/packages/core/src/dunlintide_core/ledger.py
+++ b/packages/core/src/dunlintide_core/ledger.py
@@ -1,9 +1,9 @@
-"""Executor's ledger of non-idempotent attempts.
+"""Records of the non-idempotent attempts at an executor.
 
-Each key runs at most once. An entry stays as a tombstone after its
-answer had to go, and a tombstone must outlive every claim that could
-still ask for the run: claims carry the executor's generation, and one
-older than the retention window is refused instead of run.
+Each key runs at most once. When the answer of an attempt is dropped, its
+record stays as a tombstone. A tombstone must outlive every claim that
+could still start the attempt. For this, claims contain the generation of
+the executor, and a claim older than the retention window is refused.
 """
 
 import collections
@@ -14,28 +14,29 @@
 
 __all__ = [
     'Claim',
-    'Entry',
     'Ledger',
     'Limits',
-    'Verdict',
+    'Record',
     'State',
+    'Verdict',
 ]
 
+# Time between calls of ``Ledger.tick``.
 GENERATION_SECONDS = 60.0
 
 
 class State(enum.StrEnum):
-    """Where an attempt stands."""
+    """State of an attempt."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
     FINISHED = 'finished'
-    DROPPED = 'dropped'  # it ran; the answer is no longer kept
-    SEALED = 'sealed'  # it never ran and never will
+    DROPPED = 'dropped'  # it may have run; there is no answer
+    SEALED = 'sealed'  # it never ran and never will run
 
 
 class Verdict(enum.StrEnum):
-    """What to do with an attempt that has come in."""
+    """Decision about an attempt that has arrived."""
 
     START = 'start'
     ATTACH = 'attach'
@@ -50,7 +51,10 @@
 
 @attrs.frozen
 class Claim:
-    """Binding of a request to this executor, as the store has it."""
+    """Binding of a request to this executor, as read from the store.
+
+    ``claims.Binding`` describes the fields.
+    """
 
     key_digest: bytes
     fingerprint: bytes
@@ -60,13 +64,13 @@
 
 
 @attrs.define(eq=False)
-class Entry:
+class Record:
     """One attempt.
 
-    :ivar generation: executor's generation when the attempt came in
-    :ivar work: what runs it, while it is queued or running
-    :ivar answer: the whole answer, once it has finished
-    :ivar size: bytes of the answer
+    :ivar generation: generation of the executor when the attempt arrived
+    :ivar work: the running request, while it is queued or running
+    :ivar answer: the complete answer, once the attempt has finished
+    :ivar size: size of the answer in bytes
     """
 
     key_digest: bytes
@@ -81,19 +85,20 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds of a ledger.
+    """Limits of a ledger.
 
-    :ivar entries: attempts, with tombstones
-    :ivar answer_bytes: bytes of all kept answers
-    :ivar window: generations for which a claim may ask for a run
+    :ivar records: maximum number of records, including tombstones
+    :ivar answer_bytes: maximum size of all stored answers
+    :ivar window: number of generations for which a claim may start an
+        attempt
     """
 
-    entries: int = 200_000
+    records: int = 200_000
     answer_bytes: int = 32 << 20
     window: int = 65
 
 
-_BY_STATE = {
+_VERDICTS = {
     State.QUEUED: Verdict.ATTACH,
     State.RUNNING: Verdict.ATTACH,
     State.FINISHED: Verdict.REPLAY,
@@ -103,10 +108,11 @@
 
 
 class Ledger:
-    """Attempts of this life of the executor.
+    """Attempts of this incarnation of the executor.
 
-    :ivar generation: rises every ``GENERATION_SECONDS``; the caller
-        calls ``tick`` by its own monotonic clock
+    :ivar generation: number of calls of ``tick``, which the owner calls
+        every ``GENERATION_SECONDS`` of its monotonic clock
+    :ivar answer_bytes: size of all stored answers
     """
 
     def __init__(self, incarnation: int, limits: Limits = Limits()) -> None:
@@ -114,114 +120,117 @@
         self.answer_bytes = 0
         self._incarnation = incarnation
         self._limits = limits
-        self._entries: dict[bytes, Entry] = {}
-        # By generation, so that expiry costs only what expires.
-        self._ages: collections.deque[Entry] = collections.deque()
-        self._answers: collections.OrderedDict[bytes, Entry] = (
+        self._records: dict[bytes, Record] = {}
+        # Oldest generation first, so that expiry visits only expired records.
+        self._by_age: collections.deque[Record] = collections.deque()
+        self._answers: collections.OrderedDict[bytes, Record] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     def tick(self) -> None:
-        """Begin the next generation and drop expired tombstones."""
+        """Start the next generation and drop expired records."""
         self.generation += 1
         oldest = self.generation - self._limits.window
-        kept = []
-        while self._ages and self._ages[0].generation < oldest:
-            entry = self._ages.popleft()
-            if entry.state in (State.QUEUED, State.RUNNING):
-                kept.append(entry)
+        unfinished = []
+        while self._by_age and self._by_age[0].generation < oldest:
+            record = self._by_age.popleft()
+            if record.state in (State.QUEUED, State.RUNNING):
+                unfinished.append(record)
                 continue
-            self._release(entry)
-            if self._entries.get(entry.key_digest) is entry:
-                del self._entries[entry.key_digest]
-        # What still runs is younger than its age says.
-        self._ages.extendleft(reversed(kept))
-
-    def _release(self, entry: Entry) -> None:
-        if self._answers.get(entry.key_digest) is entry:
-            del self._answers[entry.key_digest]
-            self.answer_bytes -= entry.size
-        entry.answer = None
-        entry.size = 0
-
-    def _add(self, claim: Claim, state: State) -> Entry:
-        entry = Entry(
+            self._drop_answer(record)
+            if self._records.get(record.key_digest) is record:
+                del self._records[record.key_digest]
+        # Queued and running attempts do not expire.
+        self._by_age.extendleft(reversed(unfinished))
+
+    def _drop_answer(self, record: Record) -> None:
+        if self._answers.get(record.key_digest) is record:
+            del self._answers[record.key_digest]
+            self.answer_bytes -= record.size
+        record.answer = None
+        record.size = 0
+
+    def _add(self, claim: Claim, state: State) -> Record:
+        record = Record(
             claim.key_digest,
             claim.fingerprint,
             claim.attempt,
             self.generation,
             state,
         )
-        self._entries[claim.key_digest] = entry
-        self._ages.append(entry)
-        return entry
+        self._records[claim.key_digest] = record
+        self._by_age.append(record)
+        return record
 
-    def _look_up(self, claim: Claim) -> tuple[Verdict, Entry | None]:
+    def _decide(self, claim: Claim) -> tuple[Verdict, Record | None]:
         if claim.incarnation != self._incarnation:
             return Verdict.EXECUTOR_GONE, None
-        entry = self._entries.get(claim.key_digest)
-        if entry is not None:
-            if entry.fingerprint != claim.fingerprint:
+        record = self._records.get(claim.key_digest)
+        if record is not None:
+            if record.fingerprint != claim.fingerprint:
                 return Verdict.KEY_REUSED, None
-            fresh = (
-                entry.state is State.SEALED and entry.attempt != claim.attempt
+            is_new_attempt = (
+                record.state is State.SEALED
+                and record.attempt != claim.attempt
             )
-            if not fresh:
-                return _BY_STATE[entry.state], entry
+            if not is_new_attempt:
+                return _VERDICTS[record.state], record
         if claim.generation > self.generation:
             return Verdict.EXECUTOR_GONE, None
         if claim.generation < self.generation - self._limits.window:
             return Verdict.EXPIRED, None
-        if len(self._ages) >= self._limits.entries:
+        if len(self._by_age) >= self._limits.records:
             return Verdict.FULL, None
         return Verdict.START, None
 
-    def open(self, claim: Claim) -> tuple[Verdict, Entry | None]:
-        """Decide about an attempt that asks to run.
+    def open(self, claim: Claim) -> tuple[Verdict, Record | None]:
+        """Decide about an attempt that is to run.
 
-        START comes with a new entry, ATTACH and REPLAY with the old one.
+        START returns a new record, ATTACH and REPLAY the existing one.
         """
-        verdict, entry = self._look_up(claim)
+        verdict, record = self._decide(claim)
         if verdict is Verdict.START:
-            entry = self._add(claim, State.QUEUED)
-        return verdict, entry
+            record = self._add(claim, State.QUEUED)
+        return verdict, record
 
-    def attach(self, claim: Claim) -> tuple[Verdict, Entry | None]:
-        """Decide about a caller that asks for an earlier answer.
+    def attach(self, claim: Claim) -> tuple[Verdict, Record | None]:
+        """Decide about a request for the answer of an earlier attempt.
 
-        An attempt that never came in is sealed, so that it cannot run
-        after its caller was told that it did not.
+        An attempt that has not arrived is sealed, so that it cannot run
+        after the caller has been informed that it did not run.
         """
-        verdict, entry = self._look_up(claim)
+        verdict, record = self._decide(claim)
         if verdict is Verdict.START:
             return Verdict.SEALED, self._add(claim, State.SEALED)
-        return verdict, entry
+        return verdict, record
+
+    def seal(self, record: Record) -> None:
+        """Mark an attempt that has not run, so that it never will."""
+        record.state = State.SEALED
+        record.work = None
 
-    def seal(self, entry: Entry) -> None:
-        """Note that an attempt never ran; it never will."""
-        entry.state = State.SEALED
-        entry.work = None
+    def finish(self, record: Record, answer: Any, size: int) -> None:
+        """Store the answer of an attempt.
 
-    def finish(self, entry: Entry, answer: Any, size: int) -> None:
-        """Keep an answer while the budget lasts.
+        The oldest answers are dropped to stay within the size limit.
 
-        :param answer: what a repeat gets; None when it may have run but
-            there is no whole answer
-        :param size: bytes that the answer takes
+        :param answer: the answer for repeated requests; None if the
+            attempt may have run but has no complete answer
+        :param size: size of the answer in bytes
         """
-        entry.work = None
+        record.work = None
         if answer is None or size > self._limits.answer_bytes:
-            entry.state = State.DROPPED
+            record.state = State.DROPPED
             return
         while self.answer_bytes + size > self._limits.answer_bytes:
             oldest = next(iter(self._answers.values()))
-            self._release(oldest)
+            self._drop_answer(oldest)
             oldest.state = State.DROPPED
-        entry.state = State.FINISHED
-        entry.answer = answer
-        entry.size = size
-        self._answers[entry.key_digest] = entry
+        record.state = State.FINISHED
+        record.answer = answer
+        record.size = size
+        self._answers[record.key_digest] = record
         self.answer_bytes += size
--- a/packages/core/src/dunlintide_core/loads.py
+++ b/packages/core/src/dunlintide_core/loads.py
@@ -1,4 +1,4 @@
-"""Outstanding work of endpoints, from own counts and late reports."""
+"""Outstanding requests of endpoints, from own counts and delayed reports."""
 
 from collections.abc import Iterable
 
@@ -8,74 +8,78 @@
 
 __all__ = [
     'Load',
-    'expect_rooms',
+    'estimate_saturation',
     'score',
 ]
 
-# A load report counts linearly less with age, and not at all after this
-# many seconds.
-_REPORT_LIFE = 10.0
-# Time in one stage, about, when only the links' latencies are known.
+# The weight of a load report falls linearly with its age, to 0 at this age.
+_REPORT_LIFETIME_SECONDS = 10.0
+# Approximate time in one stage, where only link latencies are known.
 _STEP_SECONDS = 0.02
-_LEAST_ROOM = 1e-9
+_MIN_SATURATION = 1e-9
 
 
 @attrs.define
 class Load:
-    """Outstanding work of one agent, in requests.
+    """Outstanding requests of one agent.
 
-    :ivar room: requests that it holds when it is just kept busy
+    :ivar saturation: number of requests that just keep the endpoint busy
     :ivar own: requests of this process
-    :ivar others: requests of all other processes, as last reported
-    :ivar reported: time of that report, in seconds
+    :ivar others: requests of all other processes, by the last report
+    :ivar reported_at: time of that report in seconds
     """
 
-    room: float
+    saturation: float
     own: int = 0
     others: float = 0.0
-    reported: float = 0.0
+    reported_at: float = 0.0
 
 
-def expect_rooms(
-    plan: plans.Plan, stops: Iterable[plans.Stop]
+def estimate_saturation(
+    plan: plans.Plan, stages: Iterable[plans.Stage]
 ) -> dict[str, float]:
-    """Estimate how many requests keep each endpoint just busy.
+    """Estimate the number of requests that just keep each endpoint busy.
 
-    By Little's law that is its rate times the time that a token takes
-    round its chains. Work over capacity alone would shun far endpoints,
-    whose requests are mostly on the way.
+    By Little's law it is the rate of the endpoint times the round trip of
+    a token through its chains. Dividing requests by capacity alone would
+    put remote endpoints at a disadvantage, since most of their requests
+    are on the network.
 
-    :param stops: all endpoints, also those outside the plan
-    :returns: by agent
+    :param stages: all endpoints, including those not in the plan
+    :returns: the number of requests by agent
     """
-    rounds: dict[str, float] = {}
+    round_trips: dict[str, float] = {}
     shares: dict[str, float] = {}
     for chain in plan.chains:
-        seconds = chain.latency + _STEP_SECONDS * len(chain.stops)
+        seconds = chain.latency + _STEP_SECONDS * len(chain.stages)
         for agent in chain.agents:
-            rounds[agent] = rounds.get(agent, 0.0) + chain.share * seconds
+            round_trips[agent] = (
+                round_trips.get(agent, 0.0) + chain.share * seconds
+            )
             shares[agent] = shares.get(agent, 0.0) + chain.share
     total = sum(shares.values())
-    usual = sum(rounds.values()) / total if total else 1.0
-    rooms = {}
-    for stop in stops:
-        seconds = usual
-        if shares.get(stop.agent):
-            seconds = rounds[stop.agent] / shares[stop.agent]
-        rooms[stop.agent] = max(_LEAST_ROOM, stop.capacity * seconds)
-    return rooms
+    mean_round_trip = sum(round_trips.values()) / total if total else 1.0
+    saturations = {}
+    for stage in stages:
+        seconds = mean_round_trip
+        if shares.get(stage.agent):
+            seconds = round_trips[stage.agent] / shares[stage.agent]
+        saturations[stage.agent] = max(
+            _MIN_SATURATION, stage.capacity * seconds
+        )
+    return saturations
 
 
 def score(loads: Iterable[Load], now: float) -> float:
-    """Give the work of the fullest endpoint over its room.
+    """Return the highest ratio of requests to saturation.
 
-    :param now: time in seconds, against which reports age
+    :param now: time in seconds, from which the age of reports counts
     """
     worst = 0.0
     for load in loads:
-        weight = 1.0 - (now - load.reported) / _REPORT_LIFE
+        weight = 1.0 - (now - load.reported_at) / _REPORT_LIFETIME_SECONDS
         others = load.others * weight if weight > 0.0 else 0.0
-        value = (load.own + others) / load.room
+        value = (load.own + others) / load.saturation
         if value > worst:
             worst = value
     return worst
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -1,10 +1,10 @@
-"""Which request crashes endpoints, by elimination.
+"""Identification of poison requests, which crash endpoints.
 
-A crash accuses every request whose step was under way. Its accused only
-ever become fewer, so copies of the evidence at many processes can be
-merged in any order. A request that later gets past the point at which it
-was accused is cleared; until then each endpoint runs it alone, so that
-the next crash has one accused.
+The suspects of a crash are all requests with a step in progress. Suspects
+are only ever removed, so that copies of the evidence in several processes
+can be merged in any order. A suspect that later runs past the position of
+the crash is cleared. Until then each endpoint runs it in isolation, so
+that the next crash has a single suspect.
 """
 
 import collections
@@ -15,8 +15,8 @@
 __all__ = [
     'Crash',
     'Evidence',
+    'LayerRange',
     'Limits',
-    'Place',
     'Quarantine',
     'Suspect',
 ]
@@ -24,40 +24,42 @@
 
 @attrs.frozen
 class Limits:
-    """Constants of the evidence.
-
-    :ivar seconds: how long a crash is remembered, and so the longest
-        quarantine
-    :ivar team_crashes: crashes that accuse one team alone from which
-        on its unknown requests run alone
-    :ivar crashes: crashes that are kept, the newest
-    :ivar suspects: accused that are kept over all crashes
-    :ivar known: requests kept as known to run well
+    """Limits of the evidence.
+
+    :ivar seconds: time for which a crash is recorded, and therefore the
+        longest quarantine
+    :ivar team_crashes: number of crashes with suspects of only one team
+        from which on the team is isolated: its requests that are not
+        known to be good run alone
+    :ivar crashes: maximum number of recorded crashes; the newest are kept
+    :ivar suspects: maximum number of suspects over all crashes
+    :ivar known_good: maximum number of requests recorded as good
     """
 
     seconds: float = 600.0
     team_crashes: int = 3
     crashes: int = 256
     suspects: int = 4096
-    known: int = 8192
+    known_good: int = 8192
 
 
-# Crashes that convict a request which was the only accused of one of
-# them: on two endpoints, or more often on one, which may be faulty itself.
-_ENDPOINTS = 2
-_CRASHES = 3
+# A request that was the only suspect of a crash is quarantined after crashes
+# of two endpoints. If a single endpoint crashes, which may itself be faulty,
+# three crashes are required.
+_MIN_ENDPOINTS = 2
+_MIN_CRASHES = 3
 
 
 @attrs.frozen
-class Place:
-    """Layers of a model, at which a request may do harm."""
+class LayerRange:
+    """Range ``[layer_start, layer_end)`` of the layers of a model."""
 
     model: str
     layer_start: int
     layer_end: int
 
-    def overlaps(self, other: 'Place') -> bool:
-        """Tell whether two places share a layer."""
+    def overlaps(self, other: 'LayerRange') -> bool:
+        """Return whether two ranges share a layer."""
         return (
             self.model == other.model
             and self.layer_start < other.layer_end
@@ -67,10 +69,10 @@
 
 @attrs.frozen
 class Suspect:
-    """A request that a crash accuses.
+    """A request that may have caused a crash.
 
     :ivar fingerprint: digest of its team and content
-    :ivar position: first position of the step that was under way
+    :ivar position: first position of the step in progress
     """
 
     fingerprint: bytes
@@ -82,24 +84,25 @@
 class Crash:
     """One crash of an endpoint.
 
-    :ivar name: unique over all crashes
-    :ivar endpoint: agent of the endpoint
-    :ivar expires: monotonic time in seconds at which it is forgotten
+    :ivar name: unique name of the crash
+    :ivar endpoint: name of the agent of the endpoint
+    :ivar layers: layers of the endpoint
+    :ivar expires: monotonic time in seconds at which the record expires
     """
 
     name: str
     endpoint: str
-    place: Place
+    layers: LayerRange
     suspects: tuple[Suspect, ...]
     expires: float
 
 
 @attrs.frozen
 class Quarantine:
-    """A request that is refused for some time.
+    """A request that is refused until the quarantine ends.
 
-    :ivar crashes: crashes that accuse it
-    :ivar seconds: time left
+    :ivar crashes: number of crashes of which it is a suspect
+    :ivar seconds: remaining time
     """
 
     fingerprint: bytes
@@ -109,125 +112,131 @@
 
 
 @attrs.define(eq=False)
-class _Case:
-    """A crash and who is still accused of it.
+class _CrashRecord:
+    """A crash and its remaining suspects.
 
-    :ivar team: the team that all accused belong to, if it is one
+    :ivar suspects: suspects by fingerprint
+    :ivar team: the team of all suspects, empty if there are several
     """
 
     crash: Crash
-    accused: dict[bytes, Suspect]
+    suspects: dict[bytes, Suspect]
     team: str = ''
 
-    def find_team(self) -> str:
-        teams = {one.team for one in self.accused.values()}
+    def find_common_team(self) -> str:
+        teams = {one.team for one in self.suspects.values()}
         return teams.pop() if len(teams) == 1 else ''
 
 
 class Evidence:
-    """Crashes and what follows from them at one process."""
+    """Recorded crashes, and the suspects and quarantines that follow."""
 
     def __init__(self, limits: Limits = Limits()) -> None:
-        """Begin with no crash."""
+        """Start without recorded crashes."""
         self._limits = limits
-        self._cases: dict[str, _Case] = {}
-        self._accused: dict[bytes, dict[str, _Case]] = {}
-        self._convicted: set[bytes] = set()
+        self._records: dict[str, _CrashRecord] = {}
+        self._records_by_request: dict[bytes, dict[str, _CrashRecord]] = {}
+        self._quarantined: set[bytes] = set()
         self._teams: collections.Counter[str] = collections.Counter()
-        self._known: collections.OrderedDict[bytes, None] = (
+        self._known_good: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._records)
 
     def add(self, crash: Crash, now: float) -> bool:
-        """Take in a crash, or fewer accused of one that is known.
+        """Record a crash, or fewer suspects of a recorded one.
 
-        :returns: whether anything was new
+        :param now: monotonic time in seconds
+        :returns: whether the evidence has changed
         """
         self.expire(now)
         if crash.expires <= now:
             return False
-        case = self._cases.get(crash.name)
-        accused = {one.fingerprint: one for one in crash.suspects}
-        if case is not None:
-            gone = [one for one in case.accused if one not in accused]
-            for fingerprint in gone:
+        record = self._records.get(crash.name)
+        suspects = {one.fingerprint: one for one in crash.suspects}
+        if record is not None:
+            removed = [one for one in record.suspects if one not in suspects]
+            for fingerprint in removed:
                 self.clear(crash.name, fingerprint)
-            return bool(gone)
-        case = _Case(crash, accused)
-        self._cases[crash.name] = case
-        for fingerprint in accused:
-            cases = self._accused.setdefault(fingerprint, {})
-            cases[crash.name] = case
-        self._settle(case)
+            return bool(removed)
+        record = _CrashRecord(crash, suspects)
+        self._records[crash.name] = record
+        for fingerprint in suspects:
+            records = self._records_by_request.setdefault(fingerprint, {})
+            records[crash.name] = record
+        self._draw_conclusions(record)
         self._evict()
         return True
 
     def clear(self, name: str, fingerprint: bytes) -> bool:
-        """Accuse a request of a crash no more.
+        """Remove a request from the suspects of a crash.
 
-        :returns: whether it was accused of it
+        :param name: name of the crash
+        :returns: whether it was a suspect
         """
-        case = self._cases.get(name)
-        if case is None or fingerprint not in case.accused:
+        record = self._records.get(name)
+        if record is None or fingerprint not in record.suspects:
             return False
-        del case.accused[fingerprint]
-        self._drop_accusation(name, fingerprint)
-        self._settle(case)
+        del record.suspects[fingerprint]
+        self._drop_suspicion(name, fingerprint)
+        self._draw_conclusions(record)
         return True
 
-    def note_step(
-        self, fingerprint: bytes, place: Place, end: int
+    def record_step(
+        self, fingerprint: bytes, layers: LayerRange, end: int
     ) -> list[str]:
-        """Take note of a step that ran without a crash.
+        """Record a step that ran without a crash.
 
-        :param end: position behind the step
-        :returns: names of the crashes that it is cleared of
+        :param layers: layers of the endpoint that ran the step
+        :param end: position after the last one of the step
+        :returns: names of the crashes of which the request is cleared
         """
-        self._known[fingerprint] = None
-        self._known.move_to_end(fingerprint)
-        if len(self._known) > self._limits.known:
-            self._known.popitem(last=False)
+        self._known_good[fingerprint] = None
+        self._known_good.move_to_end(fingerprint)
+        if len(self._known_good) > self._limits.known_good:
+            self._known_good.popitem(last=False)
         cleared = [
             name
-            for name, case in self._accused.get(fingerprint, {}).items()
-            if case.crash.place.overlaps(place)
-            and case.accused[fingerprint].position < end
+            for name, record in self._records_by_request.get(
+                fingerprint, {}
+            ).items()
+            if record.crash.layers.overlaps(layers)
+            and record.suspects[fingerprint].position < end
         ]
         for name in cleared:
             self.clear(name, fingerprint)
         return cleared
 
-    def _drop_accusation(self, name: str, fingerprint: bytes) -> None:
-        cases = self._accused[fingerprint]
-        del cases[name]
-        if not cases:
-            del self._accused[fingerprint]
-        self._review(fingerprint)
-
-    def _settle(self, case: _Case) -> None:
-        """Draw conclusions from a case that has changed."""
-        self._count_team(case, case.find_team())
-        for fingerprint in list(case.accused):
-            self._review(fingerprint)
-        guilty = [one for one in case.accused if one in self._convicted]
-        if not guilty or len(guilty) == len(case.accused):
+    def _drop_suspicion(self, name: str, fingerprint: bytes) -> None:
+        records = self._records_by_request[fingerprint]
+        del records[name]
+        if not records:
+            del self._records_by_request[fingerprint]
+        self._review_request(fingerprint)
+
+    def _draw_conclusions(self, record: _CrashRecord) -> None:
+        """Update quarantines and suspects after a change of a record."""
+        self._count_team(record, record.find_common_team())
+        for fingerprint in list(record.suspects):
+            self._review_request(fingerprint)
+        culprits = [one for one in record.suspects if one in self._quarantined]
+        if not culprits or len(culprits) == len(record.suspects):
             return
-        # The crash is explained, so its other accused are innocent.
-        for fingerprint in list(case.accused):
-            if fingerprint not in self._convicted:
-                self.clear(case.crash.name, fingerprint)
+        # The quarantined request explains the crash; clear the others.
+        for fingerprint in list(record.suspects):
+            if fingerprint not in self._quarantined:
+                self.clear(record.crash.name, fingerprint)
 
-    def _count_team(self, case: _Case, team: str) -> None:
-        if team == case.team:
+    def _count_team(self, record: _CrashRecord, team: str) -> None:
+        if team == record.team:
             return
-        if case.team:
-            self._teams[case.team] -= 1
-            if not self._teams[case.team]:
-                del self._teams[case.team]
-        case.team = team
+        if record.team:
+            self._teams[record.team] -= 1
+            if not self._teams[record.team]:
+                del self._teams[record.team]
+        record.team = team
         if not team:
             return
         self._teams[team] += 1
@@ -235,101 +244,120 @@
             self._review_team(team)
 
     def _review_team(self, team: str) -> None:
-        for case in list(self._cases.values()):
-            if case.team == team:
-                for fingerprint in list(case.accused):
-                    self._review(fingerprint)
-
-    def _review(self, fingerprint: bytes) -> None:
-        cases = list(self._accused.get(fingerprint, {}).values())
-        if not self._is_guilty(fingerprint, cases):
-            self._convicted.discard(fingerprint)
+        for record in list(self._records.values()):
+            if record.team == team:
+                for fingerprint in list(record.suspects):
+                    self._review_request(fingerprint)
+
+    def _review_request(self, fingerprint: bytes) -> None:
+        records = list(self._records_by_request.get(fingerprint, {}).values())
+        if not self._is_culprit(fingerprint, records):
+            self._quarantined.discard(fingerprint)
             return
-        if fingerprint in self._convicted:
+        if fingerprint in self._quarantined:
             return
-        self._convicted.add(fingerprint)
-        for case in cases:
-            self._settle(case)
-
-    def _is_guilty(self, fingerprint: bytes, cases: list[_Case]) -> bool:
-        if not cases:
+        self._quarantined.add(fingerprint)
+        for record in records:
+            self._draw_conclusions(record)
+
+    def _is_culprit(
+        self, fingerprint: bytes, records: list[_CrashRecord]
+    ) -> bool:
+        if not records:
             return False
-        alone = any(len(case.accused) == 1 for case in cases)
-        endpoints = {case.crash.endpoint for case in cases}
-        if alone and len(endpoints) >= _ENDPOINTS:
+        is_sole_suspect = any(len(record.suspects) == 1 for record in records)
+        endpoints = {record.crash.endpoint for record in records}
+        if is_sole_suspect and len(endpoints) >= _MIN_ENDPOINTS:
             return True
-        if alone and self.is_watched(cases[0].accused[fingerprint].team):
+        if is_sole_suspect and self.is_team_isolated(
+            records[0].suspects[fingerprint].team
+        ):
             return True
-        if len(cases) < _CRASHES:
+        if len(records) < _MIN_CRASHES:
             return False
-        common = set.intersection(*(set(case.accused) for case in cases))
-        return alone or common == {fingerprint}
+        common = set.intersection(
+            *(set(record.suspects) for record in records)
+        )
+        return is_sole_suspect or common == {fingerprint}
 
-    def _forget(self, name: str) -> None:
-        case = self._cases.pop(name)
-        self._count_team(case, '')
-        for fingerprint in list(case.accused):
-            self._drop_accusation(name, fingerprint)
+    def _drop_crash(self, name: str) -> None:
+        record = self._records.pop(name)
+        self._count_team(record, '')
+        for fingerprint in list(record.suspects):
+            self._drop_suspicion(name, fingerprint)
 
     def _evict(self) -> None:
-        total = sum(len(case.accused) for case in self._cases.values())
+        total = sum(len(record.suspects) for record in self._records.values())
         limits = self._limits
-        while len(self._cases) > 1 and (
-            len(self._cases) > limits.crashes or total > limits.suspects
+        while len(self._records) > 1 and (
+            len(self._records) > limits.crashes or total > limits.suspects
         ):
-            oldest = next(iter(self._cases))
-            total -= len(self._cases[oldest].accused)
-            self._forget(oldest)
+            oldest = next(iter(self._records))
+            total -= len(self._records[oldest].suspects)
+            self._drop_crash(oldest)
 
     def expire(self, now: float) -> None:
-        """Forget the crashes whose time has passed."""
+        """Remove the crashes whose time has expired."""
         old = [
             name
-            for name, case in self._cases.items()
-            if case.crash.expires <= now
+            for name, record in self._records.items()
+            if record.crash.expires <= now
         ]
         for name in old:
-            self._forget(name)
+            self._drop_crash(name)
 
-    def is_accused(self, fingerprint: bytes) -> bool:
-        """Tell whether any crash accuses a request."""
-        return fingerprint in self._accused
+    def is_suspected(self, fingerprint: bytes) -> bool:
+        """Return whether a request is a suspect of any crash."""
+        return fingerprint in self._records_by_request
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is to be refused."""
-        return fingerprint in self._convicted
+        """Return whether a request must be refused."""
+        return fingerprint in self._quarantined
 
-    def is_watched(self, team: str) -> bool:
-        """Tell whether a team's unknown requests are to run alone."""
+    def is_team_isolated(self, team: str) -> bool:
+        """Return whether requests of a team run alone until known good."""
         return self._teams[team] >= self._limits.team_crashes
 
-    def runs_alone(self, fingerprint: bytes, team: str, place: Place) -> bool:
-        """Tell whether a request's step must share the endpoint with none."""
-        cases = self._accused.get(fingerprint)
-        if cases is not None and any(
-            case.crash.place.overlaps(place) for case in cases.values()
+    def must_run_alone(
+        self, fingerprint: bytes, team: str, layers: LayerRange
+    ) -> bool:
+        """Return whether a step of a request must not be batched.
+
+        :param layers: layers of the endpoint that is to run the step
+        """
+        records = self._records_by_request.get(fingerprint)
+        if records is not None and any(
+            record.crash.layers.overlaps(layers) for record in records.values()
         ):
             return True
-        return self.is_watched(team) and fingerprint not in self._known
+        return (
+            self.is_team_isolated(team) and fingerprint not in self._known_good
+        )
 
     def list_crashes(self) -> Iterator[Crash]:
-        """Yield the crashes with those who are still accused."""
-        for case in self._cases.values():
-            suspects = tuple(case.accused.values())
-            yield attrs.evolve(case.crash, suspects=suspects)
+        """Yield the recorded crashes with their remaining suspects."""
+        for record in self._records.values():
+            suspects = tuple(record.suspects.values())
+            yield attrs.evolve(record.crash, suspects=suspects)
 
     def list_quarantines(self, now: float) -> Iterable[Quarantine]:
-        """Return the requests that are refused now."""
+        """Return the current quarantines.
+
+        :param now: monotonic time in seconds
+        """
         found = []
-        for fingerprint in sorted(self._convicted):
-            cases = list(self._accused[fingerprint].values())
-            ends = sorted(case.crash.expires for case in cases)
-            # The last crash by itself convicts only a watched team's.
+        for fingerprint in sorted(self._quarantined):
+            records = list(self._records_by_request[fingerprint].values())
+            ends = sorted(record.crash.expires for record in records)
+            # One crash is enough only for an isolated team, so the quarantine
+            # ends when the last crash but one expires.
             end = ends[-min(2, len(ends))]
-            team = cases[0].accused[fingerprint].team
-            found.append(Quarantine(fingerprint, team, len(cases), end - now))
+            team = records[0].suspects[fingerprint].team
+            found.append(
+                Quarantine(fingerprint, team, len(records), end - now)
+            )
         return found
 
-    def list_watched(self) -> list[str]:
-        """Return the teams whose unknown requests run alone."""
-        return sorted(filter(self.is_watched, self._teams))
+    def list_isolated_teams(self) -> list[str]:
+        """Return the names of the isolated teams, sorted."""
+        return sorted(filter(self.is_team_isolated, self._teams))
--- a/packages/core/src/dunlintide_core/queueing.py
+++ b/packages/core/src/dunlintide_core/queueing.py
@@ -1,8 +1,8 @@
-"""Fair queue between the teams that share an endpoint.
+"""Fair queue for the teams that share an endpoint.
 
-Deficit round robin by cost in its surplus form, one ring of lanes for each
-priority. Lower priorities get a bounded share of the picks once their
-oldest request has waited, so none starves.
+The queue uses surplus round robin, a form of deficit round robin, by cost
+and with one ring of flows for each priority. A fixed share of the picks is
+decided by age and priority together, so that no priority starves.
 """
 
 import collections
@@ -17,7 +17,7 @@
     'Limits',
     'Queue',
     'Ticket',
-    'weigh',
+    'compute_cost',
 ]
 
 PRIORITIES = 4
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Costs:
-    """Cost of a token by kind; a decoded one takes a step of its own."""
+    """Cost of a token by kind; decoding takes one step per token."""
 
     prefill: float = 1.0
     decode: float = 4.0
@@ -35,14 +35,14 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds and constants of a queue.
-
-    :ivar per_team: waiting requests of one team
-    :ivar total: waiting requests of all teams
-    :ivar quantum: cost that a round grants a team of weight 1
-    :ivar max_cost: more than this counts as this
-    :ivar ageing: seconds of waiting worth one priority
-    :ivar aged_every: each so manieth pick goes by age
+    """Limits and parameters of a queue.
+
+    :ivar per_team: maximum number of waiting requests of one team
+    :ivar total: maximum number of waiting requests of all teams
+    :ivar quantum: cost that a team of weight 1 is credited per round
+    :ivar max_cost: upper bound of the cost of a request
+    :ivar ageing_seconds: waiting time that outweighs one priority
+    :ivar age_pick_interval: one of this many picks considers the age
     :ivar fair: False for first come, first served over all teams
     """
 
@@ -50,172 +50,180 @@
     total: int = 4096
     quantum: float = 64.0
     max_cost: float = 65536.0
-    ageing: float = 2.0
-    aged_every: int = 8
+    ageing_seconds: float = 2.0
+    age_pick_interval: int = 8
     fair: bool = True
 
 
 @attrs.define(eq=False)
 class Ticket:
-    """One waiting request.
-
-    :ivar since: time at which it was queued, in seconds
-    :ivar item: what the caller wants back
+    """One request in a queue.
+
+    :ivar weight: weight of the team
+    :ivar priority: 0 is the highest
+    :ivar cost: estimated cost, see ``compute_cost``
+    :ivar queued_at: time at which it was queued, in seconds
+    :ivar item: data of the caller
+    :ivar waiting: whether it is still in the queue
     """
 
     team: str
     weight: float
     priority: int
     cost: float
-    since: float
+    queued_at: float
     item: Any
     waiting: bool = True
 
 
-def weigh(
+def compute_cost(
     prompt_tokens: int, max_tokens: int, costs: Costs = Costs()
 ) -> float:
-    """Return the cost of a completion."""
+    """Compute the cost of a completion from its numbers of tokens."""
     return prompt_tokens * costs.prefill + max_tokens * costs.decode
 
 
 @attrs.define(eq=False)
-class _Lane:
+class _Flow:
     """Requests of one team at one priority.
 
-    :ivar account: cost that it may still spend; below 0 it has had more
-        than its share and waits until rounds have paid for it
+    :ivar credit: cost that the flow may still spend; a negative credit is
+        a debt, which further rounds must pay off before its next request
     """
 
     weight: float
-    account: float
+    credit: float
     tickets: collections.deque = attrs.field(factory=collections.deque)
 
 
-_Lanes = collections.OrderedDict[str, _Lane]
+_Flows = collections.OrderedDict[str, _Flow]
 
 
 class _Level:
-    """Lanes of one priority: a ring for turns, a line for age.
+    """Flows of one priority, in a ring for their turns and by age.
 
-    A lane with something to spend may go below 0 once. One that comes
-    without a debt goes before the ring, so that a team below its share
-    waits for no round of the others. An empty lane stays until its debt
-    is paid, so nobody gains by coming and going.
+    A flow with positive credit may start a request that costs more, which
+    leaves it with a debt. New flows, which have no debt, precede the ring,
+    so that a team below its share does not wait for a round of the others.
+    An empty flow stays until its debt is paid, so that a team cannot shed
+    it by pausing.
     """
 
     def __init__(self, quantum: float) -> None:
         self._quantum = quantum
-        self._fresh: _Lanes = collections.OrderedDict()
-        self._ring: _Lanes = collections.OrderedDict()
-        self._line: collections.deque[Ticket] = collections.deque()
+        self._new_flows: _Flows = collections.OrderedDict()
+        self._ring: _Flows = collections.OrderedDict()
+        self._by_age: collections.deque[Ticket] = collections.deque()
 
-    def list_lanes(self) -> list[str]:
-        """Return the teams that something is known of."""
-        return [*self._fresh, *self._ring]
+    def list_teams(self) -> list[str]:
+        """Return the teams that have a flow."""
+        return [*self._new_flows, *self._ring]
 
-    def _find(self, team: str) -> _Lane | None:
-        return self._fresh.get(team) or self._ring.get(team)
+    def _find(self, team: str) -> _Flow | None:
+        return self._new_flows.get(team) or self._ring.get(team)
 
     def push(self, ticket: Ticket) -> None:
         """Add a waiting request."""
         team = ticket.team
-        lane = self._find(team)
-        if lane is None:
-            account = self._quantum * ticket.weight
-            lane = self._fresh[team] = _Lane(ticket.weight, account)
-        elif not lane.tickets and lane.account > 0 and team in self._ring:
-            self._fresh[team] = self._ring.pop(team)
-        lane.weight = ticket.weight
-        lane.tickets.append(ticket)
-        self._line.append(ticket)
+        flow = self._find(team)
+        if flow is None:
+            credit = self._quantum * ticket.weight
+            flow = self._new_flows[team] = _Flow(ticket.weight, credit)
+        elif not flow.tickets and flow.credit > 0 and team in self._ring:
+            self._new_flows[team] = self._ring.pop(team)
+        flow.weight = ticket.weight
+        flow.tickets.append(ticket)
+        self._by_age.append(ticket)
 
     def find_oldest(self) -> Ticket | None:
-        """Return the request that has waited longest."""
-        line = self._line
-        while line and not line[0].waiting:
-            line.popleft()
-        if not line:
-            # Nobody is left whose share a debt would have cost.
-            self._fresh.clear()
+        """Return the request that has waited longest, None if none waits."""
+        by_age = self._by_age
+        while by_age and not by_age[0].waiting:
+            by_age.popleft()
+        if not by_age:
+            # Without waiting requests, debts are at the expense of no one.
+            self._new_flows.clear()
             self._ring.clear()
-        return line[0] if line else None
+        return by_age[0] if by_age else None
 
-    def _has_turn(self, lane: _Lane) -> bool:
-        while lane.tickets and not lane.tickets[0].waiting:
-            lane.tickets.popleft()
-        return bool(lane.tickets) and lane.account > 0
+    def _is_ready(self, flow: _Flow) -> bool:
+        while flow.tickets and not flow.tickets[0].waiting:
+            flow.tickets.popleft()
+        return bool(flow.tickets) and flow.credit > 0
 
     def _skip_rounds(self) -> None:
-        """Grant at once the rounds in which nobody could go."""
-        owed = (
-            -lane.account / (self._quantum * lane.weight)
-            for lane in self._ring.values()
-            if lane.tickets
+        """Credit the rounds in which no flow could start a request."""
+        debts = (
+            -flow.credit / (self._quantum * flow.weight)
+            for flow in self._ring.values()
+            if flow.tickets
         )
-        # Below 0 for a lane that may go in the round to come.
-        rounds = max(0, int(min(owed, default=0.0)))
-        for lane in self._ring.values():
-            lane.account += rounds * self._quantum * lane.weight
+        # Negative for a flow that can start in the next round.
+        rounds = max(0, int(min(debts, default=0.0)))
+        for flow in self._ring.values():
+            flow.credit += rounds * self._quantum * flow.weight
 
-    def turn(self) -> Ticket | None:
-        """Return the request whose turn it is, without taking it.
+    def find_next(self) -> Ticket | None:
+        """Return the next request without removing it.
 
-        A request must be waiting.
+        At least one request must be waiting.
         """
-        while self._fresh:
-            team, lane = next(iter(self._fresh.items()))
-            if self._has_turn(lane):
-                return lane.tickets[0]
-            self._ring[team] = self._fresh.pop(team)
-        passed = 0
+        while self._new_flows:
+            team, flow = next(iter(self._new_flows.items()))
+            if self._is_ready(flow):
+                return flow.tickets[0]
+            self._ring[team] = self._new_flows.pop(team)
+        skipped = 0
         while self._ring:
-            team, lane = next(iter(self._ring.items()))
-            if self._has_turn(lane):
-                return lane.tickets[0]
-            lane.account += self._quantum * lane.weight
-            if not lane.tickets and lane.account > 0:
+            team, flow = next(iter(self._ring.items()))
+            if self._is_ready(flow):
+                return flow.tickets[0]
+            flow.credit += self._quantum * flow.weight
+            if not flow.tickets and flow.credit > 0:
                 del self._ring[team]
                 continue
             self._ring.move_to_end(team)
-            passed += 1
-            if passed >= len(self._ring):
+            skipped += 1
+            if skipped >= len(self._ring):
                 self._skip_rounds()
-                passed = 0
+                skipped = 0
         return None
 
-    def find(self, may: Callable[[str], bool]) -> Ticket | None:
-        """Return the first request of a team that may start one."""
-        for lanes in (self._fresh, self._ring):
-            for team, lane in lanes.items():
-                self._has_turn(lane)
-                if lane.tickets and may(team):
-                    return lane.tickets[0]
+    def find(self, is_allowed: Callable[[str], bool]) -> Ticket | None:
+        """Return the first request of a team that is allowed to start."""
+        for flows in (self._new_flows, self._ring):
+            for team, flow in flows.items():
+                self._is_ready(flow)
+                if flow.tickets and is_allowed(team):
+                    return flow.tickets[0]
         return None
 
     def take(self, ticket: Ticket) -> None:
-        """Take what ``turn`` or ``find`` returned."""
-        lane = self._find(ticket.team)
-        lane.tickets.popleft()
-        lane.account -= ticket.cost
-
-    def owes(self, team: str) -> float:
-        """Return the rounds that it takes to pay a team's debt."""
-        lane = self._find(team)
-        if lane is None:
+        """Remove a request that ``find_next`` or ``find`` returned."""
+        flow = self._find(ticket.team)
+        flow.tickets.popleft()
+        flow.credit -= ticket.cost
+
+    def count_debt_rounds(self, team: str) -> float:
+        """Return the number of rounds that pay off the debt of a team."""
+        flow = self._find(team)
+        if flow is None:
             return 0.0
-        return max(0.0, -lane.account / (self._quantum * lane.weight))
+        return max(0.0, -flow.credit / (self._quantum * flow.weight))
 
-    def correct(self, team: str, cost: float, most: float) -> None:
-        """Charge a lane for what a request cost beyond its estimate."""
-        lane = self._find(team)
-        if lane is not None:
-            account = lane.account - cost
-            lane.account = min(max(account, -most), most)
+    def adjust_cost(self, team: str, cost: float, max_cost: float) -> None:
+        """Charge the difference between actual and estimated cost."""
+        flow = self._find(team)
+        if flow is not None:
+            credit = flow.credit - cost
+            flow.credit = min(max(credit, -max_cost), max_cost)
 
 
 class Queue:
-    """Requests that wait for their turn at an endpoint."""
+    """Requests that wait for an endpoint.
+
+    :ivar cost: total cost of the waiting requests
+    """
 
     def __init__(self, limits: Limits = Limits()) -> None:
         self._limits = limits
@@ -238,20 +246,21 @@
     def estimate_wait(
         self, team: str, weight: float, cost: float, rate: float
     ) -> float:
-        """Estimate the wait of a further request, in seconds.
+        """Estimate how long another request would wait, in seconds.
 
-        A team waits for its own queue at its share of the rate, and
-        never longer than for the whole queue at the full rate.
+        A team waits for its own requests at its share of the rate, but no
+        longer than for all requests at the full rate.
 
-        :param rate: cost that the endpoint finishes a second, 0 unknown
+        :param rate: cost that the endpoint finishes per second, 0 if
+            unknown
         """
         if rate <= 0:
             return 0.0
         weights = self._weight_sum
         if team not in self._weights:
             weights += weight
-        own = (self._costs[team] if team in self._costs else 0.0) + cost
-        return min(own * weights / weight, self.cost + cost) / rate
+        own_cost = (self._costs[team] if team in self._costs else 0.0) + cost
+        return min(own_cost * weights / weight, self.cost + cost) / rate
 
     def push(
         self,
@@ -259,10 +268,12 @@
         deadline: float,
         rate: float,
     ) -> outcomes.Refusal | None:
-        """Queue a request, or refuse it at once with the reason.
+        """Queue a request or refuse it.
 
-        :param deadline: seconds that the request has left
-        :param rate: cost that the endpoint finishes a second, 0 unknown
+        :param deadline: time until the deadline of the request in seconds
+        :param rate: cost that the endpoint finishes per second, 0 if
+            unknown
+        :returns: the refusal, None if the request was queued
         """
         ticket.weight = min(max(ticket.weight, MIN_WEIGHT), MAX_WEIGHT)
         ticket.cost = min(max(ticket.cost, 1.0), self._limits.max_cost)
@@ -272,12 +283,12 @@
         wait = self.estimate_wait(
             ticket.team, ticket.weight, ticket.cost, rate
         )
-        full = (
+        is_full = (
             self._counts.get(ticket.team, 0) >= self._limits.per_team
             and self._limits.fair
             or len(self) >= self._limits.total
         )
-        if full:
+        if is_full:
             return outcomes.refuse(
                 outcomes.FailCode.QUEUE_FULL,
                 'too many requests wait at the endpoint',
@@ -299,7 +310,7 @@
         self.cost += ticket.cost
         return None
 
-    def _forget(self, ticket: Ticket) -> None:
+    def _remove(self, ticket: Ticket) -> None:
         ticket.waiting = False
         self._size -= 1
         self.cost -= ticket.cost
@@ -310,49 +321,55 @@
             del self._costs[ticket.team]
             self._weight_sum -= self._weights.pop(ticket.team)
         if not self._size:
-            # Rounding must not build up.
+            # Discard accumulated rounding errors.
             self.cost = self._weight_sum = 0.0
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a waiting request out; False when it no longer waits."""
+        """Remove a waiting request.
+
+        :returns: False if it was not waiting any more
+        """
         if not ticket.waiting:
             return False
-        self._forget(ticket)
+        self._remove(ticket)
         return True
 
-    def correct(self, ticket: Ticket, cost: float) -> None:
-        """Charge what a request really cost in place of its estimate.
+    def adjust_cost(self, ticket: Ticket, cost: float) -> None:
+        """Replace the estimated cost of a picked request by the actual one.
 
-        :param ticket: as it was picked
-        :param cost: what it really cost
+        :param ticket: the picked request
+        :param cost: actual cost
         """
         level = self._levels[ticket.priority]
-        most = self._limits.max_cost
-        level.correct(ticket.team, cost - ticket.cost, most)
+        max_cost = self._limits.max_cost
+        level.adjust_cost(ticket.team, cost - ticket.cost, max_cost)
 
-    def owes(self, team: str) -> float:
-        """Return the rounds by which a team is ahead of its share."""
-        return max(level.owes(team) for level in self._levels)
+    def count_debt_rounds(self, team: str) -> float:
+        """Return how many rounds a team is ahead of its share."""
+        return max(level.count_debt_rounds(team) for level in self._levels)
 
     def _choose(self, now: float) -> _Level | None:
-        aged = self._picks % self._limits.aged_every == 0
+        is_age_pick = self._picks % self._limits.age_pick_interval == 0
         best, best_rank = None, float('inf')
         for priority, level in enumerate(self._levels):
             oldest = level.find_oldest()
             if oldest is None:
                 continue
-            if not aged:
+            if not is_age_pick:
                 return level
-            rank = priority - (now - oldest.since) / self._limits.ageing
+            rank = (
+                priority
+                - (now - oldest.queued_at) / self._limits.ageing_seconds
+            )
             if rank < best_rank:
                 best, best_rank = level, rank
         return best
 
-    def _find_other(
-        self, level: _Level, may: Callable[[str], bool]
+    def _find_allowed(
+        self, level: _Level, is_allowed: Callable[[str], bool]
     ) -> tuple[_Level, Ticket] | None:
         for one in (level, *self._levels):
-            ticket = one.find(may)
+            ticket = one.find(is_allowed)
             if ticket is not None:
                 return one, ticket
         return None
@@ -361,26 +378,31 @@
         self,
         now: float,
         admits: Callable[[Ticket], bool],
-        may: Callable[[str], bool] = lambda team: True,
+        is_allowed: Callable[[str], bool] = lambda team: True,
     ) -> Ticket | None:
-        """Take the request whose turn it is, if it may start now.
+        """Remove and return the next request, if it may start now.
 
-        One that may not start keeps its turn, so a large request is not
-        passed by small ones for ever.
+        A request that the cap does not admit keeps its turn, so that small
+        requests do not overtake a large one forever.
 
         :param now: monotonic time in seconds
-        :param admits: whether the in-flight cap lets a request start
-        :param may: whether a team may start one; others pass it by
+        :param admits: returns whether the concurrency cap admits a request
+        :param is_allowed: returns whether a team may start a request; the
+            teams for which it is false are skipped
+        :returns: None if no request may start
         """
         level = self._choose(now)
         if level is None:
             return None
-        ticket = level.turn()
-        if ticket is not None and not may(ticket.team):
-            level, ticket = self._find_other(level, may) or (level, None)
+        ticket = level.find_next()
+        if ticket is not None and not is_allowed(ticket.team):
+            level, ticket = self._find_allowed(level, is_allowed) or (
+                level,
+                None,
+            )
         if ticket is None or not admits(ticket):
             return None
         self._picks += 1
         level.take(ticket)
-        self._forget(ticket)
+        self._remove(ticket)
         return ticket
--- a/packages/daemon/src/dunlintide_daemon/entry/shares.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/shares.py
@@ -10,8 +10,8 @@
 
 from dunlintide_adapters import links
 from dunlintide_adapters.wire import link_pb2
+from dunlintide_core import coordination
 from dunlintide_core import hashing
-from dunlintide_core import lending
 from dunlintide_core import limits
 from dunlintide_daemon.entry import entrylinks
 
@@ -85,7 +85,7 @@
         self._before_change = before_change
         self._after_change = after_change
         self._leases = [limits.Lease() for _ in shards]
-        self._coordinators = [lending.Coordinator() for _ in shards]
+        self._coordinators = [coordination.Coordinator() for _ in shards]
         self._requested_keys: list[dict[int, tuple[limits.Key, ...]]] = [
             {} for _ in shards
         ]
@@ -99,11 +99,11 @@
         :param limit: limit of requests in flight, 0 for none
         """
         lease = self._leases[find_shard(key)]
-        return lease.find(key, fraction, limit, self._clock())
+        return lease.find_grant(key, fraction, limit, self._clock())
 
     def has_grant(self, key: limits.Key) -> bool:
         """Tell whether a grant for a key is in force."""
-        return self._leases[find_shard(key)].covers(key, self._clock())
+        return self._leases[find_shard(key)].has_grant(key, self._clock())
 
     def request_grants(
         self, shard: int, needs: Needs, peers: entrylinks.EntryLinks
@@ -122,7 +122,7 @@
             now = self._clock()
             if not lease.choose(chosen, now):
                 return
-            if not needs and lease.is_quiet(now):
+            if not needs and lease.can_defer_demand(now):
                 return
             sequence = lease.send(now)
             self._requested_keys[shard][sequence] = tuple(needs)
@@ -224,7 +224,7 @@
             return [
                 {
                     'coordinator': lease.coordinator,
-                    'leased': lease.tell_live(now),
+                    'leased': lease.is_live(now),
                     **coordinator.describe(),
                 }
                 for lease, coordinator in zip(self._leases, self._coordinators)
