--- a/features/placement.feature
+++ b/features/placement.feature
@@ -47,10 +47,10 @@
     Examples:
       | domains | witnesses          | standing |
       | 3       | nobody             | present  |
-      | 3       | a of A             | doubted  |
-      | 3       | a of A, b of A     | doubted  |
+      | 3       | a of A             | suspect  |
+      | 3       | a of A, b of A     | suspect  |
       | 3       | a of A, b of B     | gone     |
-      | 1       | a of A             | doubted  |
+      | 1       | a of A             | suspect  |
       | 1       | a of A, b of A     | gone     |
 
   Scenario: Without spares the least busy member of the largest range moves
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -132,13 +132,13 @@
         net.run(30)
         revision = net.publish(_write_document(99))
         done = net.run_until(lambda: _all_have(net, revision), 60)
-        assert done, [h.replica.spread.revision for h in net.up()]
+        assert done, [h.replica.configuration.revision for h in net.up()]
 
     check()
 
 
 def _all_have(net, revision):
-    return all(h.replica.spread.revision == revision for h in net.up())
+    return all(h.replica.configuration.revision == revision for h in net.up())
 
 
 @behave.given('a fleet of {count:d} processes in {domains:d} failure domains')
@@ -167,14 +167,16 @@
     context.new = context.net.restart(host)
     # The store answers the new process before any peer does.
     context.net._read(context.new)
-    assert context.new.replica.why_not_ready()
+    assert context.new.replica.explain_unready()
 
 
 @behave.then('it becomes ready with revision {revision:d}')
 def check_ready(context, revision):
     replica = context.new.replica
-    assert context.net.run_until(lambda: not replica.why_not_ready(), 30)
-    assert replica.spread.revision == revision, replica.spread.revision
+    assert context.net.run_until(lambda: not replica.explain_unready(), 30)
+    assert (
+        replica.configuration.revision == revision
+    ), replica.configuration.revision
 
 
 @behave.then('the watchers report that the store is behind')
@@ -182,7 +184,7 @@
     context.net.run(network.READ_SECONDS + 5)
     watching = [h for h in context.net.up() if h.watching]
     assert watching
-    assert all(h.replica.spread.store_behind for h in watching)
+    assert all(h.replica.configuration.store_behind for h in watching)
 
 
 @behave.then('the next change becomes revision {revision:d} everywhere')
@@ -204,7 +206,7 @@
     host = context.net.add(peer, [context.new.peer.address])
     host.cut = 7
     context.net.run(30)
-    assert 'no configuration' in host.replica.why_not_ready()
+    assert 'no configuration' in host.replica.explain_unready()
 
 
 def _find_three(context):
@@ -217,23 +219,25 @@
     subject, witness, _ = _find_three(context)
     view = witness.replica.members
     context.start = context.net.now
-    view.accuse(context.start, subject.peer.name, witness.peer.failure_domain)
+    view.report_unreachable(
+        context.start, subject.peer.name, witness.peer.failure_domain
+    )
     assert view.get(subject.peer.name).state is records.State.SUSPECT
-    assert view.settle(context.start + 1e6) == []
+    assert view.expire_suspects(context.start + 1e6) == []
 
 
 @behave.then('two witnesses have it declared dead after a while')
 def check_two_witnesses(context):
     subject, witness, other = _find_three(context)
     name = subject.peer.name
-    other.replica.members.accuse(
+    other.replica.members.report_unreachable(
         context.start, name, other.peer.failure_domain
     )
     view = witness.replica.members
     view.merge(context.start, other.replica.members.get(name))
     timing = suspicion.Timing()
-    assert view.settle(context.start + timing.suspect / 2) == []
-    assert view.settle(context.start + timing.suspect) == [name]
+    assert view.expire_suspects(context.start + timing.suspect / 2) == []
+    assert view.expire_suspects(context.start + timing.suspect) == [name]
 
 
 @behave.then('a process that was suspected in error clears itself')
@@ -242,7 +246,7 @@
     view = witness.replica.members
     name = subject.peer.name
     subject.replica.members.merge(context.net.now, view.get(name))
-    view.merge(context.net.now, subject.replica.members.me)
+    view.merge(context.net.now, subject.replica.members.own_record)
     assert view.get(name).state is records.State.ALIVE
 
 
@@ -286,7 +290,7 @@
 
 def _agree(net):
     views = [host.replica.members for host in net.up()]
-    alive = all(len(view.usable()) == len(net.up()) for view in views)
+    alive = all(len(view.list_usable()) == len(net.up()) for view in views)
     return alive and len({view.hash for view in views}) == 1
 
 
@@ -310,7 +314,7 @@
     for host in net.hosts.values():
         host.cut = int(host.peer.failure_domain == 'domain-1')
     net.run(60)
-    context.subject.replica.members.depart(net.now)
+    context.subject.replica.members.announce_leaving(net.now)
     net.run(5)
     context.subject.up = False
     for host in net.hosts.values():
@@ -405,5 +409,5 @@
 )
 def check_never_lower(context, revision):
     for host in context.net.hosts.values():
-        assert host.replica.spread.revision == revision, host.peer.name
+        assert host.replica.configuration.revision == revision, host.peer.name
         assert host.lowered == 0, host.peer.name
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -6,9 +6,9 @@
 import behave
 from dunlintide_core import coverage
 from dunlintide_core import leadership
+from dunlintide_core import liveness
 from dunlintide_core import placement
 from dunlintide_core import records
-from dunlintide_core import standing
 import hypothesis
 from hypothesis import strategies
 
@@ -41,7 +41,7 @@
         context.step += 1
         engines = context.engines.values()
         now = context.step / STEPS_PER_SECOND
-        orders += context.placer.decide(now, engines)
+        orders += context.placer.make_orders(now, engines)
     return orders
 
 
@@ -51,14 +51,14 @@
 
 def carry_out(context, order):
     engine = context.engines[order.agent]
-    assert engine.holding.equals(order.held)
+    assert engine.holding.equals(order.expected)
     context.engines[order.agent] = attrs.evolve(engine, holding=order.holding)
 
 
 @behave.given('a model of 24 layers in ranges of 8, each held twice')
 def make_model(context):
     context.engines, context.step = {}, 0
-    settings = placement.PlacerSettings(patience=5.0, max_orders=2)
+    settings = placement.PlacerSettings(shortage_delay=5.0, max_orders=2)
     context.placer = placement.Placer(TARGET, settings)
     for start, replica in itertools.product((0, 8, 16), (0, 1)):
         add_engine(context, f'{start}-{replica}', hold(start, start + 8))
@@ -95,8 +95,8 @@
 
 def doubt(context, engines):
     for engine in engines:
-        doubted = attrs.evolve(engine, doubted=True)
-        context.engines[engine.agent] = doubted
+        suspected = attrs.evolve(engine, suspected=True)
+        context.engines[engine.agent] = suspected
 
 
 @behave.when(
@@ -124,8 +124,8 @@
     missed = {}
     if witnesses != 'nobody':
         missed = dict(one.split(' of ') for one in witnesses.split(', '))
-    needed = standing.count_needed_domains('ABC'[:domains])
-    judged = standing.judge(records.State.ALIVE, missed, needed)
+    needed = liveness.count_needed_domains('ABC'[:domains])
+    judged = liveness.assess(records.State.ALIVE, missed, needed)
     assert judged.name.lower() == held, judged
 
 
@@ -138,7 +138,7 @@
 @behave.given('a leader with a patience of {seconds:f} s that has just begun')
 def begin_leader(context, seconds):
     context.step = 100 * STEPS_PER_SECOND
-    settings = placement.PlacerSettings(patience=seconds, max_orders=2)
+    settings = placement.PlacerSettings(shortage_delay=seconds, max_orders=2)
     context.placer = placement.Placer(TARGET, settings)
 
 
@@ -170,7 +170,7 @@
     (order,) = decide(context, at)
     assert order.holding == hold(start, end)
     assert order.layer_count == TARGET.layers
-    assert context.engines[order.agent].work == work
+    assert context.engines[order.agent].request_count == work
     carry_out(context, order)
 
 
@@ -180,9 +180,9 @@
 )
 def check_move(context, at, start, end, to_start, to_end):
     (order,) = decide(context, at)
-    assert order.held == hold(start, end)
+    assert order.expected == hold(start, end)
     assert order.holding == hold(to_start, to_end)
-    assert context.engines[order.agent].work == 0
+    assert context.engines[order.agent].request_count == 0
     carry_out(context, order)
 
 
@@ -227,9 +227,9 @@
     ' {m:d} does not'
 )
 def check_sight(context, a, n, b, m):
-    assert placement.sees_enough(a, n)
-    assert not placement.sees_enough(b, m)
-    assert not placement.sees_enough(0, 0)
+    assert placement.has_sufficient_view(a, n)
+    assert not placement.has_sufficient_view(b, m)
+    assert not placement.has_sufficient_view(0, 0)
 
 
 @behave.then(
--- a/features/steps/revisions.py
+++ b/features/steps/revisions.py
@@ -70,9 +70,9 @@
 def check_new_head(context):
     assert context.after.revision == context.head.revision + 1
     assert context.after.parent == context.head.revision
-    assert revisions.holds_change(context.after, 'first')
-    assert revisions.holds_change(context.after, 'second')
-    assert not revisions.holds_change(context.head, 'second')
+    assert revisions.has_change(context.after, 'first')
+    assert revisions.has_change(context.after, 'second')
+    assert not revisions.has_change(context.head, 'second')
 
 
 @behave.then(
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -101,9 +101,9 @@
         if not checker.covers(wide, narrow):
             return
         for query in queries:
-            if matching.find_miss(narrow, query) is None:
+            if matching.find_mismatch(narrow, query) is None:
                 covered += 1
-                assert matching.find_miss(wide, query) is None
+                assert matching.find_mismatch(wide, query) is None
 
     check()
     assert covered > 20, covered
--- a/features/steps/subset.py
+++ b/features/steps/subset.py
@@ -107,7 +107,7 @@
     def list_present(seen):
         if seen == context.view.changes:
             return None
-        return context.view.changes, context.view.present()
+        return context.view.changes, context.view.list_present()
 
     context.leaving = set()
     context.now = context.later = 0.0
@@ -218,16 +218,18 @@
     engine = _make_peer(fleet.Role.AGENT, 1, 'h:1')
     context.engine = membership.View(engine)
     context.view = membership.View(_make_peer(fleet.Role.ENTRY, 2, 'h:2'))
-    context.view.merge(0.0, context.engine.me)
+    context.view.merge(0.0, context.engine.own_record)
 
 
 @behave.when(
     'a suspicion of the engine comes in short after it took other layers'
 )
 def change_layers(context):
-    endpoint = attrs.evolve(context.engine.me.peer.endpoint, layer_start=4)
+    endpoint = attrs.evolve(
+        context.engine.own_record.peer.endpoint, layer_start=4
+    )
     context.engine.update_endpoint(1.0, endpoint)
-    record = attrs.evolve(context.engine.me, witnesses=('agent-7',))
+    record = attrs.evolve(context.engine.own_record, witnesses=('agent-7',))
     context.news = context.view.merge(2.0, records.shorten(record))
 
 
@@ -236,7 +238,7 @@
     assert not context.news
     held = context.view.get('agent-1')
     assert held.version == 0 and held.peer.endpoint.layer_start == 0, held
-    assert context.view.merge(3.0, context.engine.me)
+    assert context.view.merge(3.0, context.engine.own_record)
     held = context.view.get('agent-1')
     assert held.peer.endpoint.layer_start == 4, held
 
@@ -277,7 +279,7 @@
 
 def _count_doubted(context):
     engines = _look(context).engines
-    return len(engines), sum(one.doubted for one in engines)
+    return len(engines), sum(one.suspected for one in engines)
 
 
 @behave.then('it sees 12 engines for placement, none in doubt, over 4 links')
@@ -360,10 +362,10 @@
     _wait_for(lambda: _list_linked(context) == context.roster.wanted)
     name = min(context.agents.keys() - context.roster.wanted)
     agent = membership.View(context.agents[name])
-    endpoint = attrs.evolve(agent.me.peer.endpoint, away=True)
+    endpoint = attrs.evolve(agent.own_record.peer.endpoint, away=True)
     agent.update_endpoint(1.0, endpoint)
-    message = peercodec.encode_peer(agent.me.peer)
-    told = attrs.evolve(agent.me, peer=peercodec.decode_peer(message))
+    message = peercodec.encode_peer(agent.own_record.peer)
+    told = attrs.evolve(agent.own_record, peer=peercodec.decode_peer(message))
     assert context.view.merge(2.0, told)
     _take(context)
 
--- a/features/steps/tls.py
+++ b/features/steps/tls.py
@@ -20,12 +20,12 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_adapters.wire import link_pb2_grpc
 from dunlintide_core import claims
+from dunlintide_core import configreplica
 from dunlintide_core import exchanges
 from dunlintide_core import fleet
 from dunlintide_core import identities
 from dunlintide_core import records
 from dunlintide_core import settingsfile
-from dunlintide_core import spread
 from dunlintide_trials import authority
 import result
 import waiting
@@ -80,7 +80,9 @@
 
     def answer(self, request, limit):
         self.exchanges.append(request.sender.peer.name)
-        return exchanges.Reply(make_record(self.name), spread.Offer(0, ''))
+        return exchanges.Reply(
+            make_record(self.name), configreplica.Offer(0, '')
+        )
 
     def submit(self, wanted, timeout):
         self.claims.append(wanted)
@@ -319,7 +321,9 @@
     context.replies = [
         client.exchange(
             context.address,
-            exchanges.Request(told, spread.Offer(0, ''), 0, members_hash=0),
+            exchanges.Request(
+                told, configreplica.Offer(0, ''), 0, members_hash=0
+            ),
         )
         for told in (
             make_record(own),
--- a/packages/adapters/src/dunlintide_adapters/configstore.py
+++ b/packages/adapters/src/dunlintide_adapters/configstore.py
@@ -315,7 +315,7 @@
         if read.is_err():
             return read
         state = read.ok_value
-        if state.head and revisions.holds_change(state.head, change_id):
+        if state.head and revisions.has_change(state.head, change_id):
             return result.Ok(state.head)
         if state.revision != base_revision:
             current = self.read()
--- a/packages/adapters/src/dunlintide_adapters/configwatch.py
+++ b/packages/adapters/src/dunlintide_adapters/configwatch.py
@@ -51,7 +51,7 @@
         return held if head.revision < held.head.revision else None
     if head.revision > held.head.revision:
         return None
-    if revisions.holds_change(held.head, head.change_id):
+    if revisions.has_change(held.head, head.change_id):
         return held
     lifted = attrs.evolve(head, revision=held.head.revision + 1)
     return attrs.evolve(found, head=lifted)
--- a/packages/adapters/src/dunlintide_adapters/guards.py
+++ b/packages/adapters/src/dunlintide_adapters/guards.py
@@ -73,7 +73,7 @@
         if fault:
             self._refusals.add('identity', f'a link: {fault}')
             return fault
-        self._permitted = identities.list_permitted(role, receiver)
+        self._permitted = identities.list_permitted_bodies(role, receiver)
         return ''
 
     def permits(self, body: str | None) -> bool:
--- a/packages/adapters/src/dunlintide_adapters/peercodec.py
+++ b/packages/adapters/src/dunlintide_adapters/peercodec.py
@@ -1,10 +1,10 @@
 """Messages of anti-entropy to and from their wire form."""
 
 from dunlintide_adapters.wire import link_pb2
+from dunlintide_core import configreplica
 from dunlintide_core import exchanges
 from dunlintide_core import fleet
 from dunlintide_core import records
-from dunlintide_core import spread
 
 __all__ = [
     'decode_endpoint',
@@ -163,7 +163,7 @@
     """
     return exchanges.Request(
         sender=records.Record(decode_peer(message.sender), message.version),
-        offer=spread.Offer(message.revision, message.head_digest.hex()),
+        offer=configreplica.Offer(message.revision, message.head_digest.hex()),
         known_revision=message.known_revision,
         members_hash=message.members_hash,
         changes=tuple(map(_decode_record, message.changes)),
@@ -196,7 +196,7 @@
     """
     return exchanges.Reply(
         sender=records.Record(decode_peer(message.sender), message.version),
-        offer=spread.Offer(message.revision, message.head_digest.hex()),
+        offer=configreplica.Offer(message.revision, message.head_digest.hex()),
         head=message.head,
         chunks=tuple(each.data for each in message.chunks),
         changes=tuple(map(_decode_record, message.members)),
--- a/packages/adapters/src/dunlintide_adapters/transports.py
+++ b/packages/adapters/src/dunlintide_adapters/transports.py
@@ -208,7 +208,7 @@
     def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
         """Make the guard of a link that was accepted."""
         find = functools.partial(
-            identities.find_fault, self._identify(context)
+            identities.find_mismatch, self._identify(context)
         )
         return guards.Guard(find, self.refusals, answers=True)
 
@@ -225,7 +225,7 @@
         if identity is not None:
             role = role or identity.role
             name = name or identity.name
-        fault = identities.find_fault(identity, role, name)
+        fault = identities.find_mismatch(identity, role, name)
         if fault:
             self.refusals.add('identity', f'a call: {fault}')
         return fault
@@ -301,7 +301,7 @@
         if missing:
             return f'expected the DNS names {missing} in it'
         shown = identities.read_identity(bundle.names, domain)
-        return identities.find_fault(shown, own.role, own.name)
+        return identities.find_mismatch(shown, own.role, own.name)
 
     return check
 
--- a/packages/cli/src/dunlintide_cli/checking.py
+++ b/packages/cli/src/dunlintide_cli/checking.py
@@ -59,7 +59,7 @@
         return result.Ok(found if self.option('admin') else None)
 
 
-def _describe_miss(miss: matching.Miss) -> str:
+def _describe_miss(miss: matching.Mismatch) -> str:
     wanted = miss.wanted
     if not isinstance(wanted, tuple):
         wanted = (wanted,)
--- a/packages/core/src/dunlintide_core/buckets.py
+++ b/packages/core/src/dunlintide_core/buckets.py
@@ -54,6 +54,6 @@
         self._hashes[index] ^= _fingerprint(new)
         self._names[index][new.peer.name] = None
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a process whose record is a tombstone."""
         self._names[bucket_of(name)].pop(name)
--- a/packages/core/src/dunlintide_core/spread.py
+++ b/packages/core/src/dunlintide_core/configreplica.py
@@ -12,7 +12,7 @@
 
 from dunlintide_core import revisions
 
-__all__ = ['Offer', 'Snapshot', 'Spread']
+__all__ = ['ConfigurationReplica', 'Offer', 'Snapshot']
 
 _MAX_CONFLICTS = 16
 
@@ -41,7 +41,7 @@
     digest: str = ''
 
 
-class Spread:
+class ConfigurationReplica:
     """Configuration of one process and the one it is pulling.
 
     :ivar conflicts: revisions of which two different heads were seen
@@ -87,11 +87,11 @@
         told = self.store_revision
         return told is not None and told < self.revision
 
-    def note_store(self, revision: int) -> None:
+    def note_store_revision(self, revision: int) -> None:
         """Take note of the revision that the store holds."""
         self.store_revision = revision
 
-    def compare(self, offer: Offer) -> None:
+    def detect_conflict(self, offer: Offer) -> None:
         """Look for two heads with one revision.
 
         Only a store that was set back can bring this about, so it is
@@ -103,7 +103,7 @@
         if len(self.conflicts) < _MAX_CONFLICTS:
             self.conflicts.add(offer.revision)
 
-    def take_head(self, body: bytes) -> bool:
+    def accept_head(self, body: bytes) -> bool:
         """Take an encoded head; True when it is newer than all known."""
         decoded = revisions.decode_head(body)
         if isinstance(decoded, result.Err):
@@ -115,43 +115,43 @@
         self._pending, self._pending_body = head, body
         return True
 
-    def take_stored(
+    def accept_stored(
         self, head: revisions.Head, document: bytes
     ) -> Snapshot | None:
         """Take a whole configuration as the store gave it.
 
         :return: the snapshot now in force, or None when nothing changed
         """
-        self.note_store(head.revision)
-        if not self.take_head(revisions.encode_head(head)):
+        self.note_store_revision(head.revision)
+        if not self.accept_head(revisions.encode_head(head)):
             return None
         chunks = revisions.split(document)
         if isinstance(chunks, result.Ok):
-            self.take_chunks(chunk.body for chunk in chunks.ok_value)
-        return self.adopt()
+            self.accept_chunks(chunk.body for chunk in chunks.ok_value)
+        return self.activate_pending()
 
-    def missing(self) -> tuple[str, ...]:
+    def list_missing(self) -> tuple[str, ...]:
         """Return digests of the chunks that the pending head lacks."""
         if self._pending is None:
             return ()
         return revisions.find_missing(self._pending, self._chunks)
 
-    def take_chunks(self, bodies: Iterable[bytes]) -> None:
+    def accept_chunks(self, bodies: Iterable[bytes]) -> None:
         """Keep those chunks that the pending head asks for."""
-        wanted = set(self.missing())
+        wanted = set(self.list_missing())
         for body in bodies:
             digest = revisions.digest_bytes(body)
             # Others may be here already, or belong to a newer head.
             if digest in wanted:
                 self._chunks[digest] = body
 
-    def adopt(self) -> Snapshot | None:
+    def activate_pending(self) -> Snapshot | None:
         """Put the pending head in force once it is whole.
 
         :return: the new snapshot, or None when nothing changed
         """
         head = self._pending
-        if head is None or self.missing():
+        if head is None or self.list_missing():
             return None
         self._pending = None
         if head.revision <= self.revision:
@@ -165,7 +165,7 @@
         self._chunks = {d: b for d, b in self._chunks.items() if d in kept}
         return self.snapshot
 
-    def chunks(self, digests: Iterable[str], limit: int) -> list[bytes]:
+    def list_chunks(self, digests: Iterable[str], limit: int) -> list[bytes]:
         """Return those chunks that are here, up to a total size.
 
         :param limit: bytes; the first chunk comes even if it is larger,
@@ -186,7 +186,7 @@
         return found
 
     @property
-    def held_bytes(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes of the configuration that this process holds."""
         whole = self.snapshot
         own = len(whole.body) + len(whole.document) if whole else 0
--- a/packages/core/src/dunlintide_core/documents.py
+++ b/packages/core/src/dunlintide_core/documents.py
@@ -103,7 +103,7 @@
 
 def decode_configuration(
     body: bytes,
-) -> result.Result[configuration.Configuration, revisions.Damage]:
+) -> result.Result[configuration.Configuration, revisions.Corruption]:
     """Decode the canonical form.
 
     A field that this version does not know is refused: to leave out a
@@ -114,10 +114,10 @@
     try:
         value = msgspec.json.decode(body)
     except msgspec.MsgspecError as error:
-        return result.Err(revisions.Damage(f'not JSON: {error}'))
+        return result.Err(revisions.Corruption(f'not JSON: {error}'))
     root = jsonc.Document('', value, {(): jsonc.Position(1, 1)}, {})
     read = schemas.structure(root, configuration.Configuration, _reader)
     if read.is_ok():
         return read
     first = read.unwrap_err()[0]
-    return result.Err(revisions.Damage(f'{first.path}: {first.message}'))
+    return result.Err(revisions.Corruption(f'{first.path}: {first.message}'))
--- a/packages/core/src/dunlintide_core/exchanges.py
+++ b/packages/core/src/dunlintide_core/exchanges.py
@@ -2,8 +2,8 @@
 
 import attrs
 
+from dunlintide_core import configreplica
 from dunlintide_core import records
-from dunlintide_core import spread
 
 __all__ = ['Reply', 'Request', 'Target']
 
@@ -28,7 +28,7 @@
     """
 
     sender: records.Record
-    offer: spread.Offer
+    offer: configreplica.Offer
     known_revision: int
     members_hash: int
     changes: tuple[records.Record, ...] = ()
@@ -48,7 +48,7 @@
     """
 
     sender: records.Record
-    offer: spread.Offer
+    offer: configreplica.Offer
     head: bytes = b''
     chunks: tuple[bytes, ...] = ()
     changes: tuple[records.Record, ...] = ()
--- a/packages/core/src/dunlintide_core/identities.py
+++ b/packages/core/src/dunlintide_core/identities.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     'Identity',
-    'find_fault',
+    'find_mismatch',
     'is_host_name',
     'list_names',
-    'list_permitted',
+    'list_permitted_bodies',
     'read_identity',
 ]
 
@@ -102,7 +102,7 @@
     return found.pop() if len(found) == 1 else None
 
 
-def find_fault(identity: Identity | None, role: str, name: str) -> str:
+def find_mismatch(identity: Identity | None, role: str, name: str) -> str:
     """Say why a claim does not fit a certificate; empty when it does.
 
     :param identity: whom the certificate names
@@ -117,6 +117,6 @@
     )
 
 
-def list_permitted(sender: str, receiver: str) -> frozenset[str]:
+def list_permitted_bodies(sender: str, receiver: str) -> frozenset[str]:
     """List the bodies of frames that one role may send to another."""
     return _PERMITTED.get((sender, receiver), _ALWAYS)
--- a/packages/core/src/dunlintide_core/leadership.py
+++ b/packages/core/src/dunlintide_core/leadership.py
@@ -51,7 +51,7 @@
         return self.seconds / _RENEWALS_PER_LEASE
 
     @property
-    def trusted(self) -> float:
+    def validity(self) -> float:
         """Seconds for which a renewal is relied on."""
         return self.seconds * (1 - _DRIFT_SHARE)
 
@@ -99,7 +99,7 @@
         """Tell how this process stands now."""
         if self.term is None:
             return Phase.CANDIDATE
-        if now < self.term.renewed + self.timing.trusted:
+        if now < self.term.renewed + self.timing.validity:
             return Phase.LEADER
         return Phase.LAPSED
 
--- a/packages/core/src/dunlintide_core/standing.py
+++ b/packages/core/src/dunlintide_core/liveness.py
@@ -12,19 +12,19 @@
 from dunlintide_core import suspicion
 
 __all__ = [
-    'Standing',
+    'Liveness',
+    'assess',
     'count_needed_domains',
-    'judge',
 ]
 
 _GONE = (records.State.LEAVING, records.State.DEAD)
 
 
-class Standing(enum.Enum):
+class Liveness(enum.Enum):
     """What is held of a process."""
 
     PRESENT = enum.auto()
-    DOUBTED = enum.auto()
+    SUSPECT = enum.auto()
     GONE = enum.auto()
 
 
@@ -39,19 +39,19 @@
     return min(suspicion.NEEDED_WITNESSES, max(1, len(domains)))
 
 
-def judge(
+def assess(
     state: records.State | str, witnesses: Mapping[str, str], domains: int
-) -> Standing:
+) -> Liveness:
     """Judge a process by who misses it.
 
     :param witnesses: who could not reach it, each with its failure domain
     :param domains: from how many failure domains it has to be missed
     """
     if state in _GONE:
-        return Standing.GONE
+        return Liveness.GONE
     if not witnesses:
-        return Standing.PRESENT
+        return Liveness.PRESENT
     enough = len(witnesses) >= suspicion.NEEDED_WITNESSES
     if enough and len(set(witnesses.values())) >= domains:
-        return Standing.GONE
-    return Standing.DOUBTED
+        return Liveness.GONE
+    return Liveness.SUSPECT
--- a/packages/core/src/dunlintide_core/matching.py
+++ b/packages/core/src/dunlintide_core/matching.py
@@ -18,11 +18,11 @@
 
 __all__ = [
     'Explanation',
-    'Miss',
+    'Mismatch',
     'Query',
     'RuleIndex',
     'explain',
-    'find_miss',
+    'find_mismatch',
     'list_targets',
     'match_by_scan',
 ]
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class Miss:
+class Mismatch:
     """Why a rule does not match.
 
     :ivar rule: name of the rule
@@ -86,7 +86,7 @@
     """
 
     rule: configuration.Rule | None
-    misses: tuple[Miss, ...]
+    misses: tuple[Mismatch, ...]
 
 
 def _make_choice(field: str, allowed: Sequence[Any]) -> Condition:
@@ -130,7 +130,7 @@
         yield 'prompt_tokens_max', lambda query: query.prompt_tokens <= most
 
 
-def find_miss(when: configuration.When, query: Query) -> str | None:
+def find_mismatch(when: configuration.When, query: Query) -> str | None:
     """Name the first condition that a request fails, or None.
 
     :param when: conditions of a rule
@@ -149,7 +149,7 @@
     This states what the index must give; use the index for requests.
     """
     for rule in rules:
-        if find_miss(rule.when, query) is None:
+        if find_mismatch(rule.when, query) is None:
             return rule
     return None
 
@@ -163,12 +163,12 @@
     """Tell which rule decides a request and why earlier ones do not."""
     misses = []
     for position, rule in enumerate(rules):
-        failed = find_miss(rule.when, query)
+        failed = find_mismatch(rule.when, query)
         if failed is None:
             return Explanation(rule, tuple(misses))
         wanted = getattr(rule.when, failed)
         found = _get_found(query, failed)
-        misses.append(Miss(rule.name, position, failed, wanted, found))
+        misses.append(Mismatch(rule.name, position, failed, wanted, found))
     return Explanation(None, tuple(misses))
 
 
--- a/packages/core/src/dunlintide_core/membership.py
+++ b/packages/core/src/dunlintide_core/membership.py
@@ -16,7 +16,7 @@
 _SENDS_PER_LOG2 = 2
 
 
-def _tell_shown(record: records.Record) -> tuple[object, ...]:
+def _get_shown_fields(record: records.Record) -> tuple[object, ...]:
     """Return what others than this view go by."""
     return record.peer, record.state, record.witnesses
 
@@ -47,15 +47,15 @@
         self._records: dict[str, records.Record] = {}
         self._since: dict[str, float] = {}
         self._sends: dict[str, int] = {}
-        self._waits: dict[str, tuple[float, float]] = {}
-        self._doubtful: set[str] = set()
+        self._suspect_timers: dict[str, tuple[float, float]] = {}
+        self._suspects: set[str] = set()
         self._tombstones: set[str] = set()
         self._buckets = buckets.Buckets()
         self._listed: set[str] = set()
         self._store(0.0, records.Record(me))
 
     @property
-    def me(self) -> records.Record:
+    def own_record(self) -> records.Record:
         """records.Record of this process."""
         return self._records[self.name]
 
@@ -73,15 +73,15 @@
         """Return the record of a process."""
         return self._records.get(name)
 
-    def everything(self) -> list[records.Record]:
+    def list_records(self) -> list[records.Record]:
         """Return all records, tombstones too."""
         return list(self._records.values())
 
-    def present(self) -> list[records.Record]:
+    def list_present(self) -> list[records.Record]:
         """Return the records of all that are not dead."""
         return [each for each in self._records.values() if not each.dead]
 
-    def usable(self) -> list[fleet.Peer]:
+    def list_usable(self) -> list[fleet.Peer]:
         """Return the processes that may be given new work."""
         return [
             each.peer
@@ -94,28 +94,30 @@
         old = self._records.get(name)
         self._buckets.replace(old, record)
         self._records[name] = record
-        if old is None or _tell_shown(old) != _tell_shown(record):
+        if old is None or _get_shown_fields(old) != _get_shown_fields(record):
             self.changes += 1
-        doubted = len(old.witnesses) if old is not None else 0
+        witness_count = len(old.witnesses) if old is not None else 0
         if old is None or old.state is not record.state:
             self.generation += 1
             self._since[name] = now
             if old is None or old.dead != record.dead:
                 self.population += 1
-        elif doubted < suspicion.NEEDED_WITNESSES <= len(record.witnesses):
+        elif (
+            witness_count < suspicion.NEEDED_WITNESSES <= len(record.witnesses)
+        ):
             self._since[name] = now
         self._track(name, record)
         self._sends[name] = 0
 
     def _track(self, name: str, record: records.Record) -> None:
-        self._doubtful.discard(name)
+        self._suspects.discard(name)
         self._tombstones.discard(name)
         if record.dead:
             self._tombstones.add(name)
         elif record.witnesses:
-            self._doubtful.add(name)
+            self._suspects.add(name)
             return
-        self._waits.pop(name, None)
+        self._suspect_timers.pop(name, None)
 
     def merge(self, now: float, record: records.Record) -> bool:
         """Take in a record from a peer; True when it told something new.
@@ -124,7 +126,7 @@
         """
         name = record.peer.name
         if name == self.name:
-            return self._hear_of_me(now, record)
+            return self._refute(now, record)
         old = self._records.get(name)
         if old is None:
             # Without an address there is nothing to reach it by; the
@@ -141,8 +143,8 @@
         self._store(now, joined)
         return True
 
-    def _hear_of_me(self, now: float, record: records.Record) -> bool:
-        mine = self.me
+    def _refute(self, now: float, record: records.Record) -> bool:
+        mine = self.own_record
         if record.peer.incarnation != mine.peer.incarnation:
             return False
         contested = record.dead or record.witnesses
@@ -152,15 +154,15 @@
             return True
         return False
 
-    def depart(self, now: float) -> None:
+    def announce_leaving(self, now: float) -> None:
         """Announce that this process leaves."""
-        mine = self.me
+        mine = self.own_record
         peer = attrs.evolve(mine.peer, leaving=True)
         self._store(now, records.Record(peer, mine.version + 1))
 
     def update_endpoint(self, now: float, endpoint: fleet.Endpoint) -> None:
         """Announce that this process stands before something else."""
-        mine = self.me
+        mine = self.own_record
         if mine.peer.endpoint == endpoint:
             return
         peer = attrs.evolve(
@@ -168,7 +170,7 @@
         )
         self._store(now, records.Record(peer, mine.version + 1))
 
-    def accuse(self, now: float, name: str, domain: str) -> None:
+    def report_unreachable(self, now: float, name: str, domain: str) -> None:
         """Add this process as a witness that another is silent.
 
         :param domain: failure domain of this process
@@ -176,7 +178,7 @@
         record = self._records.get(name)
         if record is None or record.dead or name == self.name:
             return
-        known = self._domains(record)
+        known = self._list_witness_domains(record)
         if self.name in record.witnesses:
             return
         if len(record.witnesses) >= suspicion.NEEDED_WITNESSES:
@@ -190,14 +192,14 @@
         witness = attrs.evolve(record, witnesses=(name,))
         self.merge(now, witness)
 
-    def _domains(self, record: records.Record) -> set[str]:
+    def _list_witness_domains(self, record: records.Record) -> set[str]:
         domains = set()
         for name in record.witnesses:
             witness = self._records.get(name)
             domains.add(witness.peer.failure_domain if witness else name)
         return domains
 
-    def hear_hosts(self, now: float, live: set[str]) -> None:
+    def merge_host_list(self, now: float, live: set[str]) -> None:
         """Take in the lagging host list as one more witness.
 
         It counts only against a process that a peer already suspects and
@@ -205,57 +207,59 @@
 
         :param live: names in the list, leaving ones included
         """
-        for name in sorted(self._doubtful):
+        for name in sorted(self._suspects):
             if name in self._listed and name not in live:
                 self._add_witness(now, self._records[name], HOST_LIST)
         self._listed = self._listed & self._records.keys() | live
 
-    def _is_due(self, now: float, name: str, patience: float) -> bool:
+    def _is_due(self, now: float, name: str, timeout: float) -> bool:
         # When most of a failure domain is back, the rest gets its time
         # anew to say so: it was held for longer than that before.
-        before, start = self._waits.get(name, (0.0, self._since[name]))
-        if patience < before:
+        before, start = self._suspect_timers.get(
+            name, (0.0, self._since[name])
+        )
+        if timeout < before:
             start = now
-        self._waits[name] = (patience, start)
-        return now - start >= patience
+        self._suspect_timers[name] = (timeout, start)
+        return now - start >= timeout
 
-    def settle(self, now: float) -> list[str]:
+    def expire_suspects(self, now: float) -> list[str]:
         """Declare deaths that are due and forget old tombstones.
 
         :return: names declared dead
         """
         dead = []
-        if self._doubtful:
-            counts = suspicion.count_silent(self.present())
-        for name in sorted(self._doubtful):
+        if self._suspects:
+            counts = suspicion.count_suspects(self.list_present())
+        for name in sorted(self._suspects):
             record = self._records[name]
             if len(record.witnesses) < suspicion.NEEDED_WITNESSES:
                 continue
-            patience = suspicion.find_patience(
+            timeout = suspicion.get_timeout(
                 record.peer.failure_domain,
-                len(self._domains(record)),
+                len(self._list_witness_domains(record)),
                 counts,
                 self._timing,
             )
-            if self._is_due(now, name, patience):
+            if self._is_due(now, name, timeout):
                 dead.append(name)
         for name in dead:
             record = self._records[name]
             self._store(now, attrs.evolve(record, dead=True))
         self.deaths += len(dead)
-        self._expire(now)
+        self._expire_tombstones(now)
         return dead
 
-    def _expire(self, now: float) -> None:
+    def _expire_tombstones(self, now: float) -> None:
         limit = now - self._timing.tombstone
         old = [n for n in self._tombstones if self._since[n] <= limit]
         for name in old:
             self._tombstones.discard(name)
-            self._buckets.forget(name)
+            self._buckets.remove(name)
             for table in (self._records, self._since, self._sends):
                 table.pop(name, None)
 
-    def deltas(self, limit: int = _DELTA_RECORDS) -> list[records.Record]:
+    def take_deltas(self, limit: int = _DELTA_RECORDS) -> list[records.Record]:
         """Return recent changes, the least told first, and count them.
 
         Each is told a few times per doubling of the fleet, then dropped;
@@ -271,6 +275,6 @@
                 del self._sends[name]
         return told
 
-    def bucket(self, index: int) -> list[records.Record]:
+    def list_bucket(self, index: int) -> list[records.Record]:
         """Return the records of one bucket, tombstones too."""
         return [self._records[name] for name in self._buckets.names(index)]
--- a/packages/core/src/dunlintide_core/neighbours.py
+++ b/packages/core/src/dunlintide_core/neighbours.py
@@ -18,7 +18,7 @@
 __all__ = ['Neighbours', 'find']
 
 LOCAL_RINGS = 6
-CROSS_RINGS = 4
+REMOTE_RINGS = 4
 # Rounds that stay in the own failure domain, where bytes are cheap.
 _LOCAL_SHARE = 0.7
 
@@ -32,23 +32,25 @@
     """
 
     local: tuple[str, ...] = ()
-    cross: tuple[str, ...] = ()
+    remote: tuple[str, ...] = ()
 
     @property
     def names(self) -> tuple[str, ...]:
         """All names."""
-        return self.local + self.cross
+        return self.local + self.remote
 
     def choose(self, rng: random.Random) -> str | None:
         """Draw one, mostly of the own failure domain."""
         if not self.names:
             return None
         local = rng.random() < _LOCAL_SHARE
-        group = self.local if local else self.cross
+        group = self.local if local else self.remote
         return rng.choice(group or self.names)
 
 
-def _successors(me: str, names: list[str], rings: range) -> tuple[str, ...]:
+def _find_successors(
+    me: str, names: list[str], rings: range
+) -> tuple[str, ...]:
     if not names:
         return ()
     found = {}
@@ -72,9 +74,9 @@
     others = [peer for peer in peers if peer.name != me.name]
     domain = me.failure_domain
     local = [p.name for p in others if p.failure_domain == domain]
-    cross = [p.name for p in others if p.failure_domain != domain]
-    cross_rings = range(LOCAL_RINGS, LOCAL_RINGS + CROSS_RINGS)
+    remote = [p.name for p in others if p.failure_domain != domain]
+    remote_rings = range(LOCAL_RINGS, LOCAL_RINGS + REMOTE_RINGS)
     return Neighbours(
-        _successors(me.name, local, range(LOCAL_RINGS)),
-        _successors(me.name, cross, cross_rings),
+        _find_successors(me.name, local, range(LOCAL_RINGS)),
+        _find_successors(me.name, remote, remote_rings),
     )
--- a/packages/core/src/dunlintide_core/contacts.py
+++ b/packages/core/src/dunlintide_core/peerselection.py
@@ -10,14 +10,14 @@
 from dunlintide_core import membership
 from dunlintide_core import neighbours
 
-__all__ = ['Contacts', 'Timing']
+__all__ = ['PeerSelector', 'Timing']
 
 READY_PEERS = 3
-_FAILURES_TO_ACCUSE = 2
-_OUTCOMES = 10
+_FAILURES_TO_REPORT = 2
+_KEPT_OUTCOMES = 10
 _MAX_PROBES = 4
 # A process whose own calls mostly fail accuses nobody.
-_HEALTHY_SHARE = 0.4
+_MIN_ANSWERED_SHARE = 0.4
 _SUSPECT_SHARE = 0.25
 _SEED_SHARE = 0.02
 _JITTER = 0.25
@@ -39,7 +39,7 @@
     reconcile: float = 5.0
 
 
-class Contacts:
+class PeerSelector:
     """Peers of one process and how its calls to them went."""
 
     def __init__(
@@ -51,68 +51,72 @@
         self._timing = timing
         self._seeds: tuple[str, ...] = ()
         self._asked: set[str] = set()
-        self._told: dict[str, int] = {}
+        self._peer_revisions: dict[str, int] = {}
         self._failures: dict[str, int] = {}
-        self._outcomes: collections.deque[bool] = collections.deque(
-            maxlen=_OUTCOMES
+        self._recent_outcomes: collections.deque[bool] = collections.deque(
+            maxlen=_KEPT_OUTCOMES
         )
-        self._eager = 0
-        self._next: list[str] = []
+        self._eager_rounds_left = 0
+        self._scheduled: list[str] = []
         self._population = -1
-        self._near = neighbours.Neighbours()
+        self._neighbours = neighbours.Neighbours()
 
     @property
-    def near(self) -> neighbours.Neighbours:
+    def neighbours(self) -> neighbours.Neighbours:
         """Peers that this process talks to."""
         if self._population != self._members.population:
             self._population = self._members.population
-            present = [each.peer for each in self._members.present()]
-            self._near = neighbours.find(self._members.me.peer, present)
+            present = [each.peer for each in self._members.list_present()]
+            self._neighbours = neighbours.find(
+                self._members.own_record.peer, present
+            )
             names = {peer.name for peer in present}
-            for table in (self._told, self._failures):
+            for table in (self._peer_revisions, self._failures):
                 for name in table.keys() - names:
                     del table[name]
-        return self._near
+        return self._neighbours
 
     @property
-    def urgent(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether the next round should not wait for its turn."""
-        return bool(self._next) or self._eager > 0
+        return bool(self._scheduled) or self._eager_rounds_left > 0
 
     @property
-    def newest(self) -> int:
+    def newest_revision(self) -> int:
         """Highest revision that a peer told."""
-        return max(self._told.values(), default=0)
+        return max(self._peer_revisions.values(), default=0)
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
         """Set addresses to try besides the known members."""
-        own = self._members.me.peer.address
+        own = self._members.own_record.peer.address
         self._seeds = tuple(a for a in addresses if a != own)
 
     def count_asked(self) -> tuple[int, int]:
         """Return how many peers were asked, and how many need to be."""
         known = {*self._seeds}
-        known.update(each.peer.address for each in self._members.present())
-        known.discard(self._members.me.peer.address)
+        known.update(
+            each.peer.address for each in self._members.list_present()
+        )
+        known.discard(self._members.own_record.peer.address)
         return len(self._asked), min(READY_PEERS, len(known))
 
-    def pause(self) -> float:
+    def draw_pause(self) -> float:
         """Return seconds until the next round."""
-        if self._next:
+        if self._scheduled:
             return 0.0
         base = self._timing.round
-        if self._eager > 0 or self._list_unasked():
+        if self._eager_rounds_left > 0 or self._list_unasked():
             base = self._timing.eager
         return base * self._rng.uniform(1 - _JITTER, 1 + _JITTER)
 
-    def hurry(self) -> None:
+    def start_eager_rounds(self) -> None:
         """Make some rounds in quick succession, to pass news on."""
-        self._eager = self._timing.eager_rounds
+        self._eager_rounds_left = self._timing.eager_rounds
 
     def call_next(self, name: str) -> None:
         """Make a peer the target of the next round."""
-        if name not in self._next:
-            self._next.append(name)
+        if name not in self._scheduled:
+            self._scheduled.append(name)
 
     def probe(self, name: str) -> None:
         """As ``call_next``, since a link to the process was lost.
@@ -120,101 +124,103 @@
         That counts as a call that failed. Not for more than a few at a
         time: calls to the dead take their time, which news would wait for.
         """
-        if len(self._next) < _MAX_PROBES:
+        if len(self._scheduled) < _MAX_PROBES:
             self._failures.setdefault(name, 1)
             self.call_next(name)
 
-    def choose(self, revision: int) -> exchanges.Target | None:
+    def choose_target(self, revision: int) -> exchanges.Target | None:
         """Choose the peer of the next round, or None when alone.
 
         :param revision: revision in force, which peers may lack
         """
-        while self._next:
-            target = self._target(self._next.pop())
+        while self._scheduled:
+            target = self._make_target(self._scheduled.pop())
             if target is not None:
                 return target
         unasked = self._list_unasked()
         if unasked:
             return self._rng.choice(unasked)
-        name = self._draw(revision)
+        name = self._draw_neighbour(revision)
         alone = name is None or self._rng.random() < _SEED_SHARE
         if self._seeds and alone:
             return exchanges.Target(self._rng.choice(self._seeds))
-        return self._target(name) if name is not None else None
+        return self._make_target(name) if name is not None else None
 
     def _list_unasked(self) -> list[exchanges.Target]:
         """List those that a new process has yet to ask."""
         if len(self._asked) >= READY_PEERS:
             return []
         targets = [exchanges.Target(address) for address in self._seeds]
-        targets += [self._target(name) for name in self.near.names]
+        targets += [self._make_target(name) for name in self.neighbours.names]
         return [
             each
             for each in targets
             if each is not None and each.address not in self._asked
         ]
 
-    def _target(self, name: str) -> exchanges.Target | None:
+    def _make_target(self, name: str) -> exchanges.Target | None:
         record = self._members.get(name)
         if record is None or record.dead:
             return None
         return exchanges.Target(record.peer.address, name)
 
-    def _draw(self, revision: int) -> str | None:
-        near = self.near
-        if self._eager > 0:
-            self._eager -= 1
-            name = self._draw_uninformed(revision)
+    def _draw_neighbour(self, revision: int) -> str | None:
+        nearby = self.neighbours
+        if self._eager_rounds_left > 0:
+            self._eager_rounds_left -= 1
+            name = self._draw_outdated(revision)
             if name is not None:
                 return name
-        name = near.choose(self._rng)
-        doubted = name is not None and self._is_doubted(name)
-        if doubted and self._rng.random() > _SUSPECT_SHARE:
-            name = near.choose(self._rng)
+        name = nearby.choose(self._rng)
+        suspect = name is not None and self._is_suspect(name)
+        if suspect and self._rng.random() > _SUSPECT_SHARE:
+            name = nearby.choose(self._rng)
         return name
 
-    def _draw_uninformed(self, revision: int) -> str | None:
+    def _draw_outdated(self, revision: int) -> str | None:
         names = [
             name
-            for name in self.near.names
-            if self._told.get(name, 0) < revision
-            and not self._is_doubted(name)
+            for name in self.neighbours.names
+            if self._peer_revisions.get(name, 0) < revision
+            and not self._is_suspect(name)
         ]
         return self._rng.choice(names) if names else None
 
-    def _is_doubted(self, name: str) -> bool:
+    def _is_suspect(self, name: str) -> bool:
         record = self._members.get(name)
         return record is None or bool(record.witnesses)
 
-    def hear(self, name: str, revision: int) -> None:
+    def note_revision(self, name: str, revision: int) -> None:
         """Take note of the revision that a peer told, or will pull."""
-        self._told[name] = max(self._told.get(name, 0), revision)
+        self._peer_revisions[name] = max(
+            self._peer_revisions.get(name, 0), revision
+        )
         self._failures.pop(name, None)
 
     def note_answer(self, target: exchanges.Target) -> None:
         """Take note that a peer answered."""
-        self._note(target, True)
+        self._note_outcome(target, True)
         self._failures.pop(target.name, None)
 
     def note_failure(self, now: float, target: exchanges.Target) -> None:
         """Take note that a peer did not answer, and accuse it if due."""
-        self._note(target, False)
+        self._note_outcome(target, False)
         name = target.name
         record = self._members.get(name)
         if record is None or record.dead:
             return
         failures = self._failures.get(name, 0) + 1
         self._failures[name] = failures
-        if failures < _FAILURES_TO_ACCUSE:
+        if failures < _FAILURES_TO_REPORT:
             if not record.witnesses:
-                self._next.append(name)
+                self._scheduled.append(name)
             return
-        answered = sum(self._outcomes) / len(self._outcomes)
-        if answered >= _HEALTHY_SHARE:
-            domain = self._members.me.peer.failure_domain
-            self._members.accuse(now, name, domain)
+        answered = sum(self._recent_outcomes) / len(self._recent_outcomes)
+        if answered >= _MIN_ANSWERED_SHARE:
+            domain = self._members.own_record.peer.failure_domain
+            self._members.report_unreachable(now, name, domain)
 
-    def _note(self, target: exchanges.Target, answered: bool) -> None:
-        self._outcomes.append(answered)
+    def _note_outcome(self, target: exchanges.Target, answered: bool) -> None:
+        self._recent_outcomes.append(answered)
         if len(self._asked) < READY_PEERS:
             self._asked.add(target.address)
--- a/packages/core/src/dunlintide_core/placement.py
+++ b/packages/core/src/dunlintide_core/placement.py
@@ -20,7 +20,7 @@
     'Refusal',
     'Target',
     'find_missing',
-    'sees_enough',
+    'has_sufficient_view',
 ]
 
 Span = tuple[int, int]
@@ -78,9 +78,9 @@
 
     agent: str
     holding: Holding
-    work: int = 0
+    request_count: int = 0
     max_layers: int = 0
-    doubted: bool = False
+    suspected: bool = False
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
     agent: str
     holding: Holding
     layer_count: int
-    held: Holding
+    expected: Holding
 
 
 @attrs.frozen
@@ -124,20 +124,20 @@
     :ivar backoff: time for which an agent that failed one gets no other
     """
 
-    patience: float = 5.0
-    first: float = 5.0
+    shortage_delay: float = 5.0
+    initial_delay: float = 5.0
     max_orders: int = 2
     order_timeout: float = 600.0
     backoff: float = 15.0
 
 
 @attrs.frozen
-class _Open:
+class _OpenOrder:
     order: Order
     since: float
 
 
-def sees_enough(present: int, listed: int) -> bool:
+def has_sufficient_view(present: int, listed: int) -> bool:
     """Tell whether a leader sees enough agents to order anything.
 
     One that is cut off from most of them would replace what is well.
@@ -190,29 +190,31 @@
         self.target = target
         self._settings = settings
         self._boundaries: set[int] = set()
-        self._seen: set[Span] = set()
+        self._ranges_seen: set[Span] = set()
         self._short_since: dict[Span, float] = {}
-        self._open: dict[str, _Open] = {}
-        self._avoid: dict[str, float] = {}
+        self._open: dict[str, _OpenOrder] = {}
+        self._backoff_until: dict[str, float] = {}
 
-    def list_open(self) -> list[Order]:
+    def list_open_orders(self) -> list[Order]:
         """Return the orders that are under way."""
         return [one.order for one in self._open.values()]
 
-    def list_missing(self) -> list[Span]:
+    def list_short_ranges(self) -> list[Span]:
         """Return the ranges that are short of engines, as last seen."""
         return sorted(self._short_since)
 
-    def wait(self) -> None:
+    def restart_delays(self) -> None:
         """Let ranges that are short wait anew, as the view is in doubt."""
         self._short_since.clear()
 
-    def fail(self, agent: str, now: float) -> None:
+    def note_failure(self, agent: str, now: float) -> None:
         """Take note that an agent did not carry out its order."""
         if self._open.pop(agent, None) is not None:
-            self._avoid[agent] = now + self._settings.backoff
+            self._backoff_until[agent] = now + self._settings.backoff
 
-    def decide(self, now: float, engines: Iterable[Engine]) -> list[Order]:
+    def make_orders(
+        self, now: float, engines: Iterable[Engine]
+    ) -> list[Order]:
         """Decide what to order now.
 
         Each order returned counts as given from now on.
@@ -220,12 +222,12 @@
         :param engines: those that take work, of any model
         """
         known = {engine.agent: engine for engine in engines}
-        self._settle(now, known)
+        self._close_orders(now, known)
         ours = list(self._list_ours(known))
         certain = ours
-        if any(engine.doubted for engine in known.values()):
+        if any(engine.suspected for engine in known.values()):
             certain = list(self._list_ours(known, False))
-        self._seen.update(holding.span for holding in certain)
+        self._ranges_seen.update(holding.span for holding in certain)
         self._boundaries.update(
             edge for holding in ours for edge in holding.span
         )
@@ -235,19 +237,21 @@
                 break
             order = self._assign(span, known, now)
             if order is not None:
-                self._open[order.agent] = _Open(order, now)
+                self._open[order.agent] = _OpenOrder(order, now)
                 orders.append(order)
         return orders
 
-    def _settle(self, now: float, known: Mapping[str, Engine]) -> None:
+    def _close_orders(self, now: float, known: Mapping[str, Engine]) -> None:
         for agent, one in list(self._open.items()):
             engine = known.get(agent)
             if engine is None or engine.holding == one.order.holding:
                 del self._open[agent]
             elif now - one.since > self._settings.order_timeout:
-                self.fail(agent, now)
-        self._avoid = {
-            agent: until for agent, until in self._avoid.items() if until > now
+                self.note_failure(agent, now)
+        self._backoff_until = {
+            agent: until
+            for agent, until in self._backoff_until.items()
+            if until > now
         }
 
     def _is_ours(self, holding: Holding) -> bool:
@@ -260,14 +264,14 @@
         )
 
     def _list_ours(
-        self, known: Mapping[str, Engine], doubted: bool = True
+        self, known: Mapping[str, Engine], suspected: bool = True
     ) -> Iterator[Holding]:
         """Give what is held of the model once open orders are done.
 
         :param doubted: whether to count engines that may be gone
         """
         for agent, engine in known.items():
-            if engine.doubted and not doubted:
+            if engine.suspected and not suspected:
                 continue
             if agent in self._open:
                 yield self._open[agent].order.holding
@@ -312,15 +316,15 @@
         return [
             span
             for span in short
-            if now - self._short_since[span] >= self._find_patience(span)
+            if now - self._short_since[span] >= self._get_shortage_delay(span)
         ]
 
-    def _find_patience(self, span: Span) -> float:
-        patience = self._settings.patience
-        for start, end in self._seen:
+    def _get_shortage_delay(self, span: Span) -> float:
+        delay = self._settings.shortage_delay
+        for start, end in self._ranges_seen:
             if start <= span[0] and span[1] <= end:
-                return patience
-        return max(patience, self._settings.first)
+                return delay
+        return max(delay, self._settings.initial_delay)
 
     def _assign(
         self, span: Span, known: Mapping[str, Engine], now: float
@@ -329,8 +333,8 @@
             engine
             for agent, engine in known.items()
             if agent not in self._open
-            and agent not in self._avoid
-            and not engine.doubted
+            and agent not in self._backoff_until
+            and not engine.suspected
         ]
         ours = list(self._list_ours(known, False))
         chosen = self._pick_spare(span, free)
@@ -351,7 +355,7 @@
 
         def rank(engine: Engine) -> tuple[int, int, str]:
             fits = engine.max_layers or size
-            return max(0, size - fits), engine.work, engine.agent
+            return max(0, size - fits), engine.request_count, engine.agent
 
         spare = [engine for engine in free if engine.holding.is_spare]
         return min(spare, key=rank, default=None)
@@ -362,7 +366,11 @@
         counts = _count_ranges(ours)
 
         def rank(engine: Engine) -> tuple[int, int, str]:
-            return -counts[engine.holding.span], engine.work, engine.agent
+            return (
+                -counts[engine.holding.span],
+                engine.request_count,
+                engine.agent,
+            )
 
         replicated = [
             engine
--- a/packages/core/src/dunlintide_core/replan.py
+++ b/packages/core/src/dunlintide_core/replan.py
@@ -19,29 +19,29 @@
 # An estimate that moved by this factor is worth a plan at once.
 _LARGE_CHANGE = 2.0
 _SMALL_CHANGE = 1.15
-_LEAST_PAUSE_SECONDS = 0.5
-_SMALL_PAUSE_SECONDS = 10.0
+_MIN_PAUSE_SECONDS = 0.5
+_SMALL_CHANGE_PAUSE_SECONDS = 10.0
 # Plans at once that large changes may claim, and the time to earn one.
-_BURST = 4
-_EARN_SECONDS = 10.0
+_BUCKET_SIZE = 4
+_SECONDS_PER_TOKEN = 10.0
 
 
 @attrs.define
-class _Allowance:
+class _TokenBucket:
     """Plans at once that one kind of change may still claim."""
 
-    _left: float = float(_BURST)
-    _earned: float | None = None
+    _tokens: float = float(_BUCKET_SIZE)
+    _refilled_at: float | None = None
 
-    def claim(self, now: float) -> bool:
+    def take(self, now: float) -> bool:
         """Use one up; False when none is left."""
-        if self._earned is not None:
-            self._left += (now - self._earned) / _EARN_SECONDS
-            self._left = min(float(_BURST), self._left)
-        self._earned = now
-        if self._left < 1.0:
+        if self._refilled_at is not None:
+            self._tokens += (now - self._refilled_at) / _SECONDS_PER_TOKEN
+            self._tokens = min(float(_BUCKET_SIZE), self._tokens)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
@@ -61,17 +61,17 @@
         """
         self.plan = plans.EMPTY
         self.stops: list[plans.Stop] = []
-        self.count = 0
+        self.plan_count = 0
         self.capacities = capacity.CapacityModel()
         self.delays = delays.DelayModel()
         self._layers = layers
         self._links = links
         self._declared: list[plans.Stop] = []
         self._stale = True
-        self._planned = float('-inf')
+        self._planned_at = float('-inf')
         # Links' estimates are noisier, and must not use up the stages'.
-        self._for_stages = _Allowance()
-        self._for_links = _Allowance()
+        self._stage_tokens = _TokenBucket()
+        self._link_tokens = _TokenBucket()
 
     def set_stops(self, stops: Iterable[plans.Stop]) -> None:
         """Set the live endpoints with their declared capacities."""
@@ -84,11 +84,15 @@
         self._links = links
         self._stale = True
 
-    def report(self, agent: str, load: fleet.LoadReport, now: float) -> None:
+    def observe_load(
+        self, agent: str, load: fleet.LoadReport, now: float
+    ) -> None:
         """Take a load report; ``now`` is a time in seconds."""
         self.capacities.observe(agent, load, now)
 
-    def observe(self, chain: plans.Chain, interval: float, now: float) -> None:
+    def observe_interval(
+        self, chain: plans.Chain, interval: float, now: float
+    ) -> None:
         """Take the mean interval between some tokens of a request.
 
         :param interval: in seconds
@@ -97,7 +101,7 @@
         explains = self.capacities.explains
         self.delays.observe(chain, interval, now, explains)
 
-    def tick(self, now: float) -> plans.Plan | None:
+    def replan_if_due(self, now: float) -> plans.Plan | None:
         """Plan again if that is due; to be called twice a second.
 
         :param now: time in seconds
@@ -109,22 +113,22 @@
         self.stops = self.capacities.apply(self._declared)
         links = self.delays.apply(self._links)
         self.plan = plans.make_plan(self.stops, self._layers, links)
-        self.count += 1
+        self.plan_count += 1
         self._stale = False
-        self._planned = now
+        self._planned_at = now
         return self.plan
 
     def _is_due(self, now: float) -> bool:
-        pause = now - self._planned
-        if pause < _LEAST_PAUSE_SECONDS:
+        pause = now - self._planned_at
+        if pause < _MIN_PAUSE_SECONDS:
             return False
         if self._stale:
             return True
-        stages = self.capacities.change()
-        if stages >= _LARGE_CHANGE and self._for_stages.claim(now):
+        stage_change = self.capacities.change()
+        if stage_change >= _LARGE_CHANGE and self._stage_tokens.take(now):
             return True
-        links = self.delays.change()
-        if links >= _LARGE_CHANGE and self._for_links.claim(now):
+        link_change = self.delays.change()
+        if link_change >= _LARGE_CHANGE and self._link_tokens.take(now):
             return True
-        change = max(stages, links)
-        return change >= _SMALL_CHANGE and pause >= _SMALL_PAUSE_SECONDS
+        change = max(stage_change, link_change)
+        return change >= _SMALL_CHANGE and pause >= _SMALL_CHANGE_PAUSE_SECONDS
--- a/packages/core/src/dunlintide_core/revisions.py
+++ b/packages/core/src/dunlintide_core/revisions.py
@@ -18,14 +18,14 @@
     'MAX_CHUNK_BYTES',
     'RECENT_CHANGES',
     'Chunk',
-    'Damage',
+    'Corruption',
     'Head',
     'decode_head',
     'diff_documents',
     'digest_bytes',
     'encode_head',
     'find_missing',
-    'holds_change',
+    'has_change',
     'join',
     'make_head',
     'split',
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class Damage:
+class Corruption:
     """Why stored bytes do not make up a head or a document.
 
     :ivar message: what is wrong
@@ -153,7 +153,7 @@
     return b'{' + b','.join(parts) + b'}'
 
 
-def split(document: bytes) -> result.Result[tuple[Chunk, ...], Damage]:
+def split(document: bytes) -> result.Result[tuple[Chunk, ...], Corruption]:
     """Cut a document into chunks, in its order.
 
     :param document: canonical document: an object of lists of objects,
@@ -168,10 +168,10 @@
             for group in _group_items(bytes(item) for item in items)
         )
     except msgspec.MsgspecError as error:
-        return result.Err(Damage(f'not a configuration document: {error}'))
+        return result.Err(Corruption(f'not a configuration document: {error}'))
     if any(len(chunk.body) > MAX_CHUNK_BYTES for chunk in chunks):
         return result.Err(
-            Damage(f'one item has more than {MAX_CHUNK_BYTES} bytes')
+            Corruption(f'one item has more than {MAX_CHUNK_BYTES} bytes')
         )
     return result.Ok(chunks)
 
@@ -188,7 +188,7 @@
 
 def join(
     head: Head, bodies: Mapping[str, bytes]
-) -> result.Result[bytes, Damage]:
+) -> result.Result[bytes, Corruption]:
     """Put the document of a head together and verify its digest.
 
     :param bodies: bodies of chunks by digest; others may be among them
@@ -196,13 +196,13 @@
     """
     missing = find_missing(head, bodies)
     if missing:
-        return result.Err(Damage('chunks are missing', missing))
+        return result.Err(Corruption('chunks are missing', missing))
     try:
         document = _assemble(bodies[digest] for digest in head.chunks)
     except msgspec.MsgspecError as error:
-        return result.Err(Damage(f'a chunk cannot be read: {error}'))
+        return result.Err(Corruption(f'a chunk cannot be read: {error}'))
     if digest_bytes(document) != head.document:
-        return result.Err(Damage('the digest of the document is wrong'))
+        return result.Err(Corruption('the digest of the document is wrong'))
     return result.Ok(document)
 
 
@@ -237,7 +237,7 @@
     )
 
 
-def holds_change(head: Head, change_id: str) -> bool:
+def has_change(head: Head, change_id: str) -> bool:
     """Tell whether a change is in a head or among its latest ancestors.
 
     :param change_id: id of a change whose answer may have been lost
@@ -250,7 +250,7 @@
     return msgspec.json.encode(head, order='deterministic')
 
 
-def decode_head(body: bytes) -> result.Result[Head, Damage]:
+def decode_head(body: bytes) -> result.Result[Head, Corruption]:
     """Decode what ``encode_head`` made.
 
     :returns: the head, or why the bytes are none
@@ -258,7 +258,7 @@
     try:
         return result.Ok(_heads.decode(body))
     except msgspec.MsgspecError as error:
-        return result.Err(Damage(f'not a head: {error}'))
+        return result.Err(Corruption(f'not a head: {error}'))
 
 
 def _list_lines(document: bytes) -> list[str]:
--- a/packages/core/src/dunlintide_core/schemas.py
+++ b/packages/core/src/dunlintide_core/schemas.py
@@ -18,7 +18,7 @@
 from dunlintide_core import jsonc
 
 __all__ = [
-    'Unexpected',
+    'UnexpectedValue',
     'describe_value',
     'get_document_name',
     'list_overrides',
@@ -34,7 +34,7 @@
 _DOCUMENT_NAME = 'document_name'
 
 
-class Unexpected(ValueError):
+class UnexpectedValue(ValueError):
     """A value that a structuring hook does not take.
 
     The converter passes it on to ``structure``, which makes a problem of
@@ -69,8 +69,8 @@
     return f', did you mean "{near[0]}"?' if near else ''
 
 
-def _reject(expected: str, value: Any) -> Unexpected:
-    return Unexpected(f'expected {expected}, got {describe_value(value)}')
+def _reject(expected: str, value: Any) -> UnexpectedValue:
+    return UnexpectedValue(f'expected {expected}, got {describe_value(value)}')
 
 
 def _read_choice(value: Any, kind: type[enum.Enum]) -> enum.Enum:
@@ -96,7 +96,7 @@
     return value
 
 
-def _read_whole(value: Any, _: Any) -> int:
+def _read_integer(value: Any, _: Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
         raise _reject('a whole number', value)
     return value
@@ -177,7 +177,7 @@
     converter = cattrs.Converter(forbid_extra_keys=True)
     converter.register_structure_hook(str, _read_text)
     converter.register_structure_hook(bool, _read_flag)
-    converter.register_structure_hook(int, _read_whole)
+    converter.register_structure_hook(int, _read_integer)
     converter.register_structure_hook(float, _read_number)
 
     @converter.register_structure_hook_factory(_is_tuple)
@@ -237,7 +237,7 @@
         return _report_unknown(document, path, error)
     if isinstance(error, KeyError):
         return [document.report(path, 'the field is missing')]
-    if isinstance(error, Unexpected):
+    if isinstance(error, UnexpectedValue):
         return [document.report(path, str(error))]
     raise error
 
@@ -253,6 +253,6 @@
     """
     try:
         return result.Ok(converter.structure(document.value, kind))
-    except (cattrs.BaseValidationError, Unexpected) as error:
+    except (cattrs.BaseValidationError, UnexpectedValue) as error:
         found = _report(document, (), error)
         return result.Err(jsonc.sort_problems(found))
--- a/packages/core/src/dunlintide_core/settingsfile.py
+++ b/packages/core/src/dunlintide_core/settingsfile.py
@@ -50,7 +50,7 @@
     return value > 0
 
 
-def _is_natural(value: float) -> bool:
+def _is_not_negative(value: float) -> bool:
     return value >= 0
 
 
@@ -84,10 +84,10 @@
     (
         settings_module.Natural,
         int,
-        _is_natural,
+        _is_not_negative,
         'a whole number of at least 0',
     ),
-    (settings_module.Rate, float, _is_natural, 'a number of at least 0'),
+    (settings_module.Rate, float, _is_not_negative, 'a number of at least 0'),
     (settings_module.File, str, bool, 'the name of a file'),
     (settings_module.HostName, str, identities.is_host_name, 'a DNS name'),
 )
@@ -99,7 +99,7 @@
     def read(value: Any, _: Any) -> Any:
         read_value = converter.structure(value, base)
         if not test(read_value):
-            raise schemas.Unexpected(
+            raise schemas.UnexpectedValue(
                 f'expected {expected}, got {schemas.describe_value(value)}'
             )
         return read_value
--- a/packages/core/src/dunlintide_core/subset.py
+++ b/packages/core/src/dunlintide_core/subset.py
@@ -13,15 +13,15 @@
 from dunlintide_core import fleet
 from dunlintide_core import hashing
 
-__all__ = ['DEFAULT_AGENTS', 'FULL_MESH', 'assign']
+__all__ = ['DEFAULT_AGENTS', 'FULL_MESH_AGENTS', 'assign']
 
 DEFAULT_AGENTS = 24
 # Up to so many agents every entry connects to all of them: fewer links
 # would save little and leave less choice.
-FULL_MESH = 64
-LEAST_CHOICES = 2
+FULL_MESH_AGENTS = 64
+MIN_CHOICES = 2
 # An agent takes at most so much of the mean number of entries.
-_SLACK = 1.15
+_MAX_LOAD_FACTOR = 1.15
 
 
 class _Group(NamedTuple):
@@ -35,7 +35,7 @@
     service: str
 
 
-def _group(
+def _group_agents(
     agents: Iterable[fleet.Peer],
 ) -> dict[_Group, list[fleet.Peer]]:
     groups: dict[_Group, list[fleet.Peer]] = {}
@@ -62,11 +62,11 @@
     )
 
 
-def _pick(
+def _pick_agent(
     ranked: list[fleet.Peer],
     taken: Sequence[fleet.Peer],
     links: Mapping[str, int],
-    most: int,
+    max_links: int,
 ) -> fleet.Peer:
     """Pick the next agent of a group for one entry.
 
@@ -78,7 +78,7 @@
     return min(
         free,
         key=lambda agent: (
-            links[agent.name] >= most,
+            links[agent.name] >= max_links,
             agent.failure_domain in domains,
         ),
     )
@@ -88,14 +88,16 @@
     entries: Sequence[fleet.Peer], agents: list[fleet.Peer], choices: int
 ) -> dict[str, list[fleet.Peer]]:
     choices = min(choices, len(agents))
-    most = math.ceil(_SLACK * choices * len(entries) / len(agents))
+    max_links = math.ceil(
+        _MAX_LOAD_FACTOR * choices * len(entries) / len(agents)
+    )
     links = {agent.name: 0 for agent in agents}
     chosen: dict[str, list[fleet.Peer]] = {e.name: [] for e in entries}
     ranks = {entry.name: _rank(entry, agents) for entry in entries}
     for _ in range(choices):
         for entry in entries:
             taken = chosen[entry.name]
-            agent = _pick(ranks[entry.name], taken, links, most)
+            agent = _pick_agent(ranks[entry.name], taken, links, max_links)
             links[agent.name] += 1
             taken.append(agent)
     return chosen
@@ -113,13 +115,13 @@
     :return: agents by the entry's name
     """
     entries = sorted(entries, key=lambda peer: hashing.hash_text(peer.name))
-    groups = _group(agents)
+    groups = _group_agents(agents)
     if not groups:
         return {entry.name: () for entry in entries}
-    choices = max(LEAST_CHOICES, target // len(groups))
+    choices = max(MIN_CHOICES, target // len(groups))
     result: dict[str, list[fleet.Peer]] = {e.name: [] for e in entries}
     for key in sorted(groups):
-        teams = sorted(groups[key], key=lambda agent: agent.name)
-        for name, chosen in _assign_group(entries, teams, choices).items():
+        group = sorted(groups[key], key=lambda agent: agent.name)
+        for name, chosen in _assign_group(entries, group, choices).items():
             result[name].extend(chosen)
     return {name: tuple(chosen) for name, chosen in result.items()}
--- a/packages/core/src/dunlintide_core/suspicion.py
+++ b/packages/core/src/dunlintide_core/suspicion.py
@@ -8,15 +8,15 @@
 
 __all__ = [
     'NEEDED_WITNESSES',
-    'Silence',
+    'SuspectCount',
     'Timing',
-    'count_silent',
-    'find_patience',
+    'count_suspects',
+    'get_timeout',
 ]
 
 NEEDED_WITNESSES = 2
-_MANY = 4
-_MANY_SHARE = 1 / 16
+_MANY_SUSPECTS = 4
+_OUTAGE_SHARE = 1 / 16
 
 
 @attrs.frozen
@@ -36,37 +36,39 @@
     suspect: float = 10.0
     suspect_same_domain: float = 20.0
     suspect_many: float = 60.0
-    held: float = 7200.0
+    suspect_outage: float = 7200.0
     tombstone: float = 10800.0
 
 
 @attrs.frozen
-class Silence:
+class SuspectCount:
     """Silent and all processes of one failure domain."""
 
-    silent: int = 0
+    suspects: int = 0
     total: int = 0
 
 
-def count_silent(present: Iterable[records.Record]) -> dict[str, Silence]:
+def count_suspects(
+    present: Iterable[records.Record],
+) -> dict[str, SuspectCount]:
     """Count silent and all processes by failure domain.
 
     :param present: records of all that are not dead
     """
-    counts: dict[str, Silence] = {}
+    counts: dict[str, SuspectCount] = {}
     for record in present:
         domain = record.peer.failure_domain
-        known = counts.get(domain, Silence())
-        counts[domain] = Silence(
-            known.silent + bool(record.witnesses), known.total + 1
+        count = counts.get(domain, SuspectCount())
+        counts[domain] = SuspectCount(
+            count.suspects + bool(record.witnesses), count.total + 1
         )
     return counts
 
 
-def find_patience(
+def get_timeout(
     domain: str,
     witness_domains: int,
-    counts: Mapping[str, Silence],
+    counts: Mapping[str, SuspectCount],
     timing: Timing,
 ) -> float:
     """Return for how long a silent process is given time, in seconds.
@@ -74,17 +76,17 @@
     :param domain: its failure domain
     :param witness_domains: failure domains of those who miss it
     """
-    mine = counts[domain]
-    if 2 * mine.silent > mine.total >= _MANY:
-        return timing.held
-    silent = sum(each.silent for each in counts.values())
+    own = counts[domain]
+    if 2 * own.suspects > own.total >= _MANY_SUSPECTS:
+        return timing.suspect_outage
+    suspects = sum(each.suspects for each in counts.values())
     total = sum(each.total for each in counts.values())
     # The process that judges may be the one that is cut off: a small part
     # of the fleet cannot probe most of the others, so a majority of each
     # failure domain need not show.
-    if silent >= max(_MANY, total * _MANY_SHARE):
-        return timing.held
-    if silent >= _MANY:
+    if suspects >= max(_MANY_SUSPECTS, total * _OUTAGE_SHARE):
+        return timing.suspect_outage
+    if suspects >= _MANY_SUSPECTS:
         return timing.suspect_many
     if witness_domains < NEEDED_WITNESSES:
         return timing.suspect_same_domain
--- a/packages/core/src/dunlintide_core/validation.py
+++ b/packages/core/src/dunlintide_core/validation.py
@@ -10,7 +10,7 @@
 
 __all__ = ['list_faults']
 
-LEAST_PRIORITY, MOST_PRIORITY = 0, 3
+MIN_PRIORITY, MAX_PRIORITY = 0, 3
 MAX_PATH_CHARACTERS = 512
 MAX_NAME_CHARACTERS = 128
 
@@ -44,8 +44,8 @@
 
 
 def _check_priority(path: jsonc.Path, value: int) -> Iterator[Fault]:
-    if not LEAST_PRIORITY <= value <= MOST_PRIORITY:
-        expected = f'a priority from {LEAST_PRIORITY} to {MOST_PRIORITY}'
+    if not MIN_PRIORITY <= value <= MAX_PRIORITY:
+        expected = f'a priority from {MIN_PRIORITY} to {MAX_PRIORITY}'
         yield path, _expect(expected, value)
 
 
--- a/packages/daemon/src/dunlintide_daemon/delivery.py
+++ b/packages/daemon/src/dunlintide_daemon/delivery.py
@@ -3,11 +3,11 @@
 import threading
 from typing import Callable
 
-from dunlintide_core import spread
+from dunlintide_core import configreplica
 
 __all__ = ['Delivery', 'OnSnapshot']
 
-OnSnapshot = Callable[[spread.Snapshot], None]
+OnSnapshot = Callable[[configreplica.Snapshot], None]
 
 
 class Delivery:
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         """Begin without a configuration."""
-        self.snapshot: spread.Snapshot | None = None
+        self.snapshot: configreplica.Snapshot | None = None
         self._callbacks: list[tuple[OnSnapshot, int]] = []
         self._changed = threading.Condition()
         self._closed = False
@@ -29,7 +29,7 @@
             self._callbacks.append((callback, 0))
             self._changed.notify()
 
-    def offer(self, snapshot: spread.Snapshot | None) -> None:
+    def offer(self, snapshot: configreplica.Snapshot | None) -> None:
         """Take a configuration to hand on."""
         with self._changed:
             if snapshot is not self.snapshot:
@@ -42,7 +42,7 @@
             self._closed = True
             self._changed.notify()
 
-    def _take(self) -> tuple[spread.Snapshot | None, list[OnSnapshot]]:
+    def _take(self) -> tuple[configreplica.Snapshot | None, list[OnSnapshot]]:
         """Wait for callbacks that have not had the newest snapshot."""
         with self._changed:
             while not self._closed:
--- a/packages/daemon/src/dunlintide_daemon/entry/leader.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/leader.py
@@ -97,7 +97,7 @@
         fence=fence,
         leader=leader,
         layer_count=order.layer_count,
-        held=link_pb2.Holding(**attrs.asdict(order.held)),
+        held=link_pb2.Holding(**attrs.asdict(order.expected)),
         **attrs.asdict(order.holding),
     )
 
@@ -219,9 +219,9 @@
         for target in targets:
             placer = self._find_placer(target)
             if not sight.enough:
-                placer.wait()
+                placer.restart_delays()
                 continue
-            for order in placer.decide(now, sight.engines):
+            for order in placer.make_orders(now, sight.engines):
                 self._give(placer, order)
         for target in self._placers.keys() - set(targets):
             del self._placers[target]
@@ -230,7 +230,7 @@
         placer = self._placers.get(target)
         if placer is None:
             settings = placement.PlacerSettings(
-                patience=self._settings.patience,
+                shortage_delay=self._settings.patience,
                 max_orders=self._settings.max_orders,
                 order_timeout=self._settings.order_timeout,
             )
@@ -244,13 +244,13 @@
         now = self._clock()
         fence = self._leadership.get_fence(now)
         if fence is None:
-            placer.fail(order.agent, now)
+            placer.note_failure(order.agent, now)
             return
         message = _build_order(order, fence, self._name)
         self._given[message.order_id] = placer, order.agent
         logging.info('orders %s to hold %s', order.agent, order.holding)
         if not self._view.send(order.agent, message):
-            placer.fail(order.agent, now)
+            placer.note_failure(order.agent, now)
 
     def _take_reply(self, reply: link_pb2.OrderReply) -> None:
         given = self._given.get(reply.order_id)
@@ -259,7 +259,7 @@
         placer, agent = given
         logging.warning('%s refused an order: %s', agent, reply.detail)
         self._set(refusals=self._status.refusals + 1)
-        placer.fail(agent, self._clock())
+        placer.note_failure(agent, self._clock())
         if reply.detail in _DEPOSED:
             # Another leads, or the engine has seen a higher number from
             # the leader of another model: a new term has a higher one.
@@ -273,7 +273,7 @@
         opened = {
             order.agent: order
             for placer in placers
-            for order in placer.list_open()
+            for order in placer.list_open_orders()
         }
         self._given = {
             order_id: given
@@ -284,7 +284,9 @@
             phase=self._leadership.get_phase(self._clock()),
             orders=tuple(opened.values()),
             missing=tuple(
-                span for placer in placers for span in placer.list_missing()
+                span
+                for placer in placers
+                for span in placer.list_short_ranges()
             ),
         )
         self._publish(self._status)
--- a/packages/daemon/src/dunlintide_daemon/entry/learning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/learning.py
@@ -158,7 +158,7 @@
             self._declared = stops
             self._replanner.set_stops(stops.values())
         self._learn()
-        plan = self._replanner.tick(now)
+        plan = self._replanner.replan_if_due(now)
         if plan is not None:
             with self._lock:
                 self._chooser.adopt(plan, self._replanner.stops, self.layers)
@@ -181,14 +181,18 @@
                 continue
             self._observations += 1
             if isinstance(seen, Report):
-                self._replanner.report(seen.agent, seen.load, seen.moment)
+                self._replanner.observe_load(
+                    seen.agent, seen.load, seen.moment
+                )
                 with self._lock:
                     self._chooser.report(seen.agent, seen.load, seen.moment)
                 continue
             stops = tuple(map(self._declared.get, seen.agents))
             if None not in stops:
                 chain = plans.Chain(stops)
-                self._replanner.observe(chain, seen.seconds, seen.moment)
+                self._replanner.observe_interval(
+                    chain, seen.seconds, seen.moment
+                )
 
     def _take_news(self, seen: News) -> None:
         with self._lock:
@@ -240,7 +244,7 @@
         factors = replanner.capacities.factors()
         return {
             'bound': round(replanner.plan.bound, 3),
-            'plans': replanner.count,
+            'plans': replanner.plan_count,
             'agents': len(self._declared),
             'observations': self._observations,
             'shares': {
--- a/packages/daemon/src/dunlintide_daemon/entry/roster.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/roster.py
@@ -177,7 +177,7 @@
         self,
         name: str,
         source: Source,
-        full_mesh: int = subset.FULL_MESH,
+        full_mesh: int = subset.FULL_MESH_AGENTS,
         target: int = subset.DEFAULT_AGENTS,
     ) -> None:
         """Begin with nobody.
--- a/packages/daemon/src/dunlintide_daemon/entry/sightings.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sightings.py
@@ -10,8 +10,8 @@
 import attrs
 
 from dunlintide_core import fleet as core_fleet
+from dunlintide_core import liveness
 from dunlintide_core import placement
-from dunlintide_core import standing
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
@@ -96,7 +96,7 @@
         """Take in the fleet as it is known now."""
         hosts = list(hosts)
         self._domains = {host.name: host.failure_domain for host in hosts}
-        self._needed = standing.count_needed_domains(
+        self._needed = liveness.count_needed_domains(
             set(self._domains.values())
         )
         self._agents = {
@@ -111,7 +111,7 @@
         self._present = frozenset(
             name
             for name, held in judged.items()
-            if held is standing.Standing.PRESENT
+            if held is liveness.Liveness.PRESENT
         )
         self._engines = {}
         for name, held in judged.items():
@@ -119,30 +119,30 @@
 
     def _judge(
         self, host: Host, witnesses: Iterable[str]
-    ) -> standing.Standing:
+    ) -> liveness.Liveness:
         if host.peer is None:
             # The host list says nothing of who reaches it.
-            return standing.Standing.GONE
+            return liveness.Liveness.GONE
         missed = {
             # Others than processes witness too.
             witness: self._domains.get(witness, witness)
             for witness in witnesses
         }
-        return standing.judge(host.state, missed, self._needed)
+        return liveness.assess(host.state, missed, self._needed)
 
     def _set(
         self,
         engines: dict[str, placement.Engine],
         name: str,
-        held: standing.Standing,
+        held: liveness.Liveness,
     ) -> None:
         """Put in or take out an engine that is known by the membership."""
         engines.pop(name, None)
         peer = self._agents[name].peer
-        if held is standing.Standing.GONE or not _is_engine(peer):
+        if held is liveness.Liveness.GONE or not _is_engine(peer):
             return
         if not peer.endpoint.away:
-            doubted = held is standing.Standing.DOUBTED
+            doubted = held is liveness.Liveness.SUSPECT
             engines[name] = _build_engine(peer, doubted=doubted)
 
     def look(self) -> Sight:
@@ -160,7 +160,7 @@
             if _is_engine(agent.peer):
                 work = agent.load.running + agent.load.queued
                 engines[agent.peer.name] = _build_engine(agent.peer, work)
-        enough = placement.sees_enough(
+        enough = placement.has_sufficient_view(
             len(present & self._agents.keys()), len(self._agents)
         )
         return Sight(tuple(engines.values()), enough)
--- a/packages/daemon/src/dunlintide_daemon/entry/sources.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sources.py
@@ -14,10 +14,10 @@
 from dunlintide_adapters import leaders as leader_keys
 from dunlintide_adapters import metrics
 from dunlintide_adapters import store
+from dunlintide_core import configreplica
 from dunlintide_core import configuration
 from dunlintide_core import documents
 from dunlintide_core import settings as settings_module
-from dunlintide_core import spread
 from dunlintide_daemon.entry import claims
 
 __all__ = [
@@ -31,7 +31,7 @@
 
 
 def take_up(
-    adopt: Adopt, snapshot: configstore.Snapshot | spread.Snapshot
+    adopt: Adopt, snapshot: configstore.Snapshot | configreplica.Snapshot
 ) -> None:
     """Decode a configuration and hand it on, or log why not."""
     revision = snapshot.head.revision
--- a/packages/daemon/src/dunlintide_daemon/peerdump.py
+++ b/packages/daemon/src/dunlintide_daemon/peerdump.py
@@ -10,9 +10,9 @@
 
 def describe(replica: replicas.Replica) -> dict[str, Any]:
     """Return configuration and membership, fit for JSON."""
-    share = replica.spread
+    share = replica.configuration
     counts: dict[str, int] = {}
-    for record in replica.members.everything():
+    for record in replica.members.list_records():
         counts[record.state] = counts.get(record.state, 0) + 1
     return {
         'revision': share.revision,
@@ -21,7 +21,7 @@
         'conflicts': sorted(share.conflicts),
         'refused': share.refused,
         'watcher': replica.is_watcher,
-        'neighbours': list(replica.near.names),
+        'neighbours': list(replica.neighbours.names),
         'members': counts,
         'not_alive': [
             {
@@ -29,7 +29,7 @@
                 'state': record.state,
                 'witnesses': list(record.witnesses),
             }
-            for record in replica.members.everything()
+            for record in replica.members.list_records()
             if record.state is not records.State.ALIVE
         ],
         'refutations': replica.members.refutations,
--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -17,11 +17,11 @@
 from dunlintide_adapters import configstore
 from dunlintide_adapters import peers as peer_calls
 from dunlintide_adapters import transports
+from dunlintide_core import configreplica
 from dunlintide_core import exchanges
 from dunlintide_core import fleet
 from dunlintide_core import records
 from dunlintide_core import replicas
-from dunlintide_core import spread
 from dunlintide_daemon import delivery
 from dunlintide_daemon import peerdump
 from dunlintide_daemon import watching
@@ -86,7 +86,7 @@
         self._stack = contextlib.ExitStack()
 
     @property
-    def snapshot(self) -> spread.Snapshot | None:
+    def snapshot(self) -> configreplica.Snapshot | None:
         """Configuration in force, or None before the first."""
         return self._delivery.snapshot
 
@@ -106,7 +106,7 @@
 
     def list_members(self) -> list[records.Record]:
         """Return what is known of all processes, tombstones too."""
-        return self._do(lambda replica: replica.members.everything())
+        return self._do(lambda replica: replica.members.list_records())
 
     def list_present(
         self, seen: int
@@ -120,7 +120,7 @@
             members = replica.members
             if members.changes == seen:
                 return None
-            return members.changes, members.present()
+            return members.changes, members.list_present()
 
         return self._do(read)
 
@@ -131,8 +131,8 @@
         now = time.monotonic()
 
         def act(replica: replicas.Replica) -> tuple[exchanges.Reply, bool]:
-            reply = replica.answer(now, request, chunk_bytes)
-            return reply, replica.urgent
+            reply = replica.handle_request(now, request, chunk_bytes)
+            return reply, replica.is_urgent
 
         reply, urgent = self._owner.ask(act, timeout=ANSWER_SECONDS)
         if urgent:
@@ -142,7 +142,7 @@
     def depart(self) -> None:
         """Tell the fleet that this process leaves."""
         now = time.monotonic()
-        self._do(lambda replica: replica.members.depart(now))
+        self._do(lambda replica: replica.members.announce_leaving(now))
         self._wake.set()
 
     def update_endpoint(self, endpoint: fleet.Endpoint) -> None:
@@ -178,7 +178,7 @@
     def _run_rounds(self) -> None:
         while not self._done.is_set():
             self._run_round()
-            pause = self._do(lambda replica: replica.pause())
+            pause = self._do(lambda replica: replica.draw_pause())
             self._wake.wait(pause)
             self._wake.clear()
 
@@ -186,8 +186,8 @@
         now = time.monotonic()
 
         def begin(replica: replicas.Replica):
-            target = replica.choose()
-            request = replica.open(now, target) if target else None
+            target = replica.choose_target()
+            request = replica.make_request(now, target) if target else None
             return target, request
 
         target, request = self._do(begin)
@@ -202,21 +202,21 @@
         reply = self._client.exchange(target.address, request)
         now = time.monotonic()
         if isinstance(reply, result.Err):
-            self._do(lambda replica: replica.fail(now, target))
+            self._do(lambda replica: replica.note_failure(now, target))
             return None
 
         def take(replica: replicas.Replica):
-            follow = replica.take(now, target, reply.ok_value)
-            return follow, replica.spread.snapshot
+            follow = replica.handle_reply(now, target, reply.ok_value)
+            return follow, replica.configuration.snapshot
 
         follow, snapshot = self._do(take)
         self._delivery.offer(snapshot)
         return follow
 
     def _take_stored(self, stored: configstore.Snapshot) -> None:
-        def act(replica: replicas.Replica) -> spread.Snapshot | None:
-            replica.take_stored(stored.head, stored.document)
-            return replica.spread.snapshot
+        def act(replica: replicas.Replica) -> configreplica.Snapshot | None:
+            replica.apply_stored(stored.head, stored.document)
+            return replica.configuration.snapshot
 
         # The store may answer after this process has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
@@ -225,16 +225,20 @@
 
     def _note_store(self, revision: int) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
-            self._do(lambda replica: replica.spread.note_store(revision))
+            self._do(
+                lambda replica: replica.configuration.note_store_revision(
+                    revision
+                )
+            )
 
     def _run_upkeep(self) -> None:
         while not self._done.is_set():
             now = time.monotonic()
 
             def keep(replica: replicas.Replica) -> tuple[bool, bool, str]:
-                replica.settle(now)
-                alone = len(replica.members.everything()) == 1
-                return replica.is_watcher, alone, replica.why_not_ready()
+                replica.expire_suspects(now)
+                alone = len(replica.members.list_records()) == 1
+                return replica.is_watcher, alone, replica.explain_unready()
 
             watcher, alone, self._reason = self._do(keep)
             pause = HOSTS_SELDOM_SECONDS
@@ -257,7 +261,9 @@
 
         def take(replica: replicas.Replica) -> None:
             replica.add_seeds(host.address for host in listed)
-            replica.members.hear_hosts(now, {host.name for host in listed})
+            replica.members.merge_host_list(
+                now, {host.name for host in listed}
+            )
 
         self._do(take)
 
--- a/packages/daemon/src/dunlintide_daemon/watching.py
+++ b/packages/daemon/src/dunlintide_daemon/watching.py
@@ -10,8 +10,8 @@
 from dunlintide_adapters import configstore
 from dunlintide_adapters import hostlist
 from dunlintide_adapters import store
+from dunlintide_core import configreplica
 from dunlintide_core import settings as settings_module
-from dunlintide_core import spread
 
 __all__ = ['Outside', 'StoreWatch']
 
@@ -74,7 +74,7 @@
     def __init__(
         self,
         outside: Outside,
-        find_held: Callable[[], spread.Snapshot | None],
+        find_held: Callable[[], configreplica.Snapshot | None],
         take: Callable[[configstore.Snapshot], None],
         note: Callable[[int], None],
     ) -> None:
--- a/packages/trials/src/dunlintide_trials/cases/config.py
+++ b/packages/trials/src/dunlintide_trials/cases/config.py
@@ -40,7 +40,8 @@
         revision = net.store.snapshot.head.revision
         net.run_until(
             lambda: all(
-                host.replica.spread.revision >= revision for host in net.up()
+                host.replica.configuration.revision >= revision
+                for host in net.up()
             ),
             60,
         )
--- a/packages/trials/src/dunlintide_trials/cases/fleet.py
+++ b/packages/trials/src/dunlintide_trials/cases/fleet.py
@@ -54,8 +54,8 @@
         request = other.open(0.0, exchanges.Target(''))
         message = peercodec.encode_request(request).SerializeToString()
         decoded = link_pb2.ExchangeRequest.FromString(message)
-        replica.answer(0.0, peercodec.decode_request(decoded))
-    while replica.members.deltas(size):
+        replica.handle_request(0.0, peercodec.decode_request(decoded))
+    while replica.members.take_deltas(size):
         pass
     return replica
 
@@ -80,11 +80,11 @@
             start = time.process_time()
             for _ in range(_CALLS):
                 now = time.monotonic()
-                request = caller.open(now, target)
+                request = caller.make_request(now, target)
                 reply = client.exchange(target.address, request)
-                caller.take(now, target, reply.unwrap())
-                caller.settle(now)
-                callee.settle(now)
+                caller.handle_reply(now, target, reply.unwrap())
+                caller.expire_suspects(now)
+                callee.expire_suspects(now)
             spent = time.process_time() - start
         client.close()
     return spent / _CALLS
@@ -111,12 +111,12 @@
         store = network.Store()
         store.apply(fleets.make_document(_TEAMS, 1))
         snapshot = store.snapshot
-        replica.take_stored(snapshot.head, snapshot.document)
+        replica.apply_stored(snapshot.head, snapshot.document)
         tracemalloc.stop()
         yield figures.plain(f'fleet.memory.{size}.view', view, 'B')
         yield figures.at_most(
             f'fleet.memory.{size}',
-            view + replica.spread.held_bytes,
+            view + replica.configuration.size_bytes,
             'B',
             MEMORY_BOUND,
             note='with the bytes of a configuration of 5,600 teams',
--- a/packages/trials/src/dunlintide_trials/cases/leader.py
+++ b/packages/trials/src/dunlintide_trials/cases/leader.py
@@ -53,7 +53,7 @@
     start = time.thread_time()
     for tick in range(_TICKS):
         sight = seen.look()
-        if not sight.enough or placer.decide(tick, sight.engines):
+        if not sight.enough or placer.make_orders(tick, sight.engines):
             raise AssertionError('a whole fleet was not seen as such')
     return (time.thread_time() - start) / _TICKS
 
@@ -75,8 +75,8 @@
             'links',
             LINKS_BOUND,
             agents,
-            f'at most {subset.FULL_MESH} agents are all linked; baseline:'
-            ' links to all agents',
+            f'at most {subset.FULL_MESH_AGENTS} agents are all linked;'
+            ' baseline: links to all agents',
         )
 
 
--- a/packages/trials/src/dunlintide_trials/cases/membership.py
+++ b/packages/trials/src/dunlintide_trials/cases/membership.py
@@ -28,7 +28,7 @@
     views = [host.replica.members for host in net.up()]
     if len({view.hash for view in views}) > 1:
         return False
-    return all(len(view.usable()) == len(views) for view in views)
+    return all(len(view.list_usable()) == len(views) for view in views)
 
 
 def _measure_cut(
--- a/packages/trials/src/dunlintide_trials/deployment.py
+++ b/packages/trials/src/dunlintide_trials/deployment.py
@@ -157,7 +157,7 @@
         """
         for daemon in self.plan.daemons:
             self.wait_ready(daemon.name)
-        if len(self.plan.agents) > subset.FULL_MESH:
+        if len(self.plan.agents) > subset.FULL_MESH_AGENTS:
             return
         for entry in self.plan.entries:
             self.started[entry.name].wait_ready(
--- a/packages/trials/src/dunlintide_trials/fleets.py
+++ b/packages/trials/src/dunlintide_trials/fleets.py
@@ -68,7 +68,8 @@
 
     def spread() -> bool:
         return all(
-            host.replica.spread.revision >= revision for host in net.up()
+            host.replica.configuration.revision >= revision
+            for host in net.up()
         )
 
     if not net.run_until(spread, most):
--- a/packages/trials/src/dunlintide_trials/network.py
+++ b/packages/trials/src/dunlintide_trials/network.py
@@ -11,11 +11,11 @@
 
 import attrs
 
+from dunlintide_core import configreplica
 from dunlintide_core import exchanges
 from dunlintide_core import fleet
 from dunlintide_core import replicas
 from dunlintide_core import revisions
-from dunlintide_core import spread
 
 __all__ = ['Host', 'Network', 'Store', 'make_peers']
 
@@ -57,7 +57,7 @@
     """The platform's store in small."""
 
     up: bool = True
-    snapshot: spread.Snapshot | None = None
+    snapshot: configreplica.Snapshot | None = None
     chunks: dict[str, bytes] = attrs.field(factory=dict)
     reads: int = 0
     watches: int = 0
@@ -73,7 +73,7 @@
         )
         self.chunks |= {chunk.digest: chunk.body for chunk in chunks}
         body = revisions.encode_head(head)
-        self.snapshot = spread.Snapshot(head, body, document)
+        self.snapshot = configreplica.Snapshot(head, body, document)
 
 
 class Network:
@@ -151,12 +151,14 @@
 
     def introduce(self) -> None:
         """Let all know all, as a fleet that has run for long."""
-        everyone = [host.replica.members.me for host in self.hosts.values()]
+        everyone = [
+            host.replica.members.own_record for host in self.hosts.values()
+        ]
         for host in self.hosts.values():
             for record in everyone:
                 host.replica.members.merge(self.now, record)
             for _ in range(len(everyone)):
-                host.replica.members.deltas(len(everyone))
+                host.replica.members.take_deltas(len(everyone))
 
     def up(self) -> list[Host]:
         """Return the running hosts."""
@@ -191,17 +193,17 @@
         self.after(delay, lambda: self._round(host, turn))
 
     def _wake(self, host: Host) -> None:
-        if host.replica.urgent and not self._gone(host):
-            self._schedule(host, host.replica.pause())
+        if host.replica.is_urgent and not self._gone(host):
+            self._schedule(host, host.replica.draw_pause())
 
     def _round(self, host: Host, turn: int) -> None:
         if self._gone(host) or turn != host.turn:
             return
-        target = host.replica.choose()
+        target = host.replica.choose_target()
         if target is None:
-            self._schedule(host, host.replica.pause(), turn)
+            self._schedule(host, host.replica.draw_pause(), turn)
             return
-        request = host.replica.open(self.now, target)
+        request = host.replica.make_request(self.now, target)
         self._call(host, target, request, turn)
 
     def _call(
@@ -229,7 +231,7 @@
         if not other.up:
             self.after(CALL_TIMEOUT, lambda: self._fail(host, target, turn))
             return
-        reply = other.replica.answer(self.now, request)
+        reply = other.replica.handle_request(self.now, request)
         self._count(host, other, request)
         self._count(other, host, reply)
         self._wake(other)
@@ -248,21 +250,21 @@
     def _take(self, host, target, reply, turn, left) -> None:
         if self._gone(host):
             return
-        follow = host.replica.take(self.now, target, reply)
+        follow = host.replica.handle_reply(self.now, target, reply)
         self._note(host)
         if follow is not None and left > 0:
             self._call(host, target, follow, turn, left - 1)
             return
-        self._schedule(host, host.replica.pause(), turn)
+        self._schedule(host, host.replica.draw_pause(), turn)
 
     def _fail(self, host: Host, target: exchanges.Target, turn: int) -> None:
         if self._gone(host):
             return
-        host.replica.fail(self.now, target)
-        self._schedule(host, host.replica.pause(), turn)
+        host.replica.note_failure(self.now, target)
+        self._schedule(host, host.replica.draw_pause(), turn)
 
     def _note(self, host: Host) -> None:
-        revision = host.replica.spread.revision
+        revision = host.replica.configuration.revision
         if revision < host.highest:
             host.lowered += 1
         host.highest = max(host.highest, revision)
@@ -271,7 +273,7 @@
     def _settle(self, host: Host) -> None:
         if self._gone(host):
             return
-        host.replica.settle(self.now)
+        host.replica.expire_suspects(self.now)
         self._watch(host)
         self.after(SETTLE_SECONDS, lambda: self._settle(host))
 
@@ -292,7 +294,7 @@
         self._notify()
         return self.store.snapshot.head.revision
 
-    def restore(self, snapshot: spread.Snapshot) -> None:
+    def restore(self, snapshot: configreplica.Snapshot) -> None:
         """Set the store back; its watchers hear of that as a change."""
         self.store.snapshot = snapshot
         self._notify()
@@ -306,7 +308,7 @@
     def _bring_forward(self) -> None:
         """Base the next change on the fleet's newest, as operators must."""
         for host in self.up():
-            newest = host.replica.spread.snapshot
+            newest = host.replica.configuration.snapshot
             held = self.store.snapshot
             if newest is None:
                 continue
@@ -320,13 +322,13 @@
         snapshot = self.store.snapshot
         if snapshot is None:
             return
-        share = host.replica.spread
+        share = host.replica.configuration
         share.note_store(snapshot.head.revision)
         if share.take_head(snapshot.body):
             missing = share.missing()
             self.store.reads += len(missing)
             share.take_chunks(self.store.chunks[d] for d in missing)
-            host.replica.adopt()
+            host.replica.activate_pending()
             self._note(host)
             self._wake(host)
 
--- a/packages/trials/src/dunlintide_trials/routing.py
+++ b/packages/trials/src/dunlintide_trials/routing.py
@@ -58,14 +58,14 @@
     def _report(self, agent, report, now: float) -> None:
         self.chooser.report(agent, report, now)
         if self._learns:
-            self.replanner.report(agent, report, now)
+            self.replanner.observe_load(agent, report, now)
 
     def _observe(self, chain, interval: float, now: float) -> None:
         if self._learns:
-            self.replanner.observe(chain, interval, now)
+            self.replanner.observe_interval(chain, interval, now)
 
     def _tick(self, now: float) -> None:
-        plan = self.replanner.tick(now)
+        plan = self.replanner.replan_if_due(now)
         if plan is not None:
             self.chooser.adopt(plan, self.replanner.stops, self._layers)
 
