--- a/features/rules.feature
+++ b/features/rules.feature
@@ -36,8 +36,8 @@
       | {"service": "orders"}   | {"rate": 0}           | rules[1].then.rate: expected a number above 0, got 0.0 |
       | {"service": "orders"}   | {"weight": -1}        | rules[1].then.weight: expected a number above 0, got -1.0 |
       | {"service": "orders"}   | {"wieght": 1}         | unknown field "wieght", did you mean "weight"? |
-      | {"service": "orders"}   | {"action": "refuse", "rate": 1} | warning: rules[1].then.rate: a rule that refuses makes no use of it |
-      | {"service": "orders", "adapter": "promo"} | {}  | error: rules[1].when.adapter: a call of a service never meets it |
+      | {"service": "orders"}   | {"action": "refuse", "rate": 1} | warning: rules[1].then.rate: has no effect in a rule that refuses |
+      | {"service": "orders", "adapter": "promo"} | {}  | error: rules[1].when.adapter: a service request never satisfies this condition |
       | {"path": "/v1/chat/*", "member": "diner"} | {}  | 7:1: error: rules[1]: rule "second" is unreachable: rules[0] "first" |
       | {"member": "diner"}     | {"accelerators": "l4"} | endpoints with l4 cannot tile model "copy-7b": chains end at layer 8 of 24 |
 
--- a/packages/core/src/dunlintide_core/buckets.py
+++ b/packages/core/src/dunlintide_core/buckets.py
@@ -1,4 +1,8 @@
-"""Hashes of the records of a view, by bucket, kept up to date."""
+"""Incremental hashes of membership records, grouped into buckets.
+
+Two processes compare the hashes of their buckets to find the few records
+in which their views differ.
+"""
 
 from dunlintide_core import hashing
 from dunlintide_core import records
@@ -9,12 +13,13 @@
 
 
 def bucket_of(name: str) -> int:
-    """Return the bucket that holds a name."""
+    """Return the index of the bucket that holds a process's record."""
     return hashing.hash_text(name) % BUCKETS
 
 
 def _fingerprint(record: records.Record) -> int:
-    # Tombstones expire at different times, so they stay out of the hash.
+    # Each process drops a tombstone at a time of its own, so tombstones
+    # must not change the hash.
     if record.dead:
         return 0
     peer = record.peer
@@ -23,7 +28,7 @@
 
 
 class Buckets:
-    """Names of processes and hashes of their records, by bucket."""
+    """Process names and XOR-combined record hashes of each bucket."""
 
     def __init__(self) -> None:
         self._hashes = [0] * BUCKETS
@@ -31,7 +36,7 @@
 
     @property
     def hashes(self) -> tuple[int, ...]:
-        """Hash of each bucket's records."""
+        """Hash of the records in each bucket, by bucket index."""
         return tuple(self._hashes)
 
     @property
@@ -43,11 +48,14 @@
         return total
 
     def names(self, index: int) -> list[str]:
-        """Return the names in one bucket."""
+        """Return the names of the processes in one bucket."""
         return list(self._names[index])
 
     def replace(self, old: records.Record | None, new: records.Record) -> None:
-        """Put a record in the place of an older one of its process."""
+        """Replace the record of a process.
+
+        :param old: the process's current record, None for a new process
+        """
         index = bucket_of(new.peer.name)
         if old is not None:
             self._hashes[index] ^= _fingerprint(old)
@@ -55,5 +63,8 @@
         self._names[index][new.peer.name] = None
 
     def remove(self, name: str) -> None:
-        """Remove a process whose record is a tombstone."""
+        """Remove a process whose record is a tombstone.
+
+        Tombstones do not contribute to the hash, so it stays unchanged.
+        """
         self._names[bucket_of(name)].pop(name)
--- a/packages/core/src/dunlintide_core/checker.py
+++ b/packages/core/src/dunlintide_core/checker.py
@@ -1,4 +1,9 @@
-"""Faults of a configuration that is well-formed but may not do its job."""
+"""Checks for rules and definitions that are valid but have no effect.
+
+Finds rules that can never match, fields that are never used, and models
+or services that no endpoint can serve. ``validation`` checks the values
+themselves.
+"""
 
 import fnmatch
 from typing import Iterator, Sequence
@@ -25,7 +30,7 @@
     'adapter',
     'host',
 )
-# Conditions that only a request to a model can meet.
+# Conditions that only requests to a model can satisfy.
 _MODEL_CONDITIONS = ('model', 'adapter')
 _PROMPT_CONDITIONS = ('prompt_tokens_min', 'prompt_tokens_max')
 _MODEL_TERMS = ('model', 'version', 'adapter', 'accelerators')
@@ -53,11 +58,12 @@
 
 
 def covers(wide: configuration.When, narrow: configuration.When) -> bool:
-    """Tell whether all that one rule matches is matched by another.
+    """Return whether one rule matches every request that another matches.
 
-    Sound but not complete: of two globs only a common prefix is seen.
+    Sound but not complete: a later glob counts as covered only by the
+    same glob or by a literal prefix followed by ``*``.
 
-    :param wide: conditions of the rule that comes first
+    :param wide: conditions of the earlier rule
     :param narrow: conditions of the later rule
     """
     for field in _CHOICES:
@@ -78,8 +84,8 @@
     rules: Sequence[configuration.Rule],
     position: int,
 ) -> int | None:
-    # Whatever covers a rule holds for each single team and target that
-    # the rule names, so it is among the candidates for the first of them.
+    # A rule that covers this one matches each team and target that this
+    # one names, so the candidates for the first of them include it.
     when = rules[position].when
     team = when.team[0] if when.team else None
     targets = dict.fromkeys((matching.list_targets(when)[0], None))
@@ -123,7 +129,10 @@
         return
     clashing = _list_set(when, _MODEL_CONDITIONS + _PROMPT_CONDITIONS)
     for name in clashing:
-        text = 'a call of a service never meets it, so the rule never matches'
+        text = (
+            'a service request never satisfies this condition, so the rule'
+            ' never matches'
+        )
         yield name, text
 
 
@@ -133,12 +142,12 @@
         names = [field.name for field in attrs.fields(type(then))]
         others = [n for n in names if n not in ('action', 'reason')]
         for name in _list_set(then, others):
-            yield name, 'a rule that refuses makes no use of it'
+            yield name, 'has no effect in a rule that refuses'
     elif then.reason:
-        yield 'reason', 'only a rule that refuses makes use of it'
+        yield 'reason', 'has an effect only in a rule that refuses'
     elif rule.when.service:
         for name in _list_set(then, _MODEL_TERMS):
-            yield name, 'a service makes no use of it'
+            yield name, 'has no effect on a service request'
 
 
 def _check_fields(rules: Sequence[configuration.Rule]) -> Iterator[Fault]:
@@ -153,9 +162,10 @@
 def check(
     draft: documents.Draft, endpoints: Sequence[fleet.Endpoint] | None = None
 ) -> list[jsonc.Problem]:
-    """List errors and warnings about a draft, in the order of the text.
+    """List errors and warnings about a draft, ordered by position.
 
-    :param endpoints: the endpoints there are, None if that is not known
+    :param endpoints: all endpoints of the deployment; None skips the
+        checks against them
     """
     source = draft.configuration
     faults = [
--- a/packages/core/src/dunlintide_core/configreplica.py
+++ b/packages/core/src/dunlintide_core/configreplica.py
@@ -1,8 +1,8 @@
-"""How a configuration passes from process to process.
+"""Replication of the configuration between processes.
 
-Each process keeps the bytes of the newest head and of its chunks, and
-hands them on. It takes a head only with a higher revision than its own,
-and only once every chunk of it is there and its digests are right.
+Each process keeps the encoded newest head and its chunks, and serves them
+to its peers. A head is activated only if its revision is higher than the
+active one, all of its chunks are present and the digests match.
 """
 
 from typing import Iterable
@@ -19,10 +19,11 @@
 
 @attrs.frozen
 class Snapshot:
-    """A whole configuration.
+    """A complete configuration.
 
-    :ivar body: encoded head, as the store holds it
-    :ivar document: bytes of the document
+    :ivar head: decoded head
+    :ivar body: encoded head, as kept in the store
+    :ivar document: encoded document
     """
 
     head: revisions.Head
@@ -32,8 +33,9 @@
 
 @attrs.frozen
 class Offer:
-    """What a process says of its configuration; revision 0 for none.
+    """Announcement of a process's active configuration.
 
+    :ivar revision: revision of the configuration, 0 for none
     :ivar digest: digest of the encoded head
     """
 
@@ -42,11 +44,12 @@
 
 
 class ConfigurationReplica:
-    """Configuration of one process and the one it is pulling.
+    """Active and pending configuration of one process.
 
-    :ivar conflicts: revisions of which two different heads were seen
-    :ivar store_revision: newest revision that the store told, or None
-    :ivar refused: heads and documents that were damaged
+    :ivar snapshot: active configuration, None until the first one
+    :ivar conflicts: revisions for which two different heads were seen
+    :ivar store_revision: latest revision read from the store, or None
+    :ivar refused: number of corrupt heads and documents
     """
 
     def __init__(self) -> None:
@@ -60,12 +63,12 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force, 0 for none."""
+        """Active revision, 0 for none."""
         return self.snapshot.head.revision if self.snapshot else 0
 
     @property
     def offer(self) -> Offer:
-        """What to tell a peer."""
+        """Announcement for peers."""
         if self.snapshot is None:
             return Offer()
         digest = revisions.digest_bytes(self.snapshot.body)
@@ -73,29 +76,29 @@
 
     @property
     def known_revision(self) -> int:
-        """Newest revision of which the head is here, maybe not whole."""
+        """Newest revision whose head is known, active or pending."""
         pending = self._pending.revision if self._pending else 0
         return max(self.revision, pending)
 
     @property
     def store_behind(self) -> bool:
-        """Whether the store holds an older revision than this process.
+        """Whether the store has an older revision than this process.
 
-        So it is after the store was restored from a backup. The next
-        change has to be based on the fleet's revision.
+        This happens after the store was restored from a backup. The next
+        change must be based on the revision of the fleet.
         """
         told = self.store_revision
         return told is not None and told < self.revision
 
     def note_store_revision(self, revision: int) -> None:
-        """Take note of the revision that the store holds."""
+        """Record the revision in the store."""
         self.store_revision = revision
 
     def detect_conflict(self, offer: Offer) -> None:
-        """Look for two heads with one revision.
+        """Detect two different heads with the same revision.
 
-        Only a store that was set back can bring this about, so it is
-        no broken invariant: each keeps its own until a higher one comes.
+        This happens only after the store was restored from a backup. Each
+        process keeps its own head until a higher revision arrives.
         """
         mine = self.offer
         if offer.revision != mine.revision or offer.digest == mine.digest:
@@ -104,7 +107,10 @@
             self.conflicts.add(offer.revision)
 
     def accept_head(self, body: bytes) -> bool:
-        """Take an encoded head; True when it is newer than all known."""
+        """Make an encoded head pending if it is newer than all known heads.
+
+        :return: whether the head is pending now
+        """
         decoded = revisions.decode_head(body)
         if isinstance(decoded, result.Err):
             self.refused += 1
@@ -118,9 +124,9 @@
     def accept_stored(
         self, head: revisions.Head, document: bytes
     ) -> Snapshot | None:
-        """Take a whole configuration as the store gave it.
+        """Accept a complete configuration that was read from the store.
 
-        :return: the snapshot now in force, or None when nothing changed
+        :return: the new snapshot, or None if nothing changed
         """
         self.note_store_revision(head.revision)
         if not self.accept_head(revisions.encode_head(head)):
@@ -131,24 +137,24 @@
         return self.activate_pending()
 
     def list_missing(self) -> tuple[str, ...]:
-        """Return digests of the chunks that the pending head lacks."""
+        """Return the digests of missing chunks of the pending head."""
         if self._pending is None:
             return ()
         return revisions.find_missing(self._pending, self._chunks)
 
     def accept_chunks(self, bodies: Iterable[bytes]) -> None:
-        """Keep those chunks that the pending head asks for."""
+        """Keep the chunks that the pending head lacks."""
         wanted = set(self.list_missing())
         for body in bodies:
             digest = revisions.digest_bytes(body)
-            # Others may be here already, or belong to a newer head.
+            # Other chunks may be present already or belong to another head.
             if digest in wanted:
                 self._chunks[digest] = body
 
     def activate_pending(self) -> Snapshot | None:
-        """Put the pending head in force once it is whole.
+        """Activate the pending head if all of its chunks are present.
 
-        :return: the new snapshot, or None when nothing changed
+        :return: the new snapshot, or None if nothing changed
         """
         head = self._pending
         if head is None or self.list_missing():
@@ -166,10 +172,10 @@
         return self.snapshot
 
     def list_chunks(self, digests: Iterable[str], limit: int) -> list[bytes]:
-        """Return those chunks that are here, up to a total size.
+        """Return the chunks that are present, up to a total size.
 
-        :param limit: bytes; the first chunk comes even if it is larger,
-            unless the limit is 0
+        :param limit: bytes; the first chunk is returned even if it is
+            larger, unless the limit is 0
         """
         if limit <= 0:
             return []
@@ -187,7 +193,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the configuration that this process holds."""
+        """Memory used by heads, documents and chunks, in bytes."""
         whole = self.snapshot
         own = len(whole.body) + len(whole.document) if whole else 0
         return own + sum(map(len, self._chunks.values()))
--- a/packages/core/src/dunlintide_core/configuration.py
+++ b/packages/core/src/dunlintide_core/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: teams, models, services and rules."""
+"""Configuration that operators edit: teams, models, services and rules."""
 
 import enum
 
@@ -27,7 +27,7 @@
 
 
 class Action(enum.StrEnum):
-    """What a rule does with the requests that it matches."""
+    """Action that a rule applies to matching requests."""
 
     ROUTE = 'route'
     REFUSE = 'refuse'
@@ -35,11 +35,11 @@
 
 @attrs.frozen
 class Team:
-    """A team of the consortium, which sends requests.
+    """A team (a customer), which sends requests.
 
     :ivar name: unique name
     :ivar key_hashes: SHA-256 of each of its bearer keys, lower-case hex
-    :ivar priority: 0 (first) and up; goes before that of a rule
+    :ivar priority: 0 (highest) and up; takes precedence over a rule's
     """
 
     name: str
@@ -54,9 +54,9 @@
     :ivar name: name in requests and rules
     :ivar version: version that is served
     :ivar layers: number of layers, numbered from 0
-    :ivar adapters: adapters that endpoints may load on it
-    :ivar replicas: endpoints wanted for each layer range, as far as
-        spare ones allow
+    :ivar adapters: adapters that endpoints may load on the model
+    :ivar replicas: target number of endpoints per layer range, limited by
+        the spare engines available
     """
 
     name: str
@@ -70,7 +70,7 @@
 class Service:
     """A plain HTTP service behind ``/services/NAME/``.
 
-    :ivar repeatable: whether its calls may be sent again by default
+    :ivar repeatable: whether requests may be retried by default
     """
 
     name: str
@@ -79,9 +79,9 @@
 
 @attrs.frozen
 class Share:
-    """A service and its part of the requests of a rule.
+    """A service and its weight in a traffic split.
 
-    :ivar weight: part of the requests, against the other weights
+    :ivar weight: share of the requests, relative to the other weights
     """
 
     service: str
@@ -90,14 +90,15 @@
 
 @attrs.frozen
 class When:
-    """Conditions of a rule; one that is left out matches anything.
+    """Conditions of a rule; an omitted condition matches every request.
 
     Several values in one field are alternatives; all fields must match.
-    :ivar host: host name that was asked, without a port
-    :ivar path: glob over the request's path
+    :ivar host: requested host name, without a port
+    :ivar path: glob that the request's path must match
     :ivar prompt_tokens_min: least estimated prompt size, in tokens
     :ivar prompt_tokens_max: largest estimated prompt size, in tokens
-    :ivar failure_domain: failure domain of the entry that was asked
+    :ivar failure_domain: failure domain of the entry that received the
+        request
     """
 
     team: tuple[str, ...] = attrs.field(
@@ -119,7 +120,7 @@
 
 
 def name_condition(field: str) -> str:
-    """Tell how documents call a condition.
+    """Return the name of a condition in configuration documents.
 
     :param field: name of the field of :class:`When`
     """
@@ -128,28 +129,32 @@
 
 @attrs.frozen
 class Then:
-    """Terms on which a matched request is served.
+    """Action and parameters that a rule applies to a matched request.
 
-    :ivar model: model to use instead of the one asked for
+    :ivar model: model to use instead of the requested one
     :ivar version: model version to use
-    :ivar accelerators: accelerator kinds that may serve, empty for any
-    :ivar weight: share of the team in fair queueing, above 0
-    :ivar rate: requests a second for the team over all entries
-    :ivar concurrency: requests in flight for the team, all entries
-    :ivar deadline_seconds: time from arrival to the whole answer
-    :ivar priority: 0 (first) to 3 (last)
-    :ivar repeatable: whether the router may run the request again
+    :ivar accelerators: accelerator kinds allowed to serve the request,
+        empty for any
+    :ivar weight: weight of the team in fair queueing, above 0
+    :ivar rate: rate limit of the team over all entries, in requests per
+        second; None for no limit
+    :ivar concurrency: limit on the team's requests in flight over all
+        entries; None for no limit
+    :ivar deadline_seconds: time from arrival to the complete response
+    :ivar priority: 0 (highest) to 3 (lowest)
+    :ivar repeatable: whether the router may retry the request
     :ivar retention_seconds: how long an idempotency key is remembered
-    :ivar reason: text of a refusal
-    :ivar services: services that share the requests, empty for the one
-        that was asked
+    :ivar reason: explanation that a refused caller gets
+    :ivar services: services among which the requests are split, empty for
+        the requested one
     :ivar public: whether requests need no key
-    :ivar stream: whether answers are streams of events
-    :ivar resumable: whether a stream may go on at another endpoint
-    :ivar attempts: most endpoints that one request is sent to
-    :ivar target_seconds: time to the answer, or the first event of a
-        stream, within which it has its full worth
-    :ivar gap_seconds: longest pause between two events of a stream
+    :ivar stream: whether responses are event streams
+    :ivar resumable: whether another endpoint may resume a broken stream
+    :ivar attempts: maximum number of endpoints that one request is sent to
+    :ivar target_seconds: target latency to the response, or to the first
+        event of a stream
+    :ivar gap_seconds: target for the longest pause between two events of a
+        stream
     """
 
     action: Action = Action.ROUTE
@@ -176,7 +181,7 @@
 
 @attrs.frozen
 class Rule:
-    """One when-then rule; the first that matches decides."""
+    """A routing rule; the first rule that matches a request applies."""
 
     name: str
     when: When
@@ -185,7 +190,7 @@
 
 @attrs.frozen
 class Configuration:
-    """Everything that operators edit as one document."""
+    """Configuration that operators edit as one document."""
 
     teams: tuple[Team, ...] = attrs.field(
         default=(), metadata=schemas.rename('members')
--- a/packages/core/src/dunlintide_core/coverage.py
+++ b/packages/core/src/dunlintide_core/coverage.py
@@ -1,4 +1,4 @@
-"""Whether the endpoints there are can serve what a configuration names."""
+"""Checks of a configuration against the endpoints of the deployment."""
 
 import collections
 from typing import Iterable, Iterator, Sequence
@@ -16,9 +16,9 @@
 
 
 def find_reach(ranges: Iterable[tuple[int, int]]) -> int:
-    """Give the layer up to which ranges can be chained from layer 0.
+    """Return the last layer that a chain of ranges from layer 0 reaches.
 
-    Each range of a chain starts where the one before it ends.
+    Each range of a chain starts where the previous one ends.
 
     :param ranges: half-open layer ranges
     """
@@ -48,13 +48,13 @@
     model: configuration.Model, engines: Sequence[fleet.Endpoint]
 ) -> Iterator[str]:
     if not engines:
-        yield f'no endpoint holds version "{model.version}" of it'
+        yield f'no endpoint holds version "{model.version}" of this model'
         return
     fitting = [e for e in engines if e.layer_count == model.layers]
     others = sorted({e.layer_count for e in engines} - {model.layers})
     if others:
         yield (
-            f'it has {model.layers} layers here, but endpoints hold it with'
+            f'configured with {model.layers} layers, but endpoints report'
             f' {", ".join(map(str, others))}'
         )
     ranges = _list_ranges(fitting)
@@ -62,7 +62,7 @@
     if fitting and reach != model.layers:
         yield (
             f'the endpoints cannot tile layers 0 to {model.layers}: chains'
-            f' end at layer {reach}; the ranges are'
+            f' end at layer {reach}; available layer ranges:'
             f' {_describe_ranges(ranges)}'
         )
 
@@ -116,8 +116,8 @@
 ) -> Iterator[Fault]:
     """List models, services and rules that the endpoints cannot serve.
 
-    :param endpoints: all endpoints there are
-    :returns: path and text of each fault
+    :param endpoints: all endpoints of the deployment
+    :returns: path and description of each fault
     """
     engines = _group_engines(endpoints)
     for index, model in enumerate(source.models):
@@ -127,7 +127,7 @@
     served = {endpoint.service for endpoint in endpoints}
     for index, service in enumerate(source.services):
         if service.name not in served:
-            yield ('services', index), 'no endpoint serves it'
+            yield ('services', index), 'no endpoint serves this service'
     for index, rule in enumerate(source.rules):
         if rule.then.accelerators:
             path = ('rules', index, 'then', 'accelerators')
--- a/packages/core/src/dunlintide_core/documents.py
+++ b/packages/core/src/dunlintide_core/documents.py
@@ -1,4 +1,8 @@
-"""Operators' documents: read from text, and their canonical form."""
+"""Parsing, encoding and decoding of configuration documents.
+
+Operators write JSON with comments; the store and the peers use a
+canonical JSON form.
+"""
 
 from typing import Any, Iterable
 
@@ -24,10 +28,10 @@
 
 @attrs.frozen
 class Draft:
-    """A configuration as an operator wrote it.
+    """A configuration parsed from an operator's document.
 
-    :ivar configuration: items in the order of the text
-    :ivar document: where each of them stands
+    :ivar configuration: items in the order of the document
+    :ivar document: parsed document with the position of each item
     """
 
     configuration: configuration.Configuration
@@ -58,11 +62,11 @@
 def load_configuration(
     text: str, file: str
 ) -> result.Result[Draft, list[jsonc.Problem]]:
-    """Read an operators' document.
+    """Parse and validate a configuration document.
 
     :param text: JSON with comments
-    :param file: its name, for messages
-    :returns: the draft, or every problem that was found
+    :param file: file name for messages
+    :returns: the draft, or all problems found
     """
     parsed = jsonc.parse(text, file)
     if parsed.is_err():
@@ -86,10 +90,10 @@
 
 
 def encode_configuration(source: configuration.Configuration) -> bytes:
-    """Give the canonical form: sorted JSON without default values.
+    """Return the canonical form: sorted JSON without default values.
 
     Teams, models and services are sorted by name; rules keep their
-    order. Equal configurations give equal bytes.
+    order. Equal configurations have equal encodings.
     """
     ordered = attrs.evolve(
         source,
@@ -106,10 +110,10 @@
 ) -> result.Result[configuration.Configuration, revisions.Corruption]:
     """Decode the canonical form.
 
-    A field that this version does not know is refused: to leave out a
-    condition would widen its rule.
+    Unknown fields are an error: if a condition were ignored, its rule
+    would match more requests than intended.
 
-    :returns: the configuration, or why the bytes are none
+    :returns: the configuration, or why the bytes cannot be decoded
     """
     try:
         value = msgspec.json.decode(body)
--- a/packages/core/src/dunlintide_core/exchanges.py
+++ b/packages/core/src/dunlintide_core/exchanges.py
@@ -1,4 +1,4 @@
-"""Messages of one round of anti-entropy."""
+"""Messages of an anti-entropy (gossip) round between two processes."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Target:
-    """Whom to call; a seed has an address and no name yet."""
+    """Peer to call; the name of a seed is not known yet."""
 
     address: str
     name: str = ''
@@ -18,13 +18,19 @@
 
 @attrs.frozen
 class Request:
-    """What a process tells a peer and asks of it.
+    """Request of an anti-entropy round.
 
-    :ivar sender: its own record; in short (no address) after the first
-    :ivar known_revision: newest revision whose head it has
-    :ivar reconcile: whether to answer with hashes when views differ
-    :ivar buckets: buckets of which ``digests`` are all that it has
-    :ivar wanted_chunks: digests of chunks to send
+    :ivar sender: record of the sender; shortened (without address) when
+        the receiver already has the complete one
+    :ivar offer: configuration that the sender can supply
+    :ivar known_revision: newest revision whose head the sender has
+    :ivar members_hash: hash of the sender's membership view
+    :ivar changes: membership changes for the receiver to merge
+    :ivar reconcile: whether the receiver replies with bucket hashes when
+        the views differ
+    :ivar buckets: buckets for which ``digests`` is complete
+    :ivar digests: digests of the sender's records in ``buckets``
+    :ivar wanted_chunks: digests of the chunks that the sender lacks
     """
 
     sender: records.Record
@@ -40,11 +46,16 @@
 
 @attrs.frozen
 class Reply:
-    """Answer to a request.
+    """Reply to a request.
 
-    :ivar head: encoded head, when it is newer than the asker's
-    :ivar bucket_hashes: hashes of this view, when they were asked for
-    :ivar wanted_members: names of which the asker knows more
+    :ivar offer: configuration that the replying process can supply
+    :ivar head: encoded head if it is newer than the requester's, else
+        empty
+    :ivar chunks: bodies of requested chunks, up to a size limit
+    :ivar changes: membership changes for the requester to merge
+    :ivar bucket_hashes: bucket hashes of this view, if requested and if
+        the views differ
+    :ivar wanted_members: names whose records are newer at the requester
     """
 
     sender: records.Record
--- a/packages/core/src/dunlintide_core/fleet.py
+++ b/packages/core/src/dunlintide_core/fleet.py
@@ -1,4 +1,4 @@
-"""Processes of the deployment as the others know them."""
+"""Description of processes and endpoints as shared within the fleet."""
 
 import enum
 
@@ -14,14 +14,14 @@
 
 
 class Role(enum.StrEnum):
-    """What a daemon does."""
+    """Role of a daemon."""
 
     ENTRY = 'entry'
     AGENT = 'agent'
 
 
 class EndpointKind(enum.StrEnum):
-    """What stands behind an agent."""
+    """Kind of back end that an agent serves."""
 
     ENGINE = 'engine'
     SERVICE = 'service'
@@ -29,16 +29,17 @@
 
 @attrs.frozen
 class Endpoint:
-    """What an agent stands before.
+    """Endpoint (back end) of an agent.
 
-    Layers are the half-open range ``[layer_start, layer_end)`` of a
-    model with ``layer_count`` layers.
+    An engine holds the layers ``[layer_start, layer_end)`` of a model with
+    ``layer_count`` layers.
     :ivar tokens_per_second: declared capacity over all requests
-    :ivar checks_fence: whether the engine itself refuses an order that
-        carries an old fencing number
-    :ivar max_in_flight: fixed bound on concurrent requests, 0 for none
-    :ivar max_layers: most layers that it can hold, 0 for any number
-    :ivar away: whether it does not answer its agent
+    :ivar checks_fence: whether the engine itself refuses an order with an
+        outdated fencing token
+    :ivar max_in_flight: fixed limit on concurrent requests, 0 for none
+    :ivar max_layers: maximum number of layers that the engine can hold, 0
+        for no limit
+    :ivar away: whether the endpoint does not answer its agent
     """
 
     kind: EndpointKind
@@ -57,7 +58,7 @@
 
     @property
     def is_spare(self) -> bool:
-        """Whether it is an engine that holds no layers."""
+        """Whether the endpoint is an engine without layers."""
         return (
             self.kind is EndpointKind.ENGINE
             and self.layer_start >= self.layer_end
@@ -66,11 +67,13 @@
 
 @attrs.frozen
 class Peer:
-    """One process, in one life of it.
+    """One incarnation of a process.
 
-    :ivar incarnation: rises with every start of the same name
-    :ivar address: ``host:port`` of its link server
-    :ivar edition: rises within an incarnation when the endpoint changes
+    :ivar incarnation: increases with every start of the process
+    :ivar address: ``host:port`` of the link server
+    :ivar endpoint: endpoint of an agent, None for an entry
+    :ivar leaving: whether the process has announced that it leaves
+    :ivar edition: increases within an incarnation when the endpoint changes
     """
 
     name: str
@@ -86,10 +89,12 @@
 
 @attrs.frozen
 class LoadReport:
-    """Load of one agent as it last told it.
+    """Most recent load report of an agent.
 
-    :ivar age: seconds since it was received
-    :ivar away: whether the endpoint does not answer
+    :ivar running: requests that run on the endpoint
+    :ivar queued: requests that wait at the agent
+    :ivar age: seconds since the report was received
+    :ivar away: whether the endpoint does not answer the agent
     :ivar step_seconds: recent mean duration of one engine step
     """
 
--- a/packages/core/src/dunlintide_core/identities.py
+++ b/packages/core/src/dunlintide_core/identities.py
@@ -1,8 +1,8 @@
-"""Who a process is by its certificate, and what its role may send.
+"""Identity of a process by its certificate, and frames its role may send.
 
-A certificate names its process by DNS names, the only kind that the side
-that dials can ask for: ``NAME.ROLE.DOMAIN``, ``ROLE.DOMAIN`` for those
-that know the role only, and ``DOMAIN`` for those that know neither.
+A certificate carries DNS names, the only kind of name that a connecting
+process can verify: ``NAME.ROLE.DOMAIN``, ``ROLE.DOMAIN`` for clients that
+know only the role, and ``DOMAIN`` for clients that know neither.
 """
 
 import re
@@ -28,7 +28,7 @@
 _ENTRY = fleet.Role.ENTRY
 _AGENT = fleet.Role.AGENT
 _ALWAYS = frozenset(('hello', 'ping'))
-# Bodies of frames by who sends them and who gets them.
+# Frame bodies by the roles of sender and receiver.
 _BODIES = {
     (_ENTRY, _AGENT): (
         'open',
@@ -68,28 +68,32 @@
 
 @attrs.frozen
 class Identity:
-    """Whom a certificate names."""
+    """Role and name of the process that a certificate identifies."""
 
     role: str
     name: str
 
 
 def is_host_name(text: str) -> bool:
-    """Tell whether a text can be part of a DNS name."""
+    """Return whether a text is a valid DNS name."""
     return len(text) <= _MAX_NAME and bool(_HOST_NAME.fullmatch(text))
 
 
 def list_names(identity: Identity, domain: str) -> tuple[str, str, str]:
-    """List the DNS names of a process's certificate, the longest first."""
+    """List the DNS names of a process's certificate, longest first.
+
+    :param domain: common suffix of the DNS names of all processes
+    """
     role = f'{identity.role}.{domain}'
     return f'{identity.name}.{role}', role, domain
 
 
 def read_identity(names: Iterable[str], domain: str) -> Identity | None:
-    """Read whom a certificate names.
+    """Return the process that a certificate identifies.
 
-    :param names: its DNS names
-    :returns: None when it names none, or several
+    :param names: DNS names of the certificate
+    :param domain: common suffix of the DNS names of all processes
+    :returns: None if the certificate identifies no process, or several
     """
     found = set()
     for role in fleet.Role:
@@ -103,9 +107,12 @@
 
 
 def find_mismatch(identity: Identity | None, role: str, name: str) -> str:
-    """Say why a claim does not fit a certificate; empty when it does.
+    """Describe a mismatch between a certificate and a claimed identity.
 
-    :param identity: whom the certificate names
+    :param identity: process that the certificate identifies
+    :param role: claimed role
+    :param name: claimed name
+    :returns: empty if both agree
     """
     if identity is None:
         return 'its certificate names no process'
@@ -118,5 +125,5 @@
 
 
 def list_permitted_bodies(sender: str, receiver: str) -> frozenset[str]:
-    """List the bodies of frames that one role may send to another."""
+    """List the frame bodies that one role may send to another."""
     return _PERMITTED.get((sender, receiver), _ALWAYS)
--- a/packages/core/src/dunlintide_core/jsonc.py
+++ b/packages/core/src/dunlintide_core/jsonc.py
@@ -1,4 +1,4 @@
-"""JSON with comments, parsed into values that know where they stood."""
+"""Parser for JSON with comments that keeps the position of each value."""
 
 import enum
 import json
@@ -32,7 +32,7 @@
 
 
 class Level(enum.StrEnum):
-    """How grave a problem is."""
+    """Severity of a problem."""
 
     ERROR = 'error'
     WARNING = 'warning'
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Position:
-    """A place in a text; both numbers count from 1, in characters."""
+    """Line and column in a text, both counted from 1, in characters."""
 
     line: int
     column: int
@@ -48,12 +48,12 @@
 
 @attrs.frozen
 class Problem:
-    """Something wrong in a file that an operator wrote.
+    """Error or warning about a position in an operator's file.
 
     :ivar line: line, from 1
     :ivar column: column, from 1, in characters
-    :ivar path: the field, as ``rules[2].when.team``
-    :ivar message: what is wrong and what was expected
+    :ivar path: path of the field, such as ``rules[2].when.team``
+    :ivar message: description with the expected and the actual value
     """
 
     file: str
@@ -70,12 +70,12 @@
 
 
 def sort_problems(problems: Iterable[Problem]) -> list[Problem]:
-    """Put problems in the order of the text."""
+    """Sort problems by their position."""
     return sorted(problems, key=lambda p: (p.line, p.column))
 
 
 def format_path(path: Path) -> str:
-    """Write a path as ``rules[2].when.team``."""
+    """Format a path as ``rules[2].when.team``."""
     text = ''
     for part in path:
         if isinstance(part, int):
@@ -87,11 +87,12 @@
 
 @attrs.frozen
 class Document:
-    """A parsed text.
+    """A parsed document.
 
+    :ivar file: file name for messages
     :ivar value: plain dicts, lists and scalars
-    :ivar values: where each value starts
-    :ivar keys: where the key of each field starts
+    :ivar values: start position of each value
+    :ivar keys: start position of the key of each field
     """
 
     file: str
@@ -100,7 +101,10 @@
     keys: Mapping[Path, Position]
 
     def locate(self, path: Path) -> Position:
-        """Give the position of a value, or of what would hold it."""
+        """Return the position of a value.
+
+        The position of a missing value is that of its nearest container.
+        """
         while path not in self.values:
             path = path[:-1]
         return self.values[path]
@@ -113,9 +117,9 @@
         *,
         key: bool = False,
     ) -> Problem:
-        """Make a problem that points at a value.
+        """Create a problem at the position of a value.
 
-        :param key: point at the field's key instead
+        :param key: use the position of the field's key instead
         """
         place = self.keys.get(path) if key else None
         place = place or self.locate(path)
@@ -126,7 +130,7 @@
 
 
 class _Reader:
-    """Builds values and collects positions and problems of one text."""
+    """Converter of a syntax tree to values, positions and problems."""
 
     def __init__(self, text: str, file: str):
         self.source = text.encode()
@@ -167,7 +171,9 @@
             self.report(self.place(node), path, f'bad {node.type}: {error}')
             return None
         if isinstance(value, str) and _SURROGATE.search(value):
-            self.report(self.place(node), path, 'half of a surrogate pair')
+            self.report(
+                self.place(node), path, 'unpaired surrogate in a string'
+            )
         return value
 
     def read_object(self, node: tree_sitter.Node, path: Path) -> dict:
@@ -199,8 +205,9 @@
 
 
 def _find_syntax_error(reader: _Reader, root: tree_sitter.Node) -> None:
-    # The tree marks a wide span; the standard decoder, given the text
-    # with its comments blanked, names the very character.
+    # The error node of the tree covers a wide span. The decoder of the
+    # standard library reports the exact character, but accepts no
+    # comments, so these are replaced by spaces.
     blanked = bytearray(reader.source)
     for node in _walk(root):
         if node.type == 'comment':
@@ -228,9 +235,8 @@
 
     A trailing comma is an error, as in plain JSON.
 
-    :param text: the text
-    :param file: its name, for messages
-    :returns: the document, or every problem that was found
+    :param file: file name for messages
+    :returns: the document, or all problems found
     """
     try:
         reader = _Reader(text, file)
--- a/packages/core/src/dunlintide_core/leadership.py
+++ b/packages/core/src/dunlintide_core/leadership.py
@@ -1,10 +1,9 @@
-"""Leadership of a model by a lease of the store, as one process sees it.
+"""Leadership of a model, held by a lease in the store.
 
-A lease that was renewed at some moment is held for its whole duration
-from then on. That moment is taken to be the one before the renewal was
-sent, so a leader's own deadline never lies behind the store's, however
-slow the answer. A process that was paused sees by its clock that the
-deadline has passed before it does anything.
+A leader measures the validity of its lease from the moment just before it
+sent the last renewal, so however slow the answer, its own deadline never
+lies after the store's. A process that was paused checks the deadline
+against its clock before it acts as leader.
 """
 
 import enum
@@ -23,13 +22,16 @@
     'pick_candidates',
 ]
 
-# Clocks of two hosts may drift apart by this share of the lease.
+# Allowance for clock drift between two hosts, as a share of the lease.
 _DRIFT_SHARE = 0.1
 _RENEWALS_PER_LEASE = 3
 
 
 class Phase(enum.StrEnum):
-    """How a process stands to the leadership of a model."""
+    """Leadership state of a process for one model.
+
+    ``LAPSED`` means that the lease was not renewed in time.
+    """
 
     CANDIDATE = 'candidate'
     LEADER = 'leader'
@@ -38,31 +40,34 @@
 
 @attrs.frozen
 class LeaseTiming:
-    """Time constants that follow from a lease.
+    """Time constants derived from a lease.
 
-    :ivar seconds: time that the lease lives without renewal
+    :ivar seconds: time to live of the lease in the store
     """
 
     seconds: float
 
     @property
     def renewal(self) -> float:
-        """Seconds between two renewals."""
+        """Interval between two renewals, in seconds."""
         return self.seconds / _RENEWALS_PER_LEASE
 
     @property
     def validity(self) -> float:
-        """Seconds for which a renewal is relied on."""
+        """Time for which a renewal keeps the leader valid, in seconds.
+
+        Shorter than the lease, to allow for clock drift.
+        """
         return self.seconds * (1 - _DRIFT_SHARE)
 
 
 @attrs.frozen
 class Term:
-    """One unbroken leadership of one process.
+    """Uninterrupted leadership of one process.
 
-    :ivar fence: revision of the store at which it began; a later term
-        always has a higher one
-    :ivar lease: lease that the leader's key hangs on
+    :ivar fence: fencing token, the store revision at which the term began;
+        increases with every term
+    :ivar lease: id of the lease that the leader's key is attached to
     :ivar renewed: monotonic time just before the last renewal was sent
     """
 
@@ -72,10 +77,14 @@
 
 
 class Leadership:
-    """State of one process towards one model; times are monotonic."""
+    """Leadership state of one process for one model.
+
+    All times are in seconds of the monotonic clock.
+    :ivar term: current term, None for a candidate
+    """
 
     def __init__(self, timing: LeaseTiming) -> None:
-        """Begin as a candidate."""
+        """Create a candidate."""
         self.timing = timing
         self.term: Term | None = None
 
@@ -84,9 +93,9 @@
         self.term = term
 
     def renew(self, sent_at: float) -> None:
-        """Take a renewal that the store has confirmed.
+        """Record a renewal that the store has confirmed.
 
-        :param sent_at: time just before it was sent
+        :param sent_at: time just before the renewal was sent
         """
         if self.term is not None and sent_at > self.term.renewed:
             self.term = attrs.evolve(self.term, renewed=sent_at)
@@ -96,7 +105,7 @@
         self.term = None
 
     def get_phase(self, now: float) -> Phase:
-        """Tell how this process stands now."""
+        """Return the leadership state at a time."""
         if self.term is None:
             return Phase.CANDIDATE
         if now < self.term.renewed + self.timing.validity:
@@ -104,16 +113,16 @@
         return Phase.LAPSED
 
     def get_fence(self, now: float) -> int | None:
-        """Give the fencing number to order with, None for no leader."""
+        """Return the fencing token for orders, None unless leading."""
         if self.get_phase(now) is Phase.LEADER:
             return self.term.fence
         return None
 
     def needs_renewal(self, now: float) -> bool:
-        """Tell whether the lease should be renewed now.
+        """Return whether the lease should be renewed now.
 
-        A lapsed term is renewed as well: where the store still has the
-        lease, nobody else can have led since.
+        A lapsed term is renewed as well: as long as the lease exists in
+        the store, no other process can have become leader.
         """
         term = self.term
         return term is not None and now >= term.renewed + self.timing.renewal
@@ -121,7 +130,7 @@
 
 @attrs.frozen
 class Candidate:
-    """A process that could lead."""
+    """A process that is eligible as leader."""
 
     name: str
     failure_domain: str = ''
@@ -130,13 +139,14 @@
 def pick_candidates(
     model: str, entries: Iterable[Candidate], count: int
 ) -> tuple[str, ...]:
-    """Pick the processes that try to lead a model.
+    """Select the processes that compete for the leadership of a model.
 
-    Every process picks the same ones of the same list, by rendezvous
-    hashing, and from as many failure domains as there are.
+    Uses rendezvous hashing, so every process selects the same candidates
+    from the same list, and spreads them over as many failure domains as
+    possible.
 
-    :param count: how many, at most
-    :returns: their names, best first
+    :param count: maximum number of candidates
+    :returns: names by descending preference
     """
     ranked = sorted(
         entries,
--- a/packages/core/src/dunlintide_core/liveness.py
+++ b/packages/core/src/dunlintide_core/liveness.py
@@ -1,8 +1,8 @@
-"""Whether a process is there, for who decides what to replace.
+"""Assessment of whether a process is alive, for placement decisions.
 
-Less than what it takes to declare a process dead, since a replacement
-that turns out needless does little harm, and more than one opinion, since
-one process may be cut off by a fault of its own.
+This requires less evidence than declaring a process dead, since a needless
+replacement does little harm. It requires more than one witness, since a
+single witness may be cut off itself.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class Liveness(enum.Enum):
-    """What is held of a process."""
+    """Assessed liveness of a process."""
 
     PRESENT = enum.auto()
     SUSPECT = enum.auto()
@@ -29,10 +29,10 @@
 
 
 def count_needed_domains(domains: Collection[str]) -> int:
-    """Return from how many failure domains a process has to be missed.
+    """Return how many failure domains must report a process as unreachable.
 
-    A cut between two failure domains makes all of one miss the other,
-    which a third still reaches.
+    When the network between two failure domains fails, all processes of
+    one report those of the other, which a third still reaches.
 
     :param domains: failure domains of the fleet
     """
@@ -42,10 +42,13 @@
 def assess(
     state: records.State | str, witnesses: Mapping[str, str], domains: int
 ) -> Liveness:
-    """Judge a process by who misses it.
+    """Assess the liveness of a process from its witnesses.
 
-    :param witnesses: who could not reach it, each with its failure domain
-    :param domains: from how many failure domains it has to be missed
+    :param state: membership state of the process
+    :param witnesses: failure domain of each process that could not reach
+        it, by name
+    :param domains: number of failure domains of the witnesses at which
+        the process counts as gone
     """
     if state in _GONE:
         return Liveness.GONE
--- a/packages/core/src/dunlintide_core/matching.py
+++ b/packages/core/src/dunlintide_core/matching.py
@@ -1,9 +1,9 @@
-"""Which rule decides a request: the first whose conditions all hold.
+"""Search for the first rule that matches a request.
 
-The index keeps, for each team, target (a model or a service) and first
-segment of a path, the positions of the rules that name them. A request
-looks at eight such lists, merged in the order of the rules, so rules about
-others cost it nothing.
+The index maps each combination of team, target (a model or a service) and
+first path segment to the positions of the rules that name it. A lookup
+merges at most eight such lists in rule order, so its cost does not depend
+on rules for other teams, targets or paths.
 """
 
 import collections
@@ -27,25 +27,27 @@
     'match_by_scan',
 ]
 
-# A rule that names more pairs than this is listed by team only.
+# A rule with more pairs of team and target than this is indexed by team
+# only, to bound the size of the index.
 MAX_PAIRS = 1024
 
 Target = tuple[str, str]
 Condition = Callable[['Query'], bool]
 _Key = tuple[str | None, Target | None, str | None]
-# The first segment of a path, where a glob has no wildcard in it.
+# First segment of a path or glob; no match if it contains a wildcard.
 _SEGMENT = re.compile(r'/[^/*?\[]+/')
 
 
 @attrs.frozen
 class Query:
-    """What rules can ask of a request.
-
-    :ivar model: model asked for, empty for a service call
-    :ivar service: service called, empty for a model request
-    :ivar priority: priority asked for, None for none
-    :ivar failure_domain: failure domain of the entry that was asked
-    :ivar prompt_tokens: estimated size of the prompt
+    """Properties of a request that rules can match.
+
+    :ivar model: requested model, empty for a service request
+    :ivar service: requested service, empty for a model request
+    :ivar priority: requested priority, None if unspecified
+    :ivar failure_domain: failure domain of the entry that received the
+        request
+    :ivar prompt_tokens: estimated prompt size, in tokens
     """
 
     team: str
@@ -62,13 +64,13 @@
 
 @attrs.frozen
 class Mismatch:
-    """Why a rule does not match.
+    """Reason why a rule does not match a request.
 
     :ivar rule: name of the rule
-    :ivar position: its position, from 0
-    :ivar condition: field of ``when`` that failed first
-    :ivar wanted: what the rule asks for
-    :ivar found: what the request has
+    :ivar position: position of the rule, from 0
+    :ivar condition: first field of ``when`` that does not match
+    :ivar wanted: value that the rule requires
+    :ivar found: value of the request
     """
 
     rule: str
@@ -80,9 +82,10 @@
 
 @attrs.frozen
 class Explanation:
-    """Which rule decides and why each earlier one does not.
+    """The rule that matches and why earlier rules do not.
 
-    :ivar rule: the rule, None if none matches
+    :ivar rule: first matching rule, None if no rule matches
+    :ivar misses: one mismatch for each earlier rule, in rule order
     """
 
     rule: configuration.Rule | None
@@ -98,7 +101,8 @@
 
 
 def _make_glob(glob: str) -> Condition:
-    # Compiled when first used and cached, for most are used by few.
+    # fnmatch compiles the pattern at its first use and caches it; most
+    # patterns are used by few requests.
     return lambda query: fnmatch.fnmatchcase(query.path, glob)
 
 
@@ -131,7 +135,7 @@
 
 
 def find_mismatch(when: configuration.When, query: Query) -> str | None:
-    """Name the first condition that a request fails, or None.
+    """Return the first condition that a request does not match, or None.
 
     :param when: conditions of a rule
     """
@@ -144,9 +148,10 @@
 def match_by_scan(
     rules: Sequence[configuration.Rule], query: Query
 ) -> configuration.Rule | None:
-    """Find the first rule that matches by trying each in turn.
+    """Find the first rule that matches by linear search.
 
-    This states what the index must give; use the index for requests.
+    Reference implementation for the index; use ``RuleIndex`` to serve
+    requests.
     """
     for rule in rules:
         if find_mismatch(rule.when, query) is None:
@@ -160,7 +165,7 @@
 
 
 def explain(rules: Sequence[configuration.Rule], query: Query) -> Explanation:
-    """Tell which rule decides a request and why earlier ones do not."""
+    """Return the matching rule and the mismatches of earlier rules."""
     misses = []
     for position, rule in enumerate(rules):
         failed = find_mismatch(rule.when, query)
@@ -173,7 +178,7 @@
 
 
 def list_targets(when: configuration.When) -> list[Target | None]:
-    """List the models or services that a rule names, None for any."""
+    """List the targets that a rule names; ``[None]`` if it names none."""
     if when.model:
         return [('model', name) for name in when.model]
     if when.service:
@@ -208,7 +213,7 @@
 
 @attrs.frozen(eq=False)
 class RuleIndex:
-    """Rules by what they name; build it once for a configuration."""
+    """Index of an ordered rule list; build once per configuration."""
 
     _rules: tuple[configuration.Rule, ...]
     _conditions: tuple[tuple[Condition, ...], ...]
@@ -216,7 +221,7 @@
 
     @classmethod
     def from_rules(cls, rules: Sequence[configuration.Rule]) -> 'RuleIndex':
-        """Index an ordered list of rules."""
+        """Build the index of an ordered list of rules."""
         positions = collections.defaultdict(list)
         conditions = []
         for position, rule in enumerate(rules):
@@ -232,10 +237,13 @@
         targets: Iterable[Target | None],
         path: str | None = None,
     ) -> Iterator[int]:
-        """Give the positions of rules that do not name others, in order.
+        """Iterate in order over the positions of rules that may match.
 
-        :param targets: None among them for the rules that name none
-        :param path: path or glob asked for, None for rules about any
+        :param team: team of the request; rules without a team are included
+        :param targets: targets of the request; include None for the rules
+            that name no target
+        :param path: path or glob; None restricts the search to rules
+            without a literal first segment
         """
         segments = dict.fromkeys((_find_segment(path), None))
         lists = [
--- a/packages/core/src/dunlintide_core/membership.py
+++ b/packages/core/src/dunlintide_core/membership.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet, as one process sees it."""
+"""Membership of the fleet as seen by one process."""
 
 import math
 
@@ -17,19 +17,21 @@
 
 
 def _get_shown_fields(record: records.Record) -> tuple[object, ...]:
-    """Return what others than this view go by."""
+    """Return the fields of a record that users of the view depend on."""
     return record.peer, record.state, record.witnesses
 
 
 class View:
-    """What one process knows of all.
-
-    :ivar generation: rises whenever the state of a process changes
-    :ivar population: rises whenever a process comes or dies
-    :ivar changes: rises whenever a process, its state or who misses it
-        changes
-    :ivar refutations: times this process had to contradict a suspicion
-    :ivar deaths: processes that this view itself declared dead
+    """Membership view of one process.
+
+    :ivar name: name of this process
+    :ivar generation: incremented when the state of a process changes
+    :ivar population: incremented when a process joins or is declared dead
+    :ivar changes: incremented when the description, state or witnesses of
+        a process change
+    :ivar refutations: number of suspicions of itself that this process
+        has refuted
+    :ivar deaths: number of processes that this process declared dead
     """
 
     def __init__(
@@ -56,12 +58,12 @@
 
     @property
     def own_record(self) -> records.Record:
-        """records.Record of this process."""
+        """Record of this process."""
         return self._records[self.name]
 
     @property
     def bucket_hashes(self) -> tuple[int, ...]:
-        """Hash of each bucket's records."""
+        """Hash of the records in each bucket, by bucket index."""
         return self._buckets.hashes
 
     @property
@@ -74,15 +76,15 @@
         return self._records.get(name)
 
     def list_records(self) -> list[records.Record]:
-        """Return all records, tombstones too."""
+        """Return all records, including tombstones."""
         return list(self._records.values())
 
     def list_present(self) -> list[records.Record]:
-        """Return the records of all that are not dead."""
+        """Return the records of all processes that are not dead."""
         return [each for each in self._records.values() if not each.dead]
 
     def list_usable(self) -> list[fleet.Peer]:
-        """Return the processes that may be given new work."""
+        """Return the processes that may receive new requests."""
         return [
             each.peer
             for each in self._records.values()
@@ -120,17 +122,18 @@
         self._suspect_timers.pop(name, None)
 
     def merge(self, now: float, record: records.Record) -> bool:
-        """Take in a record from a peer; True when it told something new.
+        """Merge a record from a peer into the view.
 
         :param now: seconds
+        :returns: whether the view changed
         """
         name = record.peer.name
         if name == self.name:
             return self._refute(now, record)
         old = self._records.get(name)
         if old is None:
-            # Without an address there is nothing to reach it by; the
-            # reconciliation brings the whole record.
+            # A shortened record has no address to connect to. The next
+            # reconciliation fetches the complete one.
             if record.peer.address and not record.dead:
                 self._store(now, record)
                 return True
@@ -155,13 +158,13 @@
         return False
 
     def announce_leaving(self, now: float) -> None:
-        """Announce that this process leaves."""
+        """Announce that this process leaves the fleet."""
         mine = self.own_record
         peer = attrs.evolve(mine.peer, leaving=True)
         self._store(now, records.Record(peer, mine.version + 1))
 
     def update_endpoint(self, now: float, endpoint: fleet.Endpoint) -> None:
-        """Announce that this process stands before something else."""
+        """Announce a changed endpoint of this process."""
         mine = self.own_record
         if mine.peer.endpoint == endpoint:
             return
@@ -171,8 +174,12 @@
         self._store(now, records.Record(peer, mine.version + 1))
 
     def report_unreachable(self, now: float, name: str, domain: str) -> None:
-        """Add this process as a witness that another is silent.
+        """Add this process as a witness that a process is unreachable.
 
+        Has no effect once there are enough witnesses, unless this process
+        adds a failure domain that is still needed.
+
+        :param name: process that does not answer
         :param domain: failure domain of this process
         """
         record = self._records.get(name)
@@ -200,12 +207,12 @@
         return domains
 
     def merge_host_list(self, now: float, live: set[str]) -> None:
-        """Take in the lagging host list as one more witness.
+        """Use the host list as a further witness against suspects.
 
-        It counts only against a process that a peer already suspects and
-        that the list once held, since it lags behind starts too.
+        The list lags behind starts and stops, so it counts only against a
+        process that a peer already suspects and that was listed before.
 
-        :param live: names in the list, leaving ones included
+        :param live: names in the list, including leaving processes
         """
         for name in sorted(self._suspects):
             if name in self._listed and name not in live:
@@ -213,8 +220,9 @@
         self._listed = self._listed & self._records.keys() | live
 
     def _is_due(self, now: float, name: str, timeout: float) -> bool:
-        # When most of a failure domain is back, the rest gets its time
-        # anew to say so: it was held for longer than that before.
+        # A shorter timeout applies once an outage ends. The suspicion
+        # starts again then, since it may have lasted longer than the new
+        # timeout already and the process may be about to return.
         before, start = self._suspect_timers.get(
             name, (0.0, self._since[name])
         )
@@ -224,9 +232,10 @@
         return now - start >= timeout
 
     def expire_suspects(self, now: float) -> list[str]:
-        """Declare deaths that are due and forget old tombstones.
+        """Declare timed-out suspects dead and drop expired tombstones.
 
-        :return: names declared dead
+        :param now: seconds
+        :return: names of the processes declared dead
         """
         dead = []
         if self._suspects:
@@ -260,10 +269,13 @@
                 table.pop(name, None)
 
     def take_deltas(self, limit: int = _DELTA_RECORDS) -> list[records.Record]:
-        """Return recent changes, the least told first, and count them.
+        """Return recent changes to send to a peer, least sent first.
+
+        Each change is sent a number of times proportional to the logarithm
+        of the fleet's size and then dropped. Reconciliation by hash
+        delivers it to processes that it did not reach.
 
-        Each is told a few times per doubling of the fleet, then dropped;
-        reconciliation by hash repairs what that leaves out.
+        :param limit: maximum number of records
         """
         most = _SENDS_PER_LOG2 * math.ceil(math.log2(len(self._records) + 1))
         names = sorted(self._sends, key=self._sends.__getitem__)[:limit]
@@ -276,5 +288,5 @@
         return told
 
     def list_bucket(self, index: int) -> list[records.Record]:
-        """Return the records of one bucket, tombstones too."""
+        """Return the records of one bucket, including tombstones."""
         return [self._records[name] for name in self._buckets.names(index)]
--- a/packages/core/src/dunlintide_core/neighbours.py
+++ b/packages/core/src/dunlintide_core/neighbours.py
@@ -1,9 +1,9 @@
-"""Which peers a process talks to for anti-entropy.
+"""Selection of the peers that a process gossips with.
 
-Processes stand on several hash rings, and each talks to its successor on
-every one: some rings hold its failure domain only, some all the others.
-So each process has a bounded number of connections, about as many others
-talk to it, and a start or stop changes a few links only.
+Processes are placed on several hash rings, and each gossips with its
+successor on every ring. Some rings contain only its own failure domain,
+the others only remote processes. This bounds the number of connections
+in both directions, and a start or stop changes only a few of them.
 """
 
 import random
@@ -19,16 +19,17 @@
 
 LOCAL_RINGS = 6
 REMOTE_RINGS = 4
-# Rounds that stay in the own failure domain, where bytes are cheap.
+# Share of the rounds with a peer of the same failure domain, where traffic
+# is cheap.
 _LOCAL_SHARE = 0.7
 
 
 @attrs.frozen
 class Neighbours:
-    """Names of the peers that a process talks to.
+    """Names of the peers that a process gossips with.
 
-    :ivar local: in its own failure domain
-    :ivar cross: in others
+    :ivar local: peers in the same failure domain
+    :ivar remote: peers in other failure domains
     """
 
     local: tuple[str, ...] = ()
@@ -36,11 +37,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All names."""
+        """Names of all neighbours."""
         return self.local + self.remote
 
     def choose(self, rng: random.Random) -> str | None:
-        """Draw one, mostly of the own failure domain."""
+        """Draw a neighbour at random, preferably a local one."""
         if not self.names:
             return None
         local = rng.random() < _LOCAL_SHARE
@@ -68,8 +69,8 @@
 def find(me: fleet.Peer, peers: Iterable[fleet.Peer]) -> Neighbours:
     """Find the neighbours of a process.
 
-    :param peers: all that are not dead; suspects too, so that their
-        return is noticed
+    :param peers: all processes that are not dead; includes suspects, so
+        that their return is detected
     """
     others = [peer for peer in peers if peer.name != me.name]
     domain = me.failure_domain
--- a/packages/core/src/dunlintide_core/peerselection.py
+++ b/packages/core/src/dunlintide_core/peerselection.py
@@ -1,4 +1,8 @@
-"""Whom a process calls next, when, and what its calls say of peers."""
+"""Selection of the peer for the next gossip round, and failure detection.
+
+Decides which peer a process calls next and how long it pauses first. A
+peer that does not answer repeatedly is reported as unreachable.
+"""
 
 import collections
 import random
@@ -16,7 +20,8 @@
 _FAILURES_TO_REPORT = 2
 _KEPT_OUTCOMES = 10
 _MAX_PROBES = 4
-# A process whose own calls mostly fail accuses nobody.
+# A process whose calls mostly fail is probably cut off itself, so below
+# this share of answered calls it reports no peer as unreachable.
 _MIN_ANSWERED_SHARE = 0.4
 _SUSPECT_SHARE = 0.25
 _SEED_SHARE = 0.02
@@ -25,12 +30,14 @@
 
 @attrs.frozen
 class Timing:
-    """Pauses between rounds, in seconds.
-
-    :ivar round: between two rounds
-    :ivar eager: between two rounds after something newer arrived
-    :ivar eager_rounds: how many of those
-    :ivar reconcile: least time between two comparisons of whole views
+    """Intervals between gossip rounds, in seconds.
+
+    :ivar round: normal interval between two rounds
+    :ivar eager: interval after a newer configuration arrived, and until a
+        new process has contacted enough peers
+    :ivar eager_rounds: number of rounds at the eager interval
+    :ivar reconcile: minimum interval between two full comparisons of the
+        membership views
     """
 
     round: float = 1.0
@@ -40,12 +47,15 @@
 
 
 class PeerSelector:
-    """Peers of one process and how its calls to them went."""
+    """Selector of gossip targets with the outcomes of earlier calls."""
 
     def __init__(
         self, members: membership.View, rng: random.Random, timing: Timing
     ) -> None:
-        """Begin without any call made."""
+        """Create a selector without call history.
+
+        :param members: membership view of this process
+        """
         self._members = members
         self._rng = rng
         self._timing = timing
@@ -63,7 +73,7 @@
 
     @property
     def neighbours(self) -> neighbours.Neighbours:
-        """Peers that this process talks to."""
+        """Peers that this process gossips with."""
         if self._population != self._members.population:
             self._population = self._members.population
             present = [each.peer for each in self._members.list_present()]
@@ -78,21 +88,27 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether the next round should not wait for its turn."""
+        """Whether the next round should start without the usual pause."""
         return bool(self._scheduled) or self._eager_rounds_left > 0
 
     @property
     def newest_revision(self) -> int:
-        """Highest revision that a peer told."""
+        """Highest configuration revision that a peer has announced."""
         return max(self._peer_revisions.values(), default=0)
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Set addresses to try besides the known members."""
+        """Set addresses to contact in addition to the known members.
+
+        :param addresses: ``host:port``
+        """
         own = self._members.own_record.peer.address
         self._seeds = tuple(a for a in addresses if a != own)
 
     def count_asked(self) -> tuple[int, int]:
-        """Return how many peers were asked, and how many need to be."""
+        """Return how many peers were contacted and how many are required.
+
+        A new process becomes ready after it has contacted that many.
+        """
         known = {*self._seeds}
         known.update(
             each.peer.address for each in self._members.list_present()
@@ -101,7 +117,7 @@
         return len(self._asked), min(READY_PEERS, len(known))
 
     def draw_pause(self) -> float:
-        """Return seconds until the next round."""
+        """Return the seconds until the next round, with jitter."""
         if self._scheduled:
             return 0.0
         base = self._timing.round
@@ -110,28 +126,30 @@
         return base * self._rng.uniform(1 - _JITTER, 1 + _JITTER)
 
     def start_eager_rounds(self) -> None:
-        """Make some rounds in quick succession, to pass news on."""
+        """Run the next rounds at the eager interval, to spread an update."""
         self._eager_rounds_left = self._timing.eager_rounds
 
     def call_next(self, name: str) -> None:
-        """Make a peer the target of the next round."""
+        """Schedule a peer as a target for the next rounds."""
         if name not in self._scheduled:
             self._scheduled.append(name)
 
     def probe(self, name: str) -> None:
-        """As ``call_next``, since a link to the process was lost.
+        """Schedule a call to a process to which a link was lost.
 
-        That counts as a call that failed. Not for more than a few at a
-        time: calls to the dead take their time, which news would wait for.
+        The lost link counts as one failed call. The number of scheduled
+        probes is limited, since calls to dead processes block until they
+        time out and so delay updates.
         """
         if len(self._scheduled) < _MAX_PROBES:
             self._failures.setdefault(name, 1)
             self.call_next(name)
 
     def choose_target(self, revision: int) -> exchanges.Target | None:
-        """Choose the peer of the next round, or None when alone.
+        """Choose the peer of the next round; None without known peers.
 
-        :param revision: revision in force, which peers may lack
+        :param revision: active configuration revision; during eager
+            rounds peers that lack it are preferred
         """
         while self._scheduled:
             target = self._make_target(self._scheduled.pop())
@@ -147,7 +165,10 @@
         return self._make_target(name) if name is not None else None
 
     def _list_unasked(self) -> list[exchanges.Target]:
-        """List those that a new process has yet to ask."""
+        """List peers that a new process has not contacted yet.
+
+        The list is empty once enough peers were contacted.
+        """
         if len(self._asked) >= READY_PEERS:
             return []
         targets = [exchanges.Target(address) for address in self._seeds]
@@ -191,19 +212,22 @@
         return record is None or bool(record.witnesses)
 
     def note_revision(self, name: str, revision: int) -> None:
-        """Take note of the revision that a peer told, or will pull."""
+        """Record the configuration revision that a peer has or will pull."""
         self._peer_revisions[name] = max(
             self._peer_revisions.get(name, 0), revision
         )
         self._failures.pop(name, None)
 
     def note_answer(self, target: exchanges.Target) -> None:
-        """Take note that a peer answered."""
+        """Record that a peer answered."""
         self._note_outcome(target, True)
         self._failures.pop(target.name, None)
 
     def note_failure(self, now: float, target: exchanges.Target) -> None:
-        """Take note that a peer did not answer, and accuse it if due."""
+        """Record a failed call and report the peer after repeated failures.
+
+        :param now: seconds
+        """
         self._note_outcome(target, False)
         name = target.name
         record = self._members.get(name)
--- a/packages/core/src/dunlintide_core/placement.py
+++ b/packages/core/src/dunlintide_core/placement.py
@@ -1,9 +1,9 @@
-"""Which endpoint is to hold which layers of a model.
+"""Placement of the layers of a model on engines.
 
-A leader asks, some times a second, what to order. Nothing is ordered for
-a range that was lost only just now, and few orders are open at a time:
-the weight store shares its rate among all who load, so more of them at
-once would end no sooner.
+A leader calls ``Placer.make_orders`` several times a second. A layer range
+must lack engines for some time before an order is made for it. Few orders
+are open at a time: loading engines share the bandwidth of the weight
+store, so more concurrent loads would not finish sooner.
 """
 
 import enum
@@ -27,7 +27,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why an agent did not carry out an order."""
+    """Reason why an agent did not execute an order."""
 
     OLD_FENCE = 'old-fence'
     NOT_LEADER = 'not-leader'
@@ -41,9 +41,9 @@
 
 @attrs.frozen
 class Holding:
-    """What an engine has loaded: layers ``[layer_start, layer_end)``.
+    """Layers ``[layer_start, layer_end)`` that an engine has loaded.
 
-    A spare engine holds an empty range, of whatever model.
+    A spare engine holds an empty range; its model is irrelevant.
     """
 
     model: str = ''
@@ -53,27 +53,29 @@
 
     @property
     def is_spare(self) -> bool:
-        """Whether it holds no layers."""
+        """Whether the engine holds no layers."""
         return self.layer_start >= self.layer_end
 
     @property
     def span(self) -> Span:
-        """Its layer range."""
+        """Layer range as a pair of start and end."""
         return self.layer_start, self.layer_end
 
     def equals(self, other: 'Holding') -> bool:
-        """Tell whether the same layers are held, if any."""
+        """Return whether both hold the same layers or both are spare."""
         return self == other or (self.is_spare and other.is_spare)
 
 
 @attrs.frozen
 class Engine:
-    """An engine whose agent takes orders.
-
-    :ivar work: requests that it runs or queues
-    :ivar max_layers: most layers that it can hold, 0 for any number
-    :ivar doubted: whether it may be gone; it gets no order, and what it
-        holds is neither relied on nor replaced
+    """An engine whose agent accepts orders.
+
+    :ivar agent: name of the agent
+    :ivar request_count: requests that run or are queued
+    :ivar max_layers: maximum number of layers that the engine can hold, 0
+        for no limit
+    :ivar suspected: whether the engine may be gone; it gets no order, and
+        its layers are neither relied on nor replaced
     """
 
     agent: str
@@ -85,10 +87,12 @@
 
 @attrs.frozen
 class Target:
-    """What a model version needs.
+    """Required placement of a model version.
 
-    :ivar replicas: engines wanted for each range, as far as spare ones
-        allow; a range without any is restored in any case
+    :ivar layers: number of layers of the model
+    :ivar replicas: target number of engines per range, limited by the
+        spare engines available; a range without any engine is restored
+        in any case
     """
 
     model: str
@@ -99,10 +103,13 @@
 
 @attrs.frozen
 class Order:
-    """What one agent's engine is to hold.
+    """Order to an agent to change the layers of its engine.
 
-    :ivar held: what it must hold when the order comes, so that an order
-        made from an old view changes nothing
+    :ivar agent: name of the agent
+    :ivar holding: layers to load
+    :ivar layer_count: number of layers of the model
+    :ivar expected: layers that the engine must hold on receipt of the
+        order, so that an order from an outdated view has no effect
     """
 
     agent: str
@@ -113,15 +120,15 @@
 
 @attrs.frozen
 class PlacerSettings:
-    """Pace of a leader; times in seconds.
+    """Delays and limits of a placer; times in seconds.
 
-    :ivar patience: time for which a range must be short of engines, from
-        the first doubt on
-    :ivar first: least such time for a range that the leader has not seen
-        held, as its holders may only be starting
-    :ivar max_orders: orders of one model that are open at a time
+    :ivar shortage_delay: time for which a range must lack engines before
+        an order is made, measured from the first suspicion
+    :ivar initial_delay: minimum delay for a range that the leader has
+        never seen loaded, since its engines may still be starting
+    :ivar max_orders: maximum number of open orders per model
     :ivar order_timeout: time after which an order counts as failed
-    :ivar backoff: time for which an agent that failed one gets no other
+    :ivar backoff: time for which an agent gets no order after a failed one
     """
 
     shortage_delay: float = 5.0
@@ -138,12 +145,13 @@
 
 
 def has_sufficient_view(present: int, listed: int) -> bool:
-    """Tell whether a leader sees enough agents to order anything.
+    """Return whether a leader sees enough agents to make orders.
 
-    One that is cut off from most of them would replace what is well.
+    A leader that is cut off from most agents would replace engines that
+    are healthy.
 
-    :param present: agents that it holds to be there
-    :param listed: agents that are known and not dead
+    :param present: number of agents that the leader considers present
+    :param listed: number of agents that are known and not dead
     """
     return present > 0 and 2 * present >= listed
 
@@ -158,19 +166,20 @@
 def find_missing(
     layers: int, held: Iterable[Span], boundaries: Iterable[int] = ()
 ) -> list[Span]:
-    """Find the fewest layers whose loading lets the ranges be chained.
+    """Find the ranges to load that complete a chain with the fewest layers.
 
     :param layers: number of layers of the model
     :param held: ranges that engines hold
-    :param boundaries: where ranges began or ended before, so that a
-        gap is filled by the ranges that were lost
-    :returns: ranges to load, none when a chain exists
+    :param boundaries: starts and ends of earlier ranges, so that a gap is
+        filled with the ranges that were lost
+    :returns: ranges to load, empty if a chain exists
     """
     held = set(held)
     nodes = {0, layers} | {edge for span in held for edge in span}
     nodes |= set(boundaries)
     ordered = sorted(node for node in nodes if 0 <= node <= layers)
-    # For each boundary: layers to load before it, and the way there.
+    # For each boundary: number of layers to load before it, and the ranges
+    # that they form.
     best: dict[int, tuple[int, tuple[Span, ...]]] = {0: (0, ())}
     for previous, node in zip(ordered, ordered[1:]):
         cost, fills = best[previous]
@@ -183,10 +192,10 @@
 
 
 class Placer:
-    """Decides the orders for one model version."""
+    """Planner of placement orders for one model version."""
 
     def __init__(self, target: Target, settings: PlacerSettings) -> None:
-        """Begin with no open orders."""
+        """Create a placer without open orders."""
         self.target = target
         self._settings = settings
         self._boundaries: set[int] = set()
@@ -196,30 +205,34 @@
         self._backoff_until: dict[str, float] = {}
 
     def list_open_orders(self) -> list[Order]:
-        """Return the orders that are under way."""
+        """Return the orders that are not completed yet."""
         return [one.order for one in self._open.values()]
 
     def list_short_ranges(self) -> list[Span]:
-        """Return the ranges that are short of engines, as last seen."""
+        """Return the ranges that lacked engines at the last call."""
         return sorted(self._short_since)
 
     def restart_delays(self) -> None:
-        """Let ranges that are short wait anew, as the view is in doubt."""
+        """Restart the delays of all short ranges.
+
+        To be called when the leader sees too few agents to make orders.
+        """
         self._short_since.clear()
 
     def note_failure(self, agent: str, now: float) -> None:
-        """Take note that an agent did not carry out its order."""
+        """Record that an agent did not execute its order."""
         if self._open.pop(agent, None) is not None:
             self._backoff_until[agent] = now + self._settings.backoff
 
     def make_orders(
         self, now: float, engines: Iterable[Engine]
     ) -> list[Order]:
-        """Decide what to order now.
+        """Return the orders to send now.
 
-        Each order returned counts as given from now on.
+        Each returned order counts as open from now on.
 
-        :param engines: those that take work, of any model
+        :param now: seconds
+        :param engines: usable engines, of any model
         """
         known = {engine.agent: engine for engine in engines}
         self._close_orders(now, known)
@@ -266,9 +279,9 @@
     def _list_ours(
         self, known: Mapping[str, Engine], suspected: bool = True
     ) -> Iterator[Holding]:
-        """Give what is held of the model once open orders are done.
+        """Iterate over the model's holdings after all open orders.
 
-        :param doubted: whether to count engines that may be gone
+        :param suspected: whether to include engines that may be gone
         """
         for agent, engine in known.items():
             if engine.suspected and not suspected:
@@ -291,10 +304,12 @@
     def _list_due(
         self, now: float, ours: Sequence[Holding], certain: Sequence[Holding]
     ) -> list[Span]:
-        """List ranges that have been short for long enough.
+        """List the ranges that have lacked engines for long enough.
 
-        :param certain: what is held without doubt: the wait begins with
-            the first doubt, an order needs certainty
+        :param ours: holdings including those of suspected engines; only
+            ranges that are short among these are due
+        :param certain: holdings without those of suspected engines; the
+            delay of a range starts when it is short among these
         """
         short = doubtful = self._list_short(ours)
         if certain is not ours:
@@ -302,7 +317,7 @@
         before = self._short_since
 
         def find_since(span: Span) -> float:
-            # A part of a range that was lost has been lost as long.
+            # A part of a short range has been short for as long.
             wider = [
                 since
                 for (start, end), since in before.items()
@@ -344,7 +359,8 @@
             return None
         start, end = span
         if chosen.max_layers:
-            # What does not fit is missing still, and so ordered next.
+            # The layers that do not fit are still missing, so a later
+            # order covers them.
             end = min(end, start + chosen.max_layers)
         target = self.target
         holding = Holding(target.model, target.version, start, end)
--- a/packages/core/src/dunlintide_core/records.py
+++ b/packages/core/src/dunlintide_core/records.py
@@ -1,7 +1,8 @@
-"""Records of processes and how two of them merge.
+"""Membership records and their merge.
 
 A record is an element of a join-semilattice: merging is commutative,
-associative and idempotent, so records may arrive twice, late or crossed.
+associative and idempotent, so records may arrive repeatedly, late or out
+of order.
 """
 
 import enum
@@ -25,7 +26,7 @@
 
 
 class State(enum.StrEnum):
-    """What the fleet holds of a process."""
+    """Membership state of a process."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -35,10 +36,12 @@
 
 @attrs.frozen
 class Record:
-    """A process and the newest known of it.
+    """Latest known state of a process.
 
-    :ivar version: rises within an incarnation; only the process raises it
-    :ivar witnesses: names of those who could not reach it
+    :ivar version: increases within an incarnation; only the process itself
+        increments it
+    :ivar dead: whether the process was declared dead (a tombstone)
+    :ivar witnesses: names of the processes that could not reach it
     """
 
     peer: fleet.Peer
@@ -48,7 +51,7 @@
 
     @property
     def state(self) -> State:
-        """State that follows from the record."""
+        """State derived from the record."""
         if self.dead:
             return State.DEAD
         if self.peer.leaving:
@@ -57,13 +60,13 @@
 
     @property
     def order(self) -> tuple[int, int, bool]:
-        """What makes one record newer than another."""
+        """Sort key; a newer record has a greater key."""
         return (self.peer.incarnation, self.version, self.dead)
 
 
 @attrs.frozen
 class Digest:
-    """What a view holds of a process, in short."""
+    """Summary of a record for comparison with another view."""
 
     name: str
     incarnation: int
@@ -79,9 +82,9 @@
 def join(first: Record, second: Record) -> Record:
     """Merge two records of one process.
 
-    The higher incarnation wins; within one, leaving is never lost and
-    the higher version decides the rest. At equal versions the witnesses
-    add up and death wins.
+    The higher incarnation wins. Within an incarnation ``leaving`` is kept
+    once set, and the higher version determines the other fields. At equal
+    versions the witnesses are combined and ``dead`` takes precedence.
     """
     if first.peer.incarnation != second.peer.incarnation:
         return max(first, second, key=lambda each: each.peer.incarnation)
@@ -89,12 +92,12 @@
         (first, second), key=lambda each: each.order, reverse=True
     )
     if not newer.peer.address and newer.peer.edition > older.peer.edition:
-        # In short, but of an endpoint that is not known yet; the whole
-        # record follows, since the versions differ.
+        # A shortened record of an endpoint that is not known yet. The
+        # complete record follows, since the versions differ.
         return older
     if newer.version == older.version:
         newer = attrs.evolve(newer, witnesses=_union(newer, older))
-    # A record in short has no address; the long one fills it in.
+    # A shortened record has no address; take it from the complete one.
     peer = newer.peer if newer.peer.address else older.peer
     leaving = newer.peer.leaving or older.peer.leaving
     if peer.leaving != leaving:
@@ -103,7 +106,7 @@
 
 
 def shorten(record: Record) -> Record:
-    """Leave out what a peer that knows the process has already."""
+    """Return a record without the fields that a peer already has."""
     peer = attrs.evolve(
         record.peer, failure_domain='', region='', address='', endpoint=None
     )
@@ -111,7 +114,7 @@
 
 
 def make_digest(record: Record) -> Digest:
-    """Digest a record."""
+    """Return the digest of a record."""
     return Digest(
         record.peer.name,
         record.peer.incarnation,
@@ -121,7 +124,7 @@
 
 
 def is_newer(record: Record, digest: Digest | None) -> bool:
-    """Tell whether a record adds to what a digest stands for."""
+    """Return whether a record is newer than a digest of the same process."""
     if digest is None:
         return not record.dead
     theirs = (digest.incarnation, digest.version)
@@ -132,7 +135,7 @@
 
 
 def is_older(record: Record | None, digest: Digest) -> bool:
-    """Tell whether a digest stands for more than a record."""
+    """Return whether a record is older than a digest of the same process."""
     if record is None:
         return digest.state is not State.DEAD
     theirs = (digest.incarnation, digest.version)
--- a/packages/core/src/dunlintide_core/replan.py
+++ b/packages/core/src/dunlintide_core/replan.py
@@ -1,8 +1,8 @@
-"""When to plan again: at once after large changes, seldom otherwise.
+"""Scheduling of new plans: at once after large changes, else rarely.
 
-Planning costs a tenth of a second of processor time at 600 endpoints, so
-its owner calls ``tick`` on a background thread, and the pace bounds what
-noise in the estimates can cost.
+Planning takes a tenth of a second of processor time at 600 endpoints, so
+``replan_if_due`` is called on a background thread, and a rate limit bounds
+the cost of noise in the estimates.
 """
 
 from collections.abc import Iterable
@@ -16,25 +16,25 @@
 
 __all__ = ['Replanner']
 
-# An estimate that moved by this factor is worth a plan at once.
+# Factor by which an estimate must change for an immediate plan.
 _LARGE_CHANGE = 2.0
 _SMALL_CHANGE = 1.15
 _MIN_PAUSE_SECONDS = 0.5
 _SMALL_CHANGE_PAUSE_SECONDS = 10.0
-# Plans at once that large changes may claim, and the time to earn one.
+# Token bucket for immediate plans.
 _BUCKET_SIZE = 4
 _SECONDS_PER_TOKEN = 10.0
 
 
 @attrs.define
 class _TokenBucket:
-    """Plans at once that one kind of change may still claim."""
+    """Rate limit of the immediate plans for one kind of change."""
 
     _tokens: float = float(_BUCKET_SIZE)
     _refilled_at: float | None = None
 
     def take(self, now: float) -> bool:
-        """Use one up; False when none is left."""
+        """Take a token; return False if none is available."""
         if self._refilled_at is not None:
             self._tokens += (now - self._refilled_at) / _SECONDS_PER_TOKEN
             self._tokens = min(float(_BUCKET_SIZE), self._tokens)
@@ -46,18 +46,18 @@
 
 
 class Replanner:
-    """Plan of one model version, kept up with what is observed.
+    """Plan of one model version, updated from observed loads and delays.
 
-    :ivar plan: the last plan made
-    :ivar stops: the live endpoints, with the capacities of that plan
-    :ivar count: plans made
+    :ivar plan: latest plan
+    :ivar stops: live endpoints with the capacities used in that plan
+    :ivar plan_count: number of plans made
     """
 
     def __init__(self, layers: int, links: plans.Links) -> None:
-        """Begin without endpoints.
+        """Create a replanner without endpoints.
 
         :param layers: number of layers of the model
-        :param links: declared qualities of the links
+        :param links: declared latency and throughput of the links
         """
         self.plan = plans.EMPTY
         self.stops: list[plans.Stop] = []
@@ -69,7 +69,8 @@
         self._declared: list[plans.Stop] = []
         self._stale = True
         self._planned_at = float('-inf')
-        # Links' estimates are noisier, and must not use up the stages'.
+        # Estimates of links are noisier and must not use up the tokens of
+        # the stages.
         self._stage_tokens = _TokenBucket()
         self._link_tokens = _TokenBucket()
 
@@ -80,32 +81,35 @@
         self._stale = True
 
     def set_links(self, links: plans.Links) -> None:
-        """Set the declared or measured qualities of the links."""
+        """Set the declared or measured latency and throughput of the links."""
         self._links = links
         self._stale = True
 
     def observe_load(
         self, agent: str, load: fleet.LoadReport, now: float
     ) -> None:
-        """Take a load report; ``now`` is a time in seconds."""
+        """Record a load report.
+
+        :param now: time in seconds
+        """
         self.capacities.observe(agent, load, now)
 
     def observe_interval(
         self, chain: plans.Chain, interval: float, now: float
     ) -> None:
-        """Take the mean interval between some tokens of a request.
+        """Record the mean interval between consecutive tokens of a request.
 
-        :param interval: in seconds
+        :param interval: mean interval, in seconds
         :param now: time in seconds
         """
         explains = self.capacities.explains
         self.delays.observe(chain, interval, now, explains)
 
     def replan_if_due(self, now: float) -> plans.Plan | None:
-        """Plan again if that is due; to be called twice a second.
+        """Make a new plan if one is due; to be called twice a second.
 
         :param now: time in seconds
-        :returns: the new plan, None when the last one stays
+        :returns: the new plan, None if the latest one stays in use
         """
         self.delays.drift(now)
         if not self._is_due(now):
--- a/packages/core/src/dunlintide_core/replicas.py
+++ b/packages/core/src/dunlintide_core/replicas.py
@@ -1,9 +1,10 @@
-"""One process's replica of the fleet's state: configuration and members.
+"""Replica of the fleet's state: configuration and membership.
 
-A round of anti-entropy is one ``Request`` answered by one ``Reply``. It
-carries recent changes and two short digests; only where those differ do
-more messages follow, so that a round costs its changes and not the whole
-state. The caller drives it: nothing here reads a clock or sends bytes.
+An anti-entropy round consists of one ``Request`` and one ``Reply``. Both
+carry recent changes and two short digests. Further messages follow only
+if the digests differ, so the cost of a round depends on the changes and
+not on the size of the state. The caller passes in the time and sends the
+messages.
 """
 
 import random
@@ -29,10 +30,10 @@
 
 
 class Replica:
-    """State of one process and its part in each round.
+    """Replicated state of one process.
 
-    :ivar members: view of the fleet
-    :ivar spread: configuration
+    :ivar members: membership view
+    :ivar configuration: active and pending configuration
     """
 
     def __init__(
@@ -55,12 +56,12 @@
 
     @property
     def neighbours(self) -> neighbours.Neighbours:
-        """Peers that this process talks to."""
+        """Peers that this process gossips with."""
         return self._selector.neighbours
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this process has to watch the store."""
+        """Whether this process must watch the store for new revisions."""
         if self._generation != self.members.generation:
             self._generation = self.members.generation
             me = self.members.own_record.peer
@@ -69,26 +70,29 @@
         return self._is_watcher
 
     def explain_unready(self) -> str:
-        """Say why this process cannot serve yet; empty when it can.
+        """Describe why this process cannot serve yet; empty if it can.
 
-        A new process takes the highest revision of several peers, since
-        the store alone may have been set back.
+        A new process adopts the highest revision of several peers, since
+        the store may have been restored from a backup.
         """
         if not self.configuration.revision:
-            return 'no configuration, neither from the store nor a peer'
+            return 'no configuration from the store or a peer'
         if self._was_ready:
             return ''
         asked, needed = self._selector.count_asked()
         if asked < needed:
-            return f'asked {asked} of {needed} peers'
+            return f'contacted {asked} of {needed} peers'
         newest = self._selector.newest_revision
         if newest > self.configuration.revision:
-            return f'still fetching revision {newest}'
+            return (
+                f'fetching configuration revision {newest}, have'
+                f' {self.configuration.revision}'
+            )
         self._was_ready = True
         return ''
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Set addresses to try besides the known members.
+        """Set addresses to contact in addition to the known members.
 
         :param addresses: ``host:port``, from the host list or settings
         """
@@ -96,37 +100,40 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether the next round should not wait for its turn."""
+        """Whether the next round should start without the usual pause."""
         return self._selector.is_urgent
 
     def draw_pause(self) -> float:
-        """Return seconds until the next round."""
+        """Return the seconds until the next round, with jitter."""
         return self._selector.draw_pause()
 
     def update_endpoint(self, now: float, endpoint: fleet.Endpoint) -> None:
-        """Announce that this process stands before something else."""
+        """Announce a changed endpoint of this process."""
         self.members.update_endpoint(now, endpoint)
-        # Peers know this process by its old record only.
+        # Peers have the old record, so send them the complete new one.
         self._informed_peers.clear()
 
     def probe(self, name: str) -> None:
-        """Call a process soon, as something else says that it is gone."""
+        """Schedule a call to a process to which a link was lost."""
         self._selector.probe(name)
 
     def expire_suspects(self, now: float) -> list[str]:
-        """Declare deaths that are due; return their names."""
+        """Declare timed-out suspects dead and return their names.
+
+        :param now: seconds
+        """
         dead = self.members.expire_suspects(now)
         self._informed_peers.difference_update(dead)
         return dead
 
     def choose_target(self) -> exchanges.Target | None:
-        """Choose the peer of the next round, or None when alone."""
+        """Choose the peer of the next round; None without known peers."""
         return self._selector.choose_target(self.configuration.revision)
 
     def make_request(
         self, now: float, target: exchanges.Target
     ) -> exchanges.Request:
-        """Begin a round.
+        """Start a round and return the request to send.
 
         :param now: seconds
         """
@@ -152,7 +159,10 @@
         )
 
     def _list_changes_for(self, name: str) -> list[records.Record]:
-        """Return recent changes, led by a suspicion of the peer itself."""
+        """Return the recent changes, and any suspicion of the peer itself.
+
+        A suspected peer refutes the suspicion when it receives it.
+        """
         changes = self.members.take_deltas()
         theirs = self.members.get(name)
         if theirs is not None and theirs.witnesses:
@@ -182,9 +192,10 @@
         request: exchanges.Request,
         chunk_bytes: int = MAX_REPLY_CHUNK_BYTES,
     ) -> exchanges.Reply:
-        """Answer a peer's request.
+        """Handle a request of a peer and return the reply.
 
-        :param chunk_bytes: most bytes of chunks to send, 0 for none
+        :param now: seconds
+        :param chunk_bytes: maximum bytes of chunks to send, 0 for none
         """
         name = request.sender.peer.name
         self._note_sender(now, request.sender, request.offer)
@@ -218,9 +229,10 @@
     def _compare_digests(
         self, request: exchanges.Request
     ) -> tuple[list[records.Record], list[str]]:
-        """Compare buckets with a peer's digests of them.
+        """Compare buckets with the digests that a peer sent for them.
 
-        :return: records that the peer lacks, names that this view lacks
+        :return: records that are newer here, and names whose records are
+            newer at the peer
         """
         theirs = {each.name: each for each in request.digests}
         lacking = []
@@ -239,8 +251,9 @@
     def handle_reply(
         self, now: float, target: exchanges.Target, reply: exchanges.Reply
     ) -> exchanges.Request | None:
-        """Take in a reply.
+        """Handle the reply of a peer.
 
+        :param now: seconds
         :return: a request to send to the same peer at once, or None
         """
         name = reply.sender.peer.name
@@ -252,17 +265,21 @@
             self.configuration.accept_head(reply.head)
         self.configuration.accept_chunks(reply.chunks)
         self.activate_pending()
-        # The peer pulls what it now knows of; no need to tell it again.
+        # The peer pulls a newer revision by itself once it has seen the
+        # offer, so it counts as up to date.
         self._selector.note_revision(name, self.configuration.revision)
         return self._build_follow_up(name, reply)
 
     def apply_stored(self, head: revisions.Head, document: bytes) -> None:
-        """Take a configuration as the store gave it."""
+        """Apply a configuration that was read from the store."""
         if self.configuration.accept_stored(head, document) is not None:
             self._selector.start_eager_rounds()
 
     def activate_pending(self) -> configreplica.Snapshot | None:
-        """Put a pulled configuration in force once it is whole."""
+        """Activate the pending configuration if it is complete.
+
+        :return: the new snapshot, or None if nothing changed
+        """
         snapshot = self.configuration.activate_pending()
         if snapshot is not None:
             self._selector.start_eager_rounds()
@@ -311,5 +328,8 @@
         return buckets, digests
 
     def note_failure(self, now: float, target: exchanges.Target) -> None:
-        """Take note that a peer did not answer."""
+        """Record that a peer did not answer.
+
+        :param now: seconds
+        """
         self._selector.note_failure(now, target)
--- a/packages/core/src/dunlintide_core/revisions.py
+++ b/packages/core/src/dunlintide_core/revisions.py
@@ -1,9 +1,9 @@
-"""How a configuration is kept: content-addressed chunks under one head.
+"""Storage format of a configuration: a head and content-addressed chunks.
 
-A document is the canonical JSON of a configuration. Its items are cut
-into chunks at items that the hash of their name selects, so the cuts
-stay where they are when other items come, go or change, and an edit
-costs its own size instead of the whole document's.
+A document is the canonical JSON of a configuration. Chunk boundaries are
+defined by the hashes of item names, so they do not move when other items
+are added, removed or changed. An edit therefore costs about its own size
+and not that of the document.
 """
 
 import difflib
@@ -32,12 +32,12 @@
 ]
 
 MAX_CHUNK_BYTES = 256 << 10
-# How many change ids a head remembers, to settle a write whose answer
-# was lost.
+# Number of change ids in a head. They show whether a write whose answer
+# was lost has succeeded.
 RECENT_CHANGES = 64
 
 _DIGEST_BYTES = 20
-# One item in this many ends its chunk.
+# Mean number of items per chunk: one item in this many ends its chunk.
 _ITEMS_PER_CHUNK = 64
 _ENVELOPE_BYTES = 256
 _DIFF_CONTEXT = 1
@@ -59,13 +59,14 @@
 class Head:
     """One accepted revision of the configuration.
 
-    :ivar revision: rises by one with every accepted change, from 1
-    :ivar change_id: unique id of the write that made it
-    :ivar chunks: digests of the chunks, in the document's order
-    :ivar document: digest of the whole document
-    :ivar parent: revision that it replaced, 0 for none
-    :ivar time: when it was made, in seconds since the epoch
-    :ivar recent_changes: ids of the latest changes, the newest first
+    :ivar revision: number of the revision, from 1; incremented by every
+        accepted change
+    :ivar change_id: unique id of the write that created the revision
+    :ivar chunks: digests of the chunks, in document order
+    :ivar document: digest of the complete document
+    :ivar parent: revision that this one replaced, 0 for none
+    :ivar time: creation time, in seconds since the epoch
+    :ivar recent_changes: ids of the latest changes, newest first
     """
 
     revision: int
@@ -81,10 +82,10 @@
 
 @attrs.frozen
 class Corruption:
-    """Why stored bytes do not make up a head or a document.
+    """Reason why stored bytes are not a valid head or document.
 
-    :ivar message: what is wrong
-    :ivar missing: digests of the chunks that are not there
+    :ivar message: description of the error
+    :ivar missing: digests of the missing chunks
     """
 
     message: str
@@ -107,7 +108,7 @@
 
 
 def digest_bytes(body: bytes) -> str:
-    """Give the digest under which bytes are stored.
+    """Return the digest under which bytes are stored.
 
     :param body: bytes of a chunk or a document
     """
@@ -154,11 +155,11 @@
 
 
 def split(document: bytes) -> result.Result[tuple[Chunk, ...], Corruption]:
-    """Cut a document into chunks, in its order.
+    """Split a document into chunks, in document order.
 
     :param document: canonical document: an object of lists of objects,
         each with a ``name``
-    :returns: the chunks, or why the bytes are no document
+    :returns: the chunks, or why the bytes are not a valid document
     """
     try:
         sections = _documents.decode(document)
@@ -171,15 +172,15 @@
         return result.Err(Corruption(f'not a configuration document: {error}'))
     if any(len(chunk.body) > MAX_CHUNK_BYTES for chunk in chunks):
         return result.Err(
-            Corruption(f'one item has more than {MAX_CHUNK_BYTES} bytes')
+            Corruption(f'an item exceeds {MAX_CHUNK_BYTES} bytes')
         )
     return result.Ok(chunks)
 
 
 def find_missing(head: Head, known: Iterable[str]) -> tuple[str, ...]:
-    """List the chunks of a head that are still to be fetched.
+    """List the chunks of a head that must be fetched.
 
-    :param known: digests of the chunks at hand
+    :param known: digests of the chunks that are present
     """
     known = frozenset(known)
     wanted = dict.fromkeys(head.chunks)
@@ -189,10 +190,10 @@
 def join(
     head: Head, bodies: Mapping[str, bytes]
 ) -> result.Result[bytes, Corruption]:
-    """Put the document of a head together and verify its digest.
+    """Assemble the document of a head and verify its digest.
 
-    :param bodies: bodies of chunks by digest; others may be among them
-    :returns: the document, or what is missing or wrong
+    :param bodies: bodies of chunks by digest; extra chunks are ignored
+    :returns: the document, or the reason why it cannot be assembled
     """
     missing = find_missing(head, bodies)
     if missing:
@@ -200,9 +201,11 @@
     try:
         document = _assemble(bodies[digest] for digest in head.chunks)
     except msgspec.MsgspecError as error:
-        return result.Err(Corruption(f'a chunk cannot be read: {error}'))
+        return result.Err(Corruption(f'cannot decode a chunk: {error}'))
     if digest_bytes(document) != head.document:
-        return result.Err(Corruption('the digest of the document is wrong'))
+        return result.Err(
+            Corruption('the digest of the document does not match')
+        )
     return result.Ok(document)
 
 
@@ -214,10 +217,10 @@
     comment: str,
     now: float,
 ) -> Head:
-    """Build the head that follows another.
+    """Build the head of the next revision.
 
-    :param parent: head that it replaces, None for the first
-    :param chunks: chunks of the new document, as ``split`` gave them
+    :param parent: head to replace, None for the first
+    :param chunks: chunks of the new document, as returned by ``split``
     :param change_id: unique id of this change
     :param now: seconds since the epoch
     """
@@ -238,7 +241,7 @@
 
 
 def has_change(head: Head, change_id: str) -> bool:
-    """Tell whether a change is in a head or among its latest ancestors.
+    """Return whether a head includes a change among its recent changes.
 
     :param change_id: id of a change whose answer may have been lost
     """
@@ -251,9 +254,9 @@
 
 
 def decode_head(body: bytes) -> result.Result[Head, Corruption]:
-    """Decode what ``encode_head`` made.
+    """Decode a head encoded by ``encode_head``.
 
-    :returns: the head, or why the bytes are none
+    :returns: the head, or why the bytes cannot be decoded
     """
     try:
         return result.Ok(_heads.decode(body))
@@ -271,11 +274,11 @@
 
 
 def diff_documents(old: bytes, new: bytes) -> str:
-    """Describe a change as a unified diff with one item on each line.
+    """Return a unified diff of two documents with one item per line.
 
-    :param old: canonical document, or nothing
-    :param new: canonical document, or nothing
-    :returns: the text, empty when both are equal
+    :param old: canonical document, may be empty
+    :param new: canonical document, may be empty
+    :returns: the diff, empty if both are equal
     """
     lines = difflib.unified_diff(
         _list_lines(old),
--- a/packages/core/src/dunlintide_core/schemas.py
+++ b/packages/core/src/dunlintide_core/schemas.py
@@ -1,7 +1,7 @@
-"""Attrs classes from parsed documents, with errors that point at them.
+"""Conversion of parsed documents to attrs classes, with located errors.
 
-Types are strict: a number in quotes is no number. A list of scalars may
-be written as a single value.
+Types are strict: a number in quotes is not a number. A list with a single
+scalar may be written as the scalar itself.
 """
 
 import difflib
@@ -35,18 +35,19 @@
 
 
 class UnexpectedValue(ValueError):
-    """A value that a structuring hook does not take.
+    """Raised by a structuring hook for an invalid value.
 
-    The converter passes it on to ``structure``, which makes a problem of
-    it; it never leaves this module and the hooks given to it.
+    The converter propagates it to ``structure``, which reports it as a
+    problem. It is only raised within this module and the hooks passed to
+    it.
     """
 
 
 def describe_value(value: Any) -> str:
-    """Write a scalar as JSON, cut to a line.
+    """Format a value as JSON for messages, truncated to one line.
 
-    What an object or a list holds is not shown: it may be a key, put
-    into the wrong field.
+    The contents of objects and lists are not shown: they may include a
+    secret key that was put into the wrong field.
 
     :param value: plain value of a document
     """
@@ -61,9 +62,9 @@
 
 
 def suggest(name: str, known: Iterable[str]) -> str:
-    """Give ``, did you mean "x"?`` for the known name that is nearest.
+    """Return ``, did you mean "x"?`` for the most similar known name.
 
-    :returns: the words, empty when none is near
+    :returns: the suggestion, empty if no name is similar
     """
     near = difflib.get_close_matches(name, known, n=1)
     return f', did you mean "{near[0]}"?' if near else ''
@@ -82,7 +83,7 @@
 
 
 def _read_text(value: Any, kind: Any) -> str:
-    # The converter sends enums of strings here as well.
+    # The converter calls this hook for string enums as well.
     if kind is not str:
         return _read_choice(value, kind)
     if not isinstance(value, str):
@@ -132,22 +133,22 @@
 
 
 def rename(name: str) -> dict[str, str]:
-    """Build the metadata of a field that documents call otherwise.
+    """Return the metadata of a field with another name in documents.
 
-    :param name: what operators write
+    :param name: name of the field in documents
     """
     return {_DOCUMENT_NAME: name}
 
 
 def get_document_name(field: attrs.Attribute) -> str:
-    """Give the name of a field in documents."""
+    """Return the name of a field in documents."""
     return field.metadata.get(_DOCUMENT_NAME, field.name)
 
 
 def list_overrides(kind: type) -> dict[str, Any]:
-    """List the fields of a class that documents call otherwise.
+    """Return overrides for fields that have another name in documents.
 
-    :returns: arguments for a generator of reading or writing functions
+    :returns: arguments for the code generators of cattrs
     """
     return {
         field.name: gen.override(rename=get_document_name(field))
@@ -173,7 +174,7 @@
 
 
 def make_converter() -> cattrs.Converter:
-    """Build a converter that is strict in types and in field names."""
+    """Create a converter that is strict about types and field names."""
     converter = cattrs.Converter(forbid_extra_keys=True)
     converter.register_structure_hook(str, _read_text)
     converter.register_structure_hook(bool, _read_flag)
@@ -248,8 +249,9 @@
     """Build an attrs object from a document.
 
     :param kind: attrs class of the root
-    :param converter: what ``make_converter`` gave, with hooks added
-    :returns: the object, or a problem for each field that does not fit
+    :param converter: result of ``make_converter``, optionally with more
+        hooks
+    :returns: the object, or a problem for each invalid field
     """
     try:
         return result.Ok(converter.structure(document.value, kind))
--- a/packages/core/src/dunlintide_core/settings.py
+++ b/packages/core/src/dunlintide_core/settings.py
@@ -1,4 +1,4 @@
-"""Settings with which a daemon starts."""
+"""Settings of a daemon."""
 
 import enum
 from typing import NewType
@@ -26,7 +26,7 @@
     'Tls',
 ]
 
-# Checked where they are read, so an error points at the field.
+# The settings reader checks these types, so that errors name the field.
 Name = NewType('Name', str)
 Listen = NewType('Listen', str)
 Address = NewType('Address', str)
@@ -40,7 +40,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """Least grave messages that are logged."""
+    """Minimum level of messages that are logged."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -49,7 +49,7 @@
 
 
 class LogFormat(enum.StrEnum):
-    """How log lines are written; auto is text on a terminal, else JSON."""
+    """Format of log lines; auto is text on a terminal, else JSON."""
 
     AUTO = 'auto'
     TEXT = 'text'
@@ -57,9 +57,9 @@
 
 
 class Routing(enum.StrEnum):
-    """How an entry chooses chains.
+    """Method by which an entry selects chains.
 
-    Round robin is a diagnostic: the baseline of measurements.
+    Round robin is a diagnostic, used as a baseline in benchmarks.
     """
 
     PLANNED = 'planned'
@@ -67,10 +67,9 @@
 
 
 class Queueing(enum.StrEnum):
-    """In which order an agent starts what waits.
+    """Order in which an agent starts queued requests.
 
-    First come, first served over all teams is a diagnostic: the
-    baseline of measurements.
+    FIFO over all teams is a diagnostic, used as a baseline in benchmarks.
     """
 
     FAIR = 'fair'
@@ -78,7 +77,7 @@
 
 
 class CapPolicy(enum.StrEnum):
-    """What bounds the requests in flight before an engine.
+    """Limit on the requests in flight at an engine.
 
     All but the budget are diagnostics; see ``dunlintide_core.caps``.
     """
@@ -89,10 +88,10 @@
 
 
 class Recovery(enum.StrEnum):
-    """What runs again after the death of a stage.
+    """Recovery of a request after a stage of its chain fails.
 
     With ``replay`` the other stages keep their state; with ``restart``
-    all layers run again.
+    all layers are recomputed.
     """
 
     REPLAY = 'replay'
@@ -101,7 +100,7 @@
 
 @attrs.frozen
 class Log:
-    """What is logged and how."""
+    """Level and format of the log."""
 
     level: LogLevel = LogLevel.INFO
     format: LogFormat = LogFormat.AUTO
@@ -109,10 +108,10 @@
 
 @attrs.frozen
 class EndpointSettings:
-    """The endpoint beside an agent; other fields as in fleet.Endpoint.
+    """Endpoint of an agent; other fields as in ``fleet.Endpoint``.
 
-    An engine without a model and layers is a spare one, which loads
-    what a leader orders.
+    An engine without a model and layers is a spare, which loads the
+    layers that a leader orders.
     :ivar url: base URL of the endpoint, on the same host
     """
 
@@ -131,7 +130,7 @@
     max_layers: Natural = 0
 
     def to_endpoint(self) -> fleet.Endpoint:
-        """Give the part that peers are told."""
+        """Return the description that is shared with peers."""
         fields = attrs.asdict(self, recurse=False)
         fields.pop('url')
         return fleet.Endpoint(**fields)
@@ -141,25 +140,25 @@
 class Timing:
     """Time constants, in seconds.
 
-    :ivar ping: quiet time after which a side of a link in use sends a
-        ping; one that is idle waits three times as long
-    :ivar silence: silence after which a link in use counts as lost; an
-        idle one has two ``ping`` more
-    :ivar redial: longest pause before a link is dialled again
-    :ivar store_timeout: bound on one call to the store
-    :ivar endpoint_timeout: bound on connecting to the endpoint and on
+    :ivar ping: time without traffic after which either side of a link in
+        use sends a ping; three times as long for an idle link
+    :ivar silence: time without traffic after which a link in use counts
+        as lost; two ``ping`` longer for an idle link
+    :ivar redial: longest backoff before a link is reconnected
+    :ivar store_timeout: time-out of one call to the store
+    :ivar endpoint_timeout: time-out of connecting to the endpoint and of
         its health check
-    :ivar endpoint_silence: least time after which a call to an engine
-        that has no answer yet is looked into
+    :ivar endpoint_silence: minimum time without an answer before a call
+        to an engine is checked for a failure
     :ivar heartbeat: longest pause in a stream to a caller
-    :ivar caller_silence: time after which a caller that stops within its
-        request, or takes none of its answer, is cut off
-    :ivar host_list_poll: pause between two reads of the host list by one
-        of the few processes that follow it
-    :ivar configuration_poll: pause between two reads of the head that
-        make up for a silent watch
-    :ivar quarantine: how long a crash counts against requests, and so
-        the longest quarantine
+    :ivar caller_silence: time after which a caller that stops sending its
+        request or reading its response is disconnected
+    :ivar host_list_poll: interval at which the few processes that follow
+        the host list read it
+    :ivar configuration_poll: interval at which the head is read in case
+        the watch misses a change
+    :ivar quarantine: time for which a crash counts against the requests
+        involved, and so the longest quarantine of a request
     """
 
     ping: Seconds = 1.0
@@ -177,13 +176,13 @@
 
 @attrs.frozen
 class Placement:
-    """How an entry leads the placement of layers; times in seconds.
+    """Settings of an entry that leads layer placement; times in seconds.
 
-    :ivar lease: time that a leadership lives without renewal
-    :ivar candidates: entries that try to lead a model
-    :ivar patience: time for which a layer range must be lost before an
-        endpoint is ordered to load it
-    :ivar max_orders: orders of one model that are open at a time
+    :ivar lease: time to live of a leadership without renewal
+    :ivar candidates: number of entries that compete to lead a model
+    :ivar patience: time for which a layer range must lack endpoints
+        before one is ordered to load it
+    :ivar max_orders: maximum number of open orders per model
     :ivar order_timeout: time after which an order counts as failed
     """
 
@@ -196,19 +195,19 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds on what one process holds.
-
-    :ivar max_body_bytes: largest request body
-    :ivar max_header_bytes: largest request head
-    :ivar threads: requests that an entry serves at the same time
-    :ivar queue_per_team: requests that a team may have queued at an
-        agent
-    :ivar retry_ratio: retries that an entry may make for each request,
-        over all of its requests
-    :ivar kept_activation_bytes: activations that an agent keeps, to
-        replay them to the replacement of a lost stage; 0 for none
-    :ivar cache_news: prefixes in its engine's cache that an agent tells
-        each entry in a second; 0 to read no cache events
+    """Resource limits of one process.
+
+    :ivar max_body_bytes: largest request body, in bytes
+    :ivar max_header_bytes: largest request header section, in bytes
+    :ivar threads: number of requests that an entry serves concurrently
+    :ivar queue_per_team: maximum number of requests that a team may have
+        queued at an agent
+    :ivar retry_ratio: retry budget of an entry, as the ratio of retries
+        to requests
+    :ivar kept_activation_bytes: memory of an agent for activations that
+        can be replayed to the replacement of a lost stage; 0 for none
+    :ivar cache_news: cached prefixes that an agent announces to each
+        entry per second; 0 disables reading of cache events
     """
 
     max_body_bytes: Count = 1 << 20
@@ -224,14 +223,15 @@
 
 @attrs.frozen
 class Tls:
-    """Mutual TLS between processes; files in PEM.
-
-    :ivar certificate: file of this process's certificate and, behind it,
-        what lies between it and a root
-    :ivar key: file of its private key, without a password
-    :ivar authorities: file of the roots of all processes' certificates
-    :ivar domain: ends the DNS names in certificates; the same for all
-    :ivar reload: shortest time between two looks at the files, in seconds
+    """Mutual TLS between processes; files in PEM format.
+
+    :ivar certificate: file with this process's certificate followed by
+        its intermediate certificates
+    :ivar key: file with the unencrypted private key
+    :ivar authorities: file with the root certificates of all processes
+    :ivar domain: common suffix of the DNS names in all certificates
+    :ivar reload: minimum interval between two checks of the files for
+        changes, in seconds
     """
 
     certificate: File
@@ -243,12 +243,13 @@
 
 @attrs.frozen
 class ServerTls:
-    """TLS on a port for callers or operators; files in PEM.
+    """TLS on a port for callers or operators; files in PEM format.
 
-    :ivar certificate: file of the certificate that clients are shown and,
-        behind it, what lies between it and a root
-    :ivar key: file of its private key, without a password
-    :ivar reload: shortest time between two looks at the files, in seconds
+    :ivar certificate: file with the server certificate followed by its
+        intermediate certificates
+    :ivar key: file with the unencrypted private key
+    :ivar reload: minimum interval between two checks of the files for
+        changes, in seconds
     """
 
     certificate: File
@@ -260,18 +261,20 @@
 class Settings:
     """Settings of one daemon; addresses are ``host:port``.
 
-    :ivar listen: where callers ask; entries only
-    :ivar admin_listen: operators' port
-    :ivar link_listen: where peers connect
-    :ivar advertise: how peers reach ``link_listen``; None for the same
-    :ivar endpoint: the endpoint beside it; agents only
-    :ivar recovery: what runs again when a stage dies; entries only
-    :ivar routing: how an entry chooses chains
-    :ivar queueing: order of what waits; agents only
-    :ivar cap: bound on what is in flight; agents of engines only
+    :ivar listen: address for callers; entries only
+    :ivar admin_listen: address for operators
+    :ivar link_listen: address for links from peers
+    :ivar advertise: address at which peers reach ``link_listen``; None if
+        it is the same
+    :ivar endpoint: endpoint of the agent; agents only
+    :ivar recovery: recovery after a stage fails; entries only
+    :ivar routing: selection of chains; entries only
+    :ivar queueing: order of queued requests; agents only
+    :ivar cap: limit on requests in flight; agents of engines only
     :ivar tls: TLS between processes; None for plain connections
-    :ivar listen_tls: TLS on ``listen``; None where it ends before that
-    :ivar admin_tls: TLS on ``admin_listen``
+    :ivar listen_tls: TLS on ``listen``; None for plain connections, for
+        example behind a proxy that terminates TLS
+    :ivar admin_tls: TLS on ``admin_listen``; None for plain connections
     """
 
     role: fleet.Role
--- a/packages/core/src/dunlintide_core/settingsfile.py
+++ b/packages/core/src/dunlintide_core/settingsfile.py
@@ -1,4 +1,4 @@
-"""Reading and checking of the file with a daemon's settings."""
+"""Parsing and validation of a daemon's settings file."""
 
 from typing import Any, Callable
 from urllib import parse
@@ -18,7 +18,7 @@
     'make_converter',
 ]
 
-# A field and what is wrong with it.
+# Path of a field and a description of its error.
 Fault = tuple[jsonc.Path, str]
 
 _MAX_PORT = 65535
@@ -108,7 +108,7 @@
 
 
 def make_converter() -> cattrs.Converter:
-    """Build a converter that also knows the kinds of settings."""
+    """Create a converter with hooks for the types of settings."""
     converter = schemas.make_converter()
     for kind, base, test, expected in _CHECKED:
         reader = _make_reader(converter, base, test, expected)
@@ -127,14 +127,14 @@
         if settings.listen is None:
             faults.append(('listen', 'an entry needs an address to listen on'))
         if settings.endpoint is not None:
-            faults.append(('endpoint', 'an entry has no endpoint'))
+            faults.append(('endpoint', 'not allowed for an entry'))
     if settings.role == fleet.Role.AGENT:
         if settings.endpoint is None:
             faults.append(('endpoint', 'an agent needs an endpoint'))
         if settings.listen is not None:
-            faults.append(('listen', 'an agent takes no callers'))
+            faults.append(('listen', 'an agent does not accept callers'))
         if settings.listen_tls is not None:
-            faults.append(('listen_tls', 'an agent takes no callers'))
+            faults.append(('listen_tls', 'an agent does not accept callers'))
     return faults
 
 
@@ -143,13 +143,13 @@
 ) -> list[tuple[str, str]]:
     faults = []
     if endpoint.service:
-        faults.append(('service', 'an engine has no service'))
+        faults.append(('service', 'not allowed for an engine'))
     start, end = endpoint.layer_start, endpoint.layer_end
     if not (start or end or endpoint.layer_count or endpoint.model):
-        # A spare engine: what it will hold comes with an order.
+        # A spare engine; an order of a leader sets its model and layers.
         return faults
     faults += [
-        (name, 'an engine needs it, expected a name, got ""')
+        (name, 'required for an engine, expected a name, got ""')
         for name in ('model', 'version')
         if not getattr(endpoint, name)
     ]
@@ -166,7 +166,7 @@
 ) -> list[tuple[str, str]]:
     names = ('model', 'version', 'layer_start', 'layer_end', 'layer_count')
     faults = [
-        (name, 'a plain service has none')
+        (name, 'not allowed for a plain service')
         for name in names
         if getattr(endpoint, name)
     ]
@@ -201,12 +201,13 @@
         [settings_module.Settings], list[Fault]
     ] = lambda settings: [],
 ) -> result.Result[settings_module.Settings, list[jsonc.Problem]]:
-    """Read a daemon's settings.
+    """Parse and validate a daemon's settings.
 
     :param text: JSON with comments
-    :param file: its name, for messages
-    :param find_faults: lists what else is wrong, by field
-    :returns: the settings, or every problem that was found
+    :param file: file name for messages
+    :param find_faults: returns further errors by field; called if the
+        settings are valid otherwise
+    :returns: the settings, or all problems found
     """
     parsed = jsonc.parse(text, file)
     if parsed.is_err():
--- a/packages/core/src/dunlintide_core/subset.py
+++ b/packages/core/src/dunlintide_core/subset.py
@@ -1,10 +1,11 @@
-"""Which agents each entry connects to, the same on every process.
-
-Agents that can stand in for each other form a group: one layer range of
-one model version, or one plain service. Each entry takes a few of every
-group, so that it can tile each model with a choice at each range. Within
-a group the entries pick in turn by rendezvous hashing, and an agent that
-has its fair share of entries is passed over.
+"""Deterministic subsetting: the agents that each entry connects to.
+
+Interchangeable agents form a group: those with one layer range of one
+model version, or one plain service. Each entry is assigned a few agents
+of every group, so that it can build complete chains with a choice at each
+range. Within a group the entries take turns and select by rendezvous
+hashing. Agents that have their share of entries are selected last. Every
+process computes the same assignment.
 """
 
 import math
@@ -16,16 +17,16 @@
 __all__ = ['DEFAULT_AGENTS', 'FULL_MESH_AGENTS', 'assign']
 
 DEFAULT_AGENTS = 24
-# Up to so many agents every entry connects to all of them: fewer links
-# would save little and leave less choice.
+# Up to this number of agents, every entry connects to all of them: a subset
+# would save few links and reduce the choice of chains.
 FULL_MESH_AGENTS = 64
 MIN_CHOICES = 2
-# An agent takes at most so much of the mean number of entries.
+# Preferred upper limit of links per agent, relative to the mean.
 _MAX_LOAD_FACTOR = 1.15
 
 
 class _Group(NamedTuple):
-    """What the agents of one group have in common."""
+    """Key of a group of interchangeable agents."""
 
     kind: str
     model: str
@@ -68,10 +69,15 @@
     links: Mapping[str, int],
     max_links: int,
 ) -> fleet.Peer:
-    """Pick the next agent of a group for one entry.
+    """Select the next agent of a group for one entry.
+
+    Prefers agents that have not reached their limit of links, and among
+    them agents of a failure domain that is new to the entry.
 
-    One of a failure domain that the entry has none of goes first, then
-    one that is not full.
+    :param ranked: agents of the group by rendezvous rank
+    :param taken: agents that the entry has already
+    :param links: number of entries assigned to each agent
+    :param max_links: limit of entries per agent
     """
     domains = {agent.failure_domain for agent in taken}
     free = [agent for agent in ranked if agent not in taken]
@@ -110,9 +116,9 @@
 ) -> dict[str, tuple[fleet.Peer, ...]]:
     """Assign agents to every entry.
 
-    :param target: agents an entry should have; more when that is needed
+    :param target: preferred number of agents per entry; exceeded if needed
         for two choices in each group
-    :return: agents by the entry's name
+    :return: agents by name of the entry
     """
     entries = sorted(entries, key=lambda peer: hashing.hash_text(peer.name))
     groups = _group_agents(agents)
--- a/packages/core/src/dunlintide_core/suspicion.py
+++ b/packages/core/src/dunlintide_core/suspicion.py
@@ -1,4 +1,8 @@
-"""How long the silence of a process must last before it counts as dead."""
+"""Time for which a process must stay suspected before it is declared dead.
+
+The time-out grows with the number of suspects, since many simultaneous
+suspects point to a network partition rather than to many failures.
+"""
 
 from typing import Iterable, Mapping
 
@@ -23,14 +27,15 @@
 class Timing:
     """Time constants of membership, in seconds.
 
-    :ivar suspect: from two witnesses of different failure domains to death
-    :ivar suspect_same_domain: same, when both share a failure domain
-    :ivar suspect_many: same, while several processes are silent and the
-        news of more may be under way
-    :ivar held: most time a process is held suspect while most of its
-        failure domain or a large part of the fleet is silent; longer
-        than a region is cut off
-    :ivar tombstone: how long a dead process is remembered
+    :ivar suspect: time-out with two witnesses in different failure domains
+    :ivar suspect_same_domain: time-out if all witnesses share a failure
+        domain
+    :ivar suspect_many: time-out while several processes are suspected and
+        reports of more may be under way
+    :ivar suspect_outage: time-out while most of the failure domain or a
+        large part of the fleet is suspected; longer than a partition of
+        a region is expected to last
+    :ivar tombstone: time for which a dead process is remembered
     """
 
     suspect: float = 10.0
@@ -42,7 +47,7 @@
 
 @attrs.frozen
 class SuspectCount:
-    """Silent and all processes of one failure domain."""
+    """Number of suspects among the processes of one failure domain."""
 
     suspects: int = 0
     total: int = 0
@@ -51,9 +56,9 @@
 def count_suspects(
     present: Iterable[records.Record],
 ) -> dict[str, SuspectCount]:
-    """Count silent and all processes by failure domain.
+    """Count suspects and all processes by failure domain.
 
-    :param present: records of all that are not dead
+    :param present: records of all processes that are not dead
     """
     counts: dict[str, SuspectCount] = {}
     for record in present:
@@ -71,19 +76,20 @@
     counts: Mapping[str, SuspectCount],
     timing: Timing,
 ) -> float:
-    """Return for how long a silent process is given time, in seconds.
+    """Return the time-out of a suspicion, in seconds.
 
-    :param domain: its failure domain
-    :param witness_domains: failure domains of those who miss it
+    :param domain: failure domain of the suspect
+    :param witness_domains: number of failure domains of its witnesses
+    :param counts: suspects and all processes by failure domain
     """
     own = counts[domain]
     if 2 * own.suspects > own.total >= _MANY_SUSPECTS:
         return timing.suspect_outage
     suspects = sum(each.suspects for each in counts.values())
     total = sum(each.total for each in counts.values())
-    # The process that judges may be the one that is cut off: a small part
-    # of the fleet cannot probe most of the others, so a majority of each
-    # failure domain need not show.
+    # This process may be on the smaller side of a partition. That side can
+    # probe only a part of the other one, so even a partition may not show
+    # as a majority of suspects in a failure domain.
     if suspects >= max(_MANY_SUSPECTS, total * _OUTAGE_SHARE):
         return timing.suspect_outage
     if suspects >= _MANY_SUSPECTS:
--- a/packages/core/src/dunlintide_core/validation.py
+++ b/packages/core/src/dunlintide_core/validation.py
@@ -1,4 +1,4 @@
-"""What must hold in a configuration beyond the types of its fields."""
+"""Validation of the values in a configuration, beyond field types."""
 
 import functools
 import re
@@ -70,12 +70,13 @@
         yield from _check_name((*path, 'name'), team.name, _NAME)
         for place, digest in enumerate(team.key_hashes):
             spot = (*path, 'key_hashes', place)
-            # The value is not shown: it may be a key, put here by mistake.
+            # The value is not shown, as it may be a secret key entered by
+            # mistake.
             if not _KEY_HASH.fullmatch(digest):
                 text = 'expected a SHA-256 of 64 lower-case hex digits'
                 yield spot, f'{text}, got {len(digest)} characters'
             elif digest in owners:
-                yield spot, f'the key is already that of {owners[digest]}'
+                yield spot, f'the key is already in use by {owners[digest]}'
             owners.setdefault(digest, team.name)
 
 
@@ -100,7 +101,7 @@
 def _has_open_set(glob: str) -> bool:
     start = glob.find('[')
     while start >= 0:
-        # As fnmatch reads it, a "]" that comes first is in the set.
+        # As in fnmatch, a "]" directly after "[" or "[!" belongs to the set.
         first = start + 1 + glob.startswith('!', start + 1)
         end = glob.find(']', first + 1)
         if end < 0:
@@ -153,7 +154,11 @@
 def _collect(
     models: Iterable[configuration.Model], names: tuple[str, ...], field: str
 ) -> frozenset[str]:
-    """Collect versions or adapters of the named models, or of all."""
+    """Collect the versions or adapters of the named models.
+
+    :param names: names of models, empty for all
+    :param field: field of the model to collect
+    """
     found: set[str] = set()
     for model in models:
         if not names or model.name in names:
@@ -223,9 +228,9 @@
 
 
 def list_faults(source: configuration.Configuration) -> Iterator[Fault]:
-    """List values out of range, names used twice and names not known.
+    """List out-of-range values, duplicate names and unknown names.
 
-    :returns: path and text of each fault
+    :returns: path and description of each fault
     """
     yield from _check_teams(source.teams)
     yield from _check_models(source.models)
--- a/packages/core/src/dunlintide_core/watchers.py
+++ b/packages/core/src/dunlintide_core/watchers.py
@@ -1,4 +1,7 @@
-"""Which processes watch the store; all others hear from their peers."""
+"""Selection of the processes that watch the store.
+
+All other processes get new revisions from their peers.
+"""
 
 from typing import Iterable
 
@@ -18,10 +21,10 @@
 def choose(
     peers: Iterable[fleet.Peer], count: int = WATCHERS_PER_DOMAIN
 ) -> set[str]:
-    """Return the names of all watchers, by rendezvous hashing.
+    """Return the names of all watchers, selected by rendezvous hashing.
 
     :param peers: processes that are alive
-    :param count: watchers a failure domain
+    :param count: number of watchers per failure domain
     """
     domains: dict[str, list[fleet.Peer]] = {}
     for peer in peers:
@@ -34,11 +37,12 @@
 
 
 def is_watcher(me: fleet.Peer, peers: Iterable[fleet.Peer]) -> bool:
-    """Tell whether this process has to watch the store.
+    """Return whether this process must watch the store.
 
-    A process that knows nobody of its failure domain watches by itself.
+    A process that knows no other in its failure domain is a watcher.
 
-    :param peers: processes that are alive, this one among them or not
+    :param me: this process
+    :param peers: processes that are alive, with or without this one
     """
     mine = [
         peer
