--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -6,8 +6,8 @@
 import behave
 from dunlintide_core import coverage
 from dunlintide_core import leadership
-from dunlintide_core import liveness
 from dunlintide_core import placement
+from dunlintide_core import reachability
 from dunlintide_core import records
 import hypothesis
 from hypothesis import strategies
@@ -124,8 +124,8 @@
     missed = {}
     if witnesses != 'nobody':
         missed = dict(one.split(' of ') for one in witnesses.split(', '))
-    needed = liveness.count_needed_domains('ABC'[:domains])
-    judged = liveness.assess(records.State.ALIVE, missed, needed)
+    needed = reachability.count_needed_domains('ABC'[:domains])
+    judged = reachability.assess(records.State.ALIVE, missed, needed)
     assert judged.name.lower() == held, judged
 
 
--- a/packages/core/src/dunlintide_core/configreplica.py
+++ b/packages/core/src/dunlintide_core/configreplica.py
@@ -87,8 +87,8 @@
         This happens after the store was restored from a backup. The next
         change must be based on the revision of the fleet.
         """
-        told = self.store_revision
-        return told is not None and told < self.revision
+        stored = self.store_revision
+        return stored is not None and stored < self.revision
 
     def note_store_revision(self, revision: int) -> None:
         """Record the revision in the store."""
@@ -194,6 +194,6 @@
     @property
     def size_bytes(self) -> int:
         """Memory used by heads, documents and chunks, in bytes."""
-        whole = self.snapshot
-        own = len(whole.body) + len(whole.document) if whole else 0
+        snapshot = self.snapshot
+        own = len(snapshot.body) + len(snapshot.document) if snapshot else 0
         return own + sum(map(len, self._chunks.values()))
--- a/packages/core/src/dunlintide_core/identities.py
+++ b/packages/core/src/dunlintide_core/identities.py
@@ -115,12 +115,12 @@
     :returns: empty if both agree
     """
     if identity is None:
-        return 'its certificate names no process'
+        return 'the certificate identifies no process'
     if identity == Identity(role, name):
         return ''
     return (
-        f'its certificate names {identity.role} {identity.name!r}, '
-        f'it says {role} {name!r}'
+        f'the certificate identifies {identity.role} {identity.name!r}, '
+        f'but the process claims to be {role} {name!r}'
     )
 
 
--- a/packages/core/src/dunlintide_core/membership.py
+++ b/packages/core/src/dunlintide_core/membership.py
@@ -47,13 +47,13 @@
         self.deaths = 0
         self._timing = timing
         self._records: dict[str, records.Record] = {}
-        self._since: dict[str, float] = {}
+        self._state_since: dict[str, float] = {}
         self._sends: dict[str, int] = {}
         self._suspect_timers: dict[str, tuple[float, float]] = {}
         self._suspects: set[str] = set()
         self._tombstones: set[str] = set()
         self._buckets = buckets.Buckets()
-        self._listed: set[str] = set()
+        self._listed_names: set[str] = set()
         self._store(0.0, records.Record(me))
 
     @property
@@ -101,13 +101,13 @@
         witness_count = len(old.witnesses) if old is not None else 0
         if old is None or old.state is not record.state:
             self.generation += 1
-            self._since[name] = now
+            self._state_since[name] = now
             if old is None or old.dead != record.dead:
                 self.population += 1
         elif (
             witness_count < suspicion.NEEDED_WITNESSES <= len(record.witnesses)
         ):
-            self._since[name] = now
+            self._state_since[name] = now
         self._track(name, record)
         self._sends[name] = 0
 
@@ -215,16 +215,16 @@
         :param live: names in the list, including leaving processes
         """
         for name in sorted(self._suspects):
-            if name in self._listed and name not in live:
+            if name in self._listed_names and name not in live:
                 self._add_witness(now, self._records[name], HOST_LIST)
-        self._listed = self._listed & self._records.keys() | live
+        self._listed_names = self._listed_names & self._records.keys() | live
 
     def _is_due(self, now: float, name: str, timeout: float) -> bool:
         # A shorter timeout applies once an outage ends. The suspicion
         # starts again then, since it may have lasted longer than the new
         # timeout already and the process may be about to return.
         before, start = self._suspect_timers.get(
-            name, (0.0, self._since[name])
+            name, (0.0, self._state_since[name])
         )
         if timeout < before:
             start = now
@@ -261,11 +261,11 @@
 
     def _expire_tombstones(self, now: float) -> None:
         limit = now - self._timing.tombstone
-        old = [n for n in self._tombstones if self._since[n] <= limit]
+        old = [n for n in self._tombstones if self._state_since[n] <= limit]
         for name in old:
             self._tombstones.discard(name)
             self._buckets.remove(name)
-            for table in (self._records, self._since, self._sends):
+            for table in (self._records, self._state_since, self._sends):
                 table.pop(name, None)
 
     def take_deltas(self, limit: int = _DELTA_RECORDS) -> list[records.Record]:
@@ -281,11 +281,11 @@
         names = sorted(self._sends, key=self._sends.__getitem__)[:limit]
         for name in names:
             self._sends[name] += 1
-        told = [self._records[name] for name in names]
+        deltas = [self._records[name] for name in names]
         for name in names:
             if self._sends[name] >= most:
                 del self._sends[name]
-        return told
+        return deltas
 
     def list_bucket(self, index: int) -> list[records.Record]:
         """Return the records of one bucket, including tombstones."""
--- a/packages/core/src/dunlintide_core/peerselection.py
+++ b/packages/core/src/dunlintide_core/peerselection.py
@@ -60,7 +60,7 @@
         self._rng = rng
         self._timing = timing
         self._seeds: tuple[str, ...] = ()
-        self._asked: set[str] = set()
+        self._contacted: set[str] = set()
         self._peer_revisions: dict[str, int] = {}
         self._failures: dict[str, int] = {}
         self._recent_outcomes: collections.deque[bool] = collections.deque(
@@ -104,7 +104,7 @@
         own = self._members.own_record.peer.address
         self._seeds = tuple(a for a in addresses if a != own)
 
-    def count_asked(self) -> tuple[int, int]:
+    def count_contacted(self) -> tuple[int, int]:
         """Return how many peers were contacted and how many are required.
 
         A new process becomes ready after it has contacted that many.
@@ -114,14 +114,14 @@
             each.peer.address for each in self._members.list_present()
         )
         known.discard(self._members.own_record.peer.address)
-        return len(self._asked), min(READY_PEERS, len(known))
+        return len(self._contacted), min(READY_PEERS, len(known))
 
     def draw_pause(self) -> float:
         """Return the seconds until the next round, with jitter."""
         if self._scheduled:
             return 0.0
         base = self._timing.round
-        if self._eager_rounds_left > 0 or self._list_unasked():
+        if self._eager_rounds_left > 0 or self._list_uncontacted():
             base = self._timing.eager
         return base * self._rng.uniform(1 - _JITTER, 1 + _JITTER)
 
@@ -155,28 +155,28 @@
             target = self._make_target(self._scheduled.pop())
             if target is not None:
                 return target
-        unasked = self._list_unasked()
-        if unasked:
-            return self._rng.choice(unasked)
+        uncontacted = self._list_uncontacted()
+        if uncontacted:
+            return self._rng.choice(uncontacted)
         name = self._draw_neighbour(revision)
         alone = name is None or self._rng.random() < _SEED_SHARE
         if self._seeds and alone:
             return exchanges.Target(self._rng.choice(self._seeds))
         return self._make_target(name) if name is not None else None
 
-    def _list_unasked(self) -> list[exchanges.Target]:
+    def _list_uncontacted(self) -> list[exchanges.Target]:
         """List peers that a new process has not contacted yet.
 
         The list is empty once enough peers were contacted.
         """
-        if len(self._asked) >= READY_PEERS:
+        if len(self._contacted) >= READY_PEERS:
             return []
         targets = [exchanges.Target(address) for address in self._seeds]
         targets += [self._make_target(name) for name in self.neighbours.names]
         return [
             each
             for each in targets
-            if each is not None and each.address not in self._asked
+            if each is not None and each.address not in self._contacted
         ]
 
     def _make_target(self, name: str) -> exchanges.Target | None:
@@ -246,5 +246,5 @@
 
     def _note_outcome(self, target: exchanges.Target, answered: bool) -> None:
         self._recent_outcomes.append(answered)
-        if len(self._asked) < READY_PEERS:
-            self._asked.add(target.address)
+        if len(self._contacted) < READY_PEERS:
+            self._contacted.add(target.address)
--- a/packages/core/src/dunlintide_core/placement.py
+++ b/packages/core/src/dunlintide_core/placement.py
@@ -206,7 +206,7 @@
 
     def list_open_orders(self) -> list[Order]:
         """Return the orders that are not completed yet."""
-        return [one.order for one in self._open.values()]
+        return [opened.order for opened in self._open.values()]
 
     def list_short_ranges(self) -> list[Span]:
         """Return the ranges that lacked engines at the last call."""
@@ -236,16 +236,16 @@
         """
         known = {engine.agent: engine for engine in engines}
         self._close_orders(now, known)
-        ours = list(self._list_ours(known))
-        certain = ours
+        holdings = list(self._list_holdings(known))
+        certain = holdings
         if any(engine.suspected for engine in known.values()):
-            certain = list(self._list_ours(known, False))
+            certain = list(self._list_holdings(known, False))
         self._ranges_seen.update(holding.span for holding in certain)
         self._boundaries.update(
-            edge for holding in ours for edge in holding.span
+            edge for holding in holdings for edge in holding.span
         )
         orders = []
-        for span in self._list_due(now, ours, certain):
+        for span in self._list_due(now, holdings, certain):
             if len(self._open) >= self._settings.max_orders:
                 break
             order = self._assign(span, known, now)
@@ -255,11 +255,11 @@
         return orders
 
     def _close_orders(self, now: float, known: Mapping[str, Engine]) -> None:
-        for agent, one in list(self._open.items()):
+        for agent, opened in list(self._open.items()):
             engine = known.get(agent)
-            if engine is None or engine.holding == one.order.holding:
+            if engine is None or engine.holding == opened.order.holding:
                 del self._open[agent]
-            elif now - one.since > self._settings.order_timeout:
+            elif now - opened.since > self._settings.order_timeout:
                 self.note_failure(agent, now)
         self._backoff_until = {
             agent: until
@@ -267,7 +267,7 @@
             if until > now
         }
 
-    def _is_ours(self, holding: Holding) -> bool:
+    def _is_of_target(self, holding: Holding) -> bool:
         target = self.target
         return (
             not holding.is_spare
@@ -276,7 +276,7 @@
             and holding.layer_end <= target.layers
         )
 
-    def _list_ours(
+    def _list_holdings(
         self, known: Mapping[str, Engine], suspected: bool = True
     ) -> Iterator[Holding]:
         """Iterate over the model's holdings after all open orders.
@@ -288,11 +288,11 @@
                 continue
             if agent in self._open:
                 yield self._open[agent].order.holding
-            elif self._is_ours(engine.holding):
+            elif self._is_of_target(engine.holding):
                 yield engine.holding
 
-    def _list_short(self, ours: Sequence[Holding]) -> list[Span]:
-        counts = _count_ranges(ours)
+    def _find_short_ranges(self, holdings: Sequence[Holding]) -> list[Span]:
+        counts = _count_ranges(holdings)
         missing = find_missing(self.target.layers, counts, self._boundaries)
         if missing:
             return missing
@@ -302,18 +302,21 @@
         )
 
     def _list_due(
-        self, now: float, ours: Sequence[Holding], certain: Sequence[Holding]
+        self,
+        now: float,
+        holdings: Sequence[Holding],
+        certain: Sequence[Holding],
     ) -> list[Span]:
         """List the ranges that have lacked engines for long enough.
 
-        :param ours: holdings including those of suspected engines; only
-            ranges that are short among these are due
+        :param holdings: holdings including those of suspected engines;
+            only ranges that are short among these are due
         :param certain: holdings without those of suspected engines; the
             delay of a range starts when it is short among these
         """
-        short = doubtful = self._list_short(ours)
-        if certain is not ours:
-            doubtful = self._list_short(certain)
+        short = short_if_gone = self._find_short_ranges(holdings)
+        if certain is not holdings:
+            short_if_gone = self._find_short_ranges(certain)
         before = self._short_since
 
         def find_since(span: Span) -> float:
@@ -326,7 +329,7 @@
             return min(wider, default=now)
 
         self._short_since = {
-            span: find_since(span) for span in (*short, *doubtful)
+            span: find_since(span) for span in (*short, *short_if_gone)
         }
         return [
             span
@@ -351,10 +354,10 @@
             and agent not in self._backoff_until
             and not engine.suspected
         ]
-        ours = list(self._list_ours(known, False))
+        holdings = list(self._list_holdings(known, False))
         chosen = self._pick_spare(span, free)
-        if chosen is None and span not in _count_ranges(ours):
-            chosen = self._pick_replica(free, ours)
+        if chosen is None and span not in _count_ranges(holdings):
+            chosen = self._pick_replica(free, holdings)
         if chosen is None:
             return None
         start, end = span
@@ -370,16 +373,20 @@
         size = span[1] - span[0]
 
         def rank(engine: Engine) -> tuple[int, int, str]:
-            fits = engine.max_layers or size
-            return max(0, size - fits), engine.request_count, engine.agent
+            max_layers = engine.max_layers or size
+            return (
+                max(0, size - max_layers),
+                engine.request_count,
+                engine.agent,
+            )
 
         spare = [engine for engine in free if engine.holding.is_spare]
         return min(spare, key=rank, default=None)
 
     def _pick_replica(
-        self, free: Sequence[Engine], ours: Sequence[Holding]
+        self, free: Sequence[Engine], holdings: Sequence[Holding]
     ) -> Engine | None:
-        counts = _count_ranges(ours)
+        counts = _count_ranges(holdings)
 
         def rank(engine: Engine) -> tuple[int, int, str]:
             return (
@@ -391,7 +398,7 @@
         replicated = [
             engine
             for engine in free
-            if self._is_ours(engine.holding)
+            if self._is_of_target(engine.holding)
             and counts[engine.holding.span] > 1
         ]
         return min(replicated, key=rank, default=None)
--- a/packages/core/src/dunlintide_core/liveness.py
+++ b/packages/core/src/dunlintide_core/reachability.py
@@ -1,4 +1,4 @@
-"""Assessment of whether a process is alive, for placement decisions.
+"""Assessment of whether a process is reachable, for placement decisions.
 
 This requires less evidence than declaring a process dead, since a needless
 replacement does little harm. It requires more than one witness, since a
@@ -12,7 +12,7 @@
 from dunlintide_core import suspicion
 
 __all__ = [
-    'Liveness',
+    'Reachability',
     'assess',
     'count_needed_domains',
 ]
@@ -20,8 +20,8 @@
 _GONE = (records.State.LEAVING, records.State.DEAD)
 
 
-class Liveness(enum.Enum):
-    """Assessed liveness of a process."""
+class Reachability(enum.Enum):
+    """Assessed reachability of a process."""
 
     PRESENT = enum.auto()
     SUSPECT = enum.auto()
@@ -41,8 +41,8 @@
 
 def assess(
     state: records.State | str, witnesses: Mapping[str, str], domains: int
-) -> Liveness:
-    """Assess the liveness of a process from its witnesses.
+) -> Reachability:
+    """Assess the reachability of a process from its witnesses.
 
     :param state: membership state of the process
     :param witnesses: failure domain of each process that could not reach
@@ -51,10 +51,10 @@
         the process counts as gone
     """
     if state in _GONE:
-        return Liveness.GONE
+        return Reachability.GONE
     if not witnesses:
-        return Liveness.PRESENT
+        return Reachability.PRESENT
     enough = len(witnesses) >= suspicion.NEEDED_WITNESSES
     if enough and len(set(witnesses.values())) >= domains:
-        return Liveness.GONE
-    return Liveness.SUSPECT
+        return Reachability.GONE
+    return Reachability.SUSPECT
--- a/packages/core/src/dunlintide_core/replicas.py
+++ b/packages/core/src/dunlintide_core/replicas.py
@@ -79,9 +79,9 @@
             return 'no configuration from the store or a peer'
         if self._was_ready:
             return ''
-        asked, needed = self._selector.count_asked()
-        if asked < needed:
-            return f'contacted {asked} of {needed} peers'
+        contacted, needed = self._selector.count_contacted()
+        if contacted < needed:
+            return f'contacted {contacted} of {needed} peers'
         newest = self._selector.newest_revision
         if newest > self.configuration.revision:
             return (
--- a/packages/core/src/dunlintide_core/schemas.py
+++ b/packages/core/src/dunlintide_core/schemas.py
@@ -66,8 +66,8 @@
 
     :returns: the suggestion, empty if no name is similar
     """
-    near = difflib.get_close_matches(name, known, n=1)
-    return f', did you mean "{near[0]}"?' if near else ''
+    matches = difflib.get_close_matches(name, known, n=1)
+    return f', did you mean "{matches[0]}"?' if matches else ''
 
 
 def _reject(expected: str, value: Any) -> UnexpectedValue:
--- a/packages/core/src/dunlintide_core/validation.py
+++ b/packages/core/src/dunlintide_core/validation.py
@@ -68,15 +68,15 @@
     for index, team in enumerate(teams):
         path = ('members', index)
         yield from _check_name((*path, 'name'), team.name, _NAME)
-        for place, digest in enumerate(team.key_hashes):
-            spot = (*path, 'key_hashes', place)
+        for position, digest in enumerate(team.key_hashes):
+            key_path = (*path, 'key_hashes', position)
             # The value is not shown, as it may be a secret key entered by
             # mistake.
             if not _KEY_HASH.fullmatch(digest):
                 text = 'expected a SHA-256 of 64 lower-case hex digits'
-                yield spot, f'{text}, got {len(digest)} characters'
+                yield key_path, f'{text}, got {len(digest)} characters'
             elif digest in owners:
-                yield spot, f'the key is already in use by {owners[digest]}'
+                yield key_path, f'the key is already used by {owners[digest]}'
             owners.setdefault(digest, team.name)
 
 
@@ -94,8 +94,8 @@
 ) -> Iterator[Fault]:
     yield from _check_unique('services', (s.name for s in services))
     for index, service in enumerate(services):
-        spot = ('services', index, 'name')
-        yield from _check_name(spot, service.name, _NAME)
+        item_path = ('services', index, 'name')
+        yield from _check_name(item_path, service.name, _NAME)
 
 
 def _has_open_set(glob: str) -> bool:
@@ -188,9 +188,9 @@
         ):
             names = enumerate(getattr(when, field))
             for index, name in names:
-                written = configuration.name_condition(field)
-                spot = (*path, written, index)
-                yield from _check_known(spot, name, known, written)
+                document_name = configuration.name_condition(field)
+                item_path = (*path, document_name, index)
+                yield from _check_known(item_path, name, known, document_name)
 
     def check_then(path: jsonc.Path, rule: configuration.Rule):
         then = rule.then
@@ -199,12 +199,12 @@
                 (*path, 'model'), then.model, models, 'model'
             )
         targets = (then.model,) if then.model else rule.when.model
-        for field, name, many in (
+        for field, name, model_field in (
             ('version', then.version, 'version'),
             ('adapter', then.adapter, 'adapters'),
         ):
             if name is not None:
-                known = collect(targets, many)
+                known = collect(targets, model_field)
                 yield from _check_known((*path, field), name, known, field)
 
     def check(path: jsonc.Path, rule: configuration.Rule) -> Iterator[Fault]:
--- a/packages/core/src/dunlintide_core/watchers.py
+++ b/packages/core/src/dunlintide_core/watchers.py
@@ -44,9 +44,9 @@
     :param me: this process
     :param peers: processes that are alive, with or without this one
     """
-    mine = [
+    own = [
         peer
         for peer in peers
         if peer.failure_domain == me.failure_domain and peer.name != me.name
     ]
-    return me.name in choose([*mine, me])
+    return me.name in choose([*own, me])
--- a/packages/daemon/src/dunlintide_daemon/entry/sightings.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sightings.py
@@ -10,8 +10,8 @@
 import attrs
 
 from dunlintide_core import fleet as core_fleet
-from dunlintide_core import liveness
 from dunlintide_core import placement
+from dunlintide_core import reachability
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
@@ -96,7 +96,7 @@
         """Take in the fleet as it is known now."""
         hosts = list(hosts)
         self._domains = {host.name: host.failure_domain for host in hosts}
-        self._needed = liveness.count_needed_domains(
+        self._needed = reachability.count_needed_domains(
             set(self._domains.values())
         )
         self._agents = {
@@ -111,7 +111,7 @@
         self._present = frozenset(
             name
             for name, held in judged.items()
-            if held is liveness.Liveness.PRESENT
+            if held is reachability.Reachability.PRESENT
         )
         self._engines = {}
         for name, held in judged.items():
@@ -119,30 +119,30 @@
 
     def _judge(
         self, host: Host, witnesses: Iterable[str]
-    ) -> liveness.Liveness:
+    ) -> reachability.Reachability:
         if host.peer is None:
             # The host list says nothing of who reaches it.
-            return liveness.Liveness.GONE
+            return reachability.Reachability.GONE
         missed = {
             # Others than processes witness too.
             witness: self._domains.get(witness, witness)
             for witness in witnesses
         }
-        return liveness.assess(host.state, missed, self._needed)
+        return reachability.assess(host.state, missed, self._needed)
 
     def _set(
         self,
         engines: dict[str, placement.Engine],
         name: str,
-        held: liveness.Liveness,
+        held: reachability.Reachability,
     ) -> None:
         """Put in or take out an engine that is known by the membership."""
         engines.pop(name, None)
         peer = self._agents[name].peer
-        if held is liveness.Liveness.GONE or not _is_engine(peer):
+        if held is reachability.Reachability.GONE or not _is_engine(peer):
             return
         if not peer.endpoint.away:
-            doubted = held is liveness.Liveness.SUSPECT
+            doubted = held is reachability.Reachability.SUSPECT
             engines[name] = _build_engine(peer, doubted=doubted)
 
     def look(self) -> Sight:
--- a/packages/trials/src/dunlintide_trials/network.py
+++ b/packages/trials/src/dunlintide_trials/network.py
@@ -323,11 +323,11 @@
         if snapshot is None:
             return
         share = host.replica.configuration
-        share.note_store(snapshot.head.revision)
-        if share.take_head(snapshot.body):
-            missing = share.missing()
+        share.note_store_revision(snapshot.head.revision)
+        if share.accept_head(snapshot.body):
+            missing = share.list_missing()
             self.store.reads += len(missing)
-            share.take_chunks(self.store.chunks[d] for d in missing)
+            share.accept_chunks(self.store.chunks[d] for d in missing)
             host.replica.activate_pending()
             self._note(host)
             self._wake(host)
