--- a/packages/core/src/dunlintide_core/checker.py
+++ b/packages/core/src/dunlintide_core/checker.py
@@ -97,7 +97,9 @@
     return None
 
 
-def _check_reach(rules: Sequence[configuration.Rule]) -> Iterator[Fault]:
+def _check_reachability(
+    rules: Sequence[configuration.Rule],
+) -> Iterator[Fault]:
     index = matching.RuleIndex.from_rules(rules)
     for position, rule in enumerate(rules):
         cover = _find_cover(index, rules, position)
@@ -118,7 +120,7 @@
         yield ('rules',), text, jsonc.Level.WARNING
 
 
-def _list_set(holder: object, names: Sequence[str]) -> list[str]:
+def _list_set_fields(holder: object, names: Sequence[str]) -> list[str]:
     fields = attrs.fields_dict(type(holder))
     return [n for n in names if getattr(holder, n) != fields[n].default]
 
@@ -127,7 +129,7 @@
     when = rule.when
     if not when.service:
         return
-    clashing = _list_set(when, _MODEL_CONDITIONS + _PROMPT_CONDITIONS)
+    clashing = _list_set_fields(when, _MODEL_CONDITIONS + _PROMPT_CONDITIONS)
     for name in clashing:
         text = (
             'a service request never satisfies this condition, so the rule'
@@ -141,12 +143,12 @@
     if then.action is configuration.Action.REFUSE:
         names = [field.name for field in attrs.fields(type(then))]
         others = [n for n in names if n not in ('action', 'reason')]
-        for name in _list_set(then, others):
+        for name in _list_set_fields(then, others):
             yield name, 'has no effect in a rule that refuses'
     elif then.reason:
         yield 'reason', 'has an effect only in a rule that refuses'
     elif rule.when.service:
-        for name in _list_set(then, _MODEL_TERMS):
+        for name in _list_set_fields(then, _MODEL_TERMS):
             yield name, 'has no effect on a service request'
 
 
@@ -169,7 +171,7 @@
     """
     source = draft.configuration
     faults = [
-        *_check_reach(source.rules),
+        *_check_reachability(source.rules),
         *_check_catch_all(source.rules),
         *_check_fields(source.rules),
     ]
--- a/packages/core/src/dunlintide_core/membership.py
+++ b/packages/core/src/dunlintide_core/membership.py
@@ -12,7 +12,8 @@
 __all__ = ['HOST_LIST', 'View']
 
 HOST_LIST = 'host-list'
-_DELTA_RECORDS = 10
+_MAX_DELTA_RECORDS = 10
+# Sends of each change per doubling of the fleet.
 _SENDS_PER_LOG2 = 2
 
 
@@ -223,10 +224,10 @@
         # A shorter timeout applies once an outage ends. The suspicion
         # starts again then, since it may have lasted longer than the new
         # timeout already and the process may be about to return.
-        before, start = self._suspect_timers.get(
+        previous_timeout, start = self._suspect_timers.get(
             name, (0.0, self._state_since[name])
         )
-        if timeout < before:
+        if timeout < previous_timeout:
             start = now
         self._suspect_timers[name] = (timeout, start)
         return now - start >= timeout
@@ -268,7 +269,9 @@
             for table in (self._records, self._state_since, self._sends):
                 table.pop(name, None)
 
-    def take_deltas(self, limit: int = _DELTA_RECORDS) -> list[records.Record]:
+    def take_deltas(
+        self, limit: int = _MAX_DELTA_RECORDS
+    ) -> list[records.Record]:
         """Return recent changes to send to a peer, least sent first.
 
         Each change is sent a number of times proportional to the logarithm
@@ -277,13 +280,15 @@
 
         :param limit: maximum number of records
         """
-        most = _SENDS_PER_LOG2 * math.ceil(math.log2(len(self._records) + 1))
+        max_sends = _SENDS_PER_LOG2 * math.ceil(
+            math.log2(len(self._records) + 1)
+        )
         names = sorted(self._sends, key=self._sends.__getitem__)[:limit]
         for name in names:
             self._sends[name] += 1
         deltas = [self._records[name] for name in names]
         for name in names:
-            if self._sends[name] >= most:
+            if self._sends[name] >= max_sends:
                 del self._sends[name]
         return deltas
 
--- a/packages/core/src/dunlintide_core/peerselection.py
+++ b/packages/core/src/dunlintide_core/peerselection.py
@@ -23,7 +23,9 @@
 # A process whose calls mostly fail is probably cut off itself, so below
 # this share of answered calls it reports no peer as unreachable.
 _MIN_ANSWERED_SHARE = 0.4
+# Probability of calling a drawn peer although it is suspected.
 _SUSPECT_SHARE = 0.25
+# Probability of calling a seed although neighbours are known.
 _SEED_SHARE = 0.02
 _JITTER = 0.25
 
@@ -159,8 +161,8 @@
         if uncontacted:
             return self._rng.choice(uncontacted)
         name = self._draw_neighbour(revision)
-        alone = name is None or self._rng.random() < _SEED_SHARE
-        if self._seeds and alone:
+        use_seed = name is None or self._rng.random() < _SEED_SHARE
+        if self._seeds and use_seed:
             return exchanges.Target(self._rng.choice(self._seeds))
         return self._make_target(name) if name is not None else None
 
