--- a/packages/core/src/dunlintide_core/matching.py
+++ b/packages/core/src/dunlintide_core/matching.py
@@ -247,11 +247,11 @@
         """
         segments = dict.fromkeys((_find_segment(path), None))
         lists = [
-            self._positions[key, target, segment]
-            for key in dict.fromkeys((team, None))
+            self._positions[team_name, target, segment]
+            for team_name in dict.fromkeys((team, None))
             for target in targets
             for segment in segments
-            if (key, target, segment) in self._positions
+            if (team_name, target, segment) in self._positions
         ]
         return iter(lists[0]) if len(lists) == 1 else heapq.merge(*lists)
 
