--- a/packages/core/src/dunlintide_core/placement.py
+++ b/packages/core/src/dunlintide_core/placement.py
@@ -209,7 +209,7 @@
         return [opened.order for opened in self._open.values()]
 
     def list_short_ranges(self) -> list[Span]:
-        """Return the ranges that ``make_orders`` last found short of engines."""
+        """Return the ranges that lacked engines in the last decision."""
         return sorted(self._short_since)
 
     def restart_delays(self) -> None:
