--- a/packages/core/src/dunlintide_core/placement.py
+++ b/packages/core/src/dunlintide_core/placement.py
@@ -1,9 +1,9 @@
-"""Which endpoint is to hold which layers of a model.
+"""Placement of the layers of a model on engines.
 
-A leader asks, some times a second, what to order. Nothing is ordered for
-a range that was lost only just now, and few orders are open at a time:
-the weight store shares its rate among all who load, so more of them at
-once would end no sooner.
+A leader calls ``Placer.make_orders`` several times a second. A layer range
+must lack engines for some time before an order is made for it. Few orders
+are open at a time: loading engines share the bandwidth of the weight
+store, so more concurrent loads would not finish sooner.
 """
 
 import enum
@@ -20,14 +20,14 @@
     'Refusal',
     'Target',
     'find_missing',
-    'sees_enough',
+    'has_sufficient_view',
 ]
 
 Span = tuple[int, int]
 
 
 class Refusal(enum.StrEnum):
-    """Why an agent did not carry out an order."""
+    """Reason why an agent did not execute an order."""
 
     OLD_FENCE = 'old-fence'
     NOT_LEADER = 'not-leader'
@@ -41,9 +41,9 @@
 
 @attrs.frozen
 class Holding:
-    """What an engine has loaded: layers ``[layer_start, layer_end)``.
+    """Layers ``[layer_start, layer_end)`` that an engine has loaded.
 
-    A spare engine holds an empty range, of whatever model.
+    A spare engine holds an empty range; its model is irrelevant.
     """
 
     model: str = ''
@@ -53,42 +53,46 @@
 
     @property
     def is_spare(self) -> bool:
-        """Whether it holds no layers."""
+        """Whether the engine holds no layers."""
         return self.layer_start >= self.layer_end
 
     @property
     def span(self) -> Span:
-        """Its layer range."""
+        """Layer range as a pair of start and end."""
         return self.layer_start, self.layer_end
 
     def equals(self, other: 'Holding') -> bool:
-        """Tell whether the same layers are held, if any."""
+        """Return whether both hold the same layers or both are spare."""
         return self == other or (self.is_spare and other.is_spare)
 
 
 @attrs.frozen
 class Engine:
-    """An engine whose agent takes orders.
-
-    :ivar work: requests that it runs or queues
-    :ivar max_layers: most layers that it can hold, 0 for any number
-    :ivar doubted: whether it may be gone; it gets no order, and what it
-        holds is neither relied on nor replaced
+    """An engine whose agent accepts orders.
+
+    :ivar agent: name of the agent
+    :ivar request_count: requests that run or are queued
+    :ivar max_layers: maximum number of layers that the engine can hold, 0
+        for no limit
+    :ivar suspected: whether the engine may be gone; it gets no order, and
+        its layers are neither relied on nor replaced
     """
 
     agent: str
     holding: Holding
-    work: int = 0
+    request_count: int = 0
     max_layers: int = 0
-    doubted: bool = False
+    suspected: bool = False
 
 
 @attrs.frozen
 class Target:
-    """What a model version needs.
+    """Required placement of a model version.
 
-    :ivar replicas: engines wanted for each range, as far as spare ones
-        allow; a range without any is restored in any case
+    :ivar layers: number of layers of the model
+    :ivar replicas: target number of engines per range, limited by the
+        spare engines available; a range without any engine is restored
+        in any case
     """
 
     model: str
@@ -99,51 +103,55 @@
 
 @attrs.frozen
 class Order:
-    """What one agent's engine is to hold.
+    """Order to an agent to change the layers of its engine.
 
-    :ivar held: what it must hold when the order comes, so that an order
-        made from an old view changes nothing
+    :ivar agent: name of the agent
+    :ivar holding: layers to load
+    :ivar layer_count: number of layers of the model
+    :ivar expected: layers that the engine must hold on receipt of the
+        order, so that an order from an outdated view has no effect
     """
 
     agent: str
     holding: Holding
     layer_count: int
-    held: Holding
+    expected: Holding
 
 
 @attrs.frozen
 class PlacerSettings:
-    """Pace of a leader; times in seconds.
+    """Delays and limits of a placer; times in seconds.
 
-    :ivar patience: time for which a range must be short of engines, from
-        the first doubt on
-    :ivar first: least such time for a range that the leader has not seen
-        held, as its holders may only be starting
-    :ivar max_orders: orders of one model that are open at a time
+    :ivar shortage_delay: time for which a range must lack engines before
+        an order is made, measured from the first suspicion
+    :ivar initial_delay: minimum delay for a range that the leader has
+        never seen loaded, since its engines may still be starting
+    :ivar max_orders: maximum number of open orders per model
     :ivar order_timeout: time after which an order counts as failed
-    :ivar backoff: time for which an agent that failed one gets no other
+    :ivar backoff: time for which an agent gets no order after a failed one
     """
 
-    patience: float = 5.0
-    first: float = 5.0
+    shortage_delay: float = 5.0
+    initial_delay: float = 5.0
     max_orders: int = 2
     order_timeout: float = 600.0
     backoff: float = 15.0
 
 
 @attrs.frozen
-class _Open:
+class _OpenOrder:
     order: Order
     since: float
 
 
-def sees_enough(present: int, listed: int) -> bool:
-    """Tell whether a leader sees enough agents to order anything.
+def has_sufficient_view(present: int, listed: int) -> bool:
+    """Return whether a leader sees enough agents to make orders.
 
-    One that is cut off from most of them would replace what is well.
+    A leader that is cut off from most agents would replace engines that
+    are healthy.
 
-    :param present: agents that it holds to be there
-    :param listed: agents that are known and not dead
+    :param present: number of agents that the leader considers present
+    :param listed: number of agents that are known and not dead
     """
     return present > 0 and 2 * present >= listed
 
@@ -158,19 +166,20 @@
 def find_missing(
     layers: int, held: Iterable[Span], boundaries: Iterable[int] = ()
 ) -> list[Span]:
-    """Find the fewest layers whose loading lets the ranges be chained.
+    """Find the ranges to load that complete a chain with the fewest layers.
 
     :param layers: number of layers of the model
     :param held: ranges that engines hold
-    :param boundaries: where ranges began or ended before, so that a
-        gap is filled by the ranges that were lost
-    :returns: ranges to load, none when a chain exists
+    :param boundaries: starts and ends of earlier ranges, so that a gap is
+        filled with the ranges that were lost
+    :returns: ranges to load, empty if a chain exists
     """
     held = set(held)
     nodes = {0, layers} | {edge for span in held for edge in span}
     nodes |= set(boundaries)
     ordered = sorted(node for node in nodes if 0 <= node <= layers)
-    # For each boundary: layers to load before it, and the way there.
+    # For each boundary: number of layers to load before it, and the ranges
+    # that they form.
     best: dict[int, tuple[int, tuple[Span, ...]]] = {0: (0, ())}
     for previous, node in zip(ordered, ordered[1:]):
         cost, fills = best[previous]
@@ -183,74 +192,82 @@
 
 
 class Placer:
-    """Decides the orders for one model version."""
+    """Planner of placement orders for one model version."""
 
     def __init__(self, target: Target, settings: PlacerSettings) -> None:
-        """Begin with no open orders."""
+        """Create a placer without open orders."""
         self.target = target
         self._settings = settings
         self._boundaries: set[int] = set()
-        self._seen: set[Span] = set()
+        self._ranges_seen: set[Span] = set()
         self._short_since: dict[Span, float] = {}
-        self._open: dict[str, _Open] = {}
-        self._avoid: dict[str, float] = {}
+        self._open: dict[str, _OpenOrder] = {}
+        self._backoff_until: dict[str, float] = {}
 
-    def list_open(self) -> list[Order]:
-        """Return the orders that are under way."""
-        return [one.order for one in self._open.values()]
+    def list_open_orders(self) -> list[Order]:
+        """Return the orders that are not completed yet."""
+        return [opened.order for opened in self._open.values()]
 
-    def list_missing(self) -> list[Span]:
-        """Return the ranges that are short of engines, as last seen."""
+    def list_short_ranges(self) -> list[Span]:
+        """Return the ranges that lacked engines in the last decision."""
         return sorted(self._short_since)
 
-    def wait(self) -> None:
-        """Let ranges that are short wait anew, as the view is in doubt."""
+    def restart_delays(self) -> None:
+        """Restart the delays of all short ranges.
+
+        To be called when the leader sees too few agents to make orders.
+        """
         self._short_since.clear()
 
-    def fail(self, agent: str, now: float) -> None:
-        """Take note that an agent did not carry out its order."""
+    def note_failure(self, agent: str, now: float) -> None:
+        """Record that an agent did not execute its order."""
         if self._open.pop(agent, None) is not None:
-            self._avoid[agent] = now + self._settings.backoff
+            self._backoff_until[agent] = now + self._settings.backoff
 
-    def decide(self, now: float, engines: Iterable[Engine]) -> list[Order]:
-        """Decide what to order now.
+    def make_orders(
+        self, now: float, engines: Iterable[Engine]
+    ) -> list[Order]:
+        """Return the orders to send now.
 
-        Each order returned counts as given from now on.
+        Each returned order counts as open from now on.
 
-        :param engines: those that take work, of any model
+        :param now: seconds
+        :param engines: usable engines, of any model
         """
         known = {engine.agent: engine for engine in engines}
-        self._settle(now, known)
-        ours = list(self._list_ours(known))
-        certain = ours
-        if any(engine.doubted for engine in known.values()):
-            certain = list(self._list_ours(known, False))
-        self._seen.update(holding.span for holding in certain)
+        self._close_orders(now, known)
+        holdings = list(self._list_holdings(known))
+        certain = holdings
+        if any(engine.suspected for engine in known.values()):
+            certain = list(self._list_holdings(known, False))
+        self._ranges_seen.update(holding.span for holding in certain)
         self._boundaries.update(
-            edge for holding in ours for edge in holding.span
+            edge for holding in holdings for edge in holding.span
         )
         orders = []
-        for span in self._list_due(now, ours, certain):
+        for span in self._list_due(now, holdings, certain):
             if len(self._open) >= self._settings.max_orders:
                 break
             order = self._assign(span, known, now)
             if order is not None:
-                self._open[order.agent] = _Open(order, now)
+                self._open[order.agent] = _OpenOrder(order, now)
                 orders.append(order)
         return orders
 
-    def _settle(self, now: float, known: Mapping[str, Engine]) -> None:
-        for agent, one in list(self._open.items()):
+    def _close_orders(self, now: float, known: Mapping[str, Engine]) -> None:
+        for agent, opened in list(self._open.items()):
             engine = known.get(agent)
-            if engine is None or engine.holding == one.order.holding:
+            if engine is None or engine.holding == opened.order.holding:
                 del self._open[agent]
-            elif now - one.since > self._settings.order_timeout:
-                self.fail(agent, now)
-        self._avoid = {
-            agent: until for agent, until in self._avoid.items() if until > now
+            elif now - opened.since > self._settings.order_timeout:
+                self.note_failure(agent, now)
+        self._backoff_until = {
+            agent: until
+            for agent, until in self._backoff_until.items()
+            if until > now
         }
 
-    def _is_ours(self, holding: Holding) -> bool:
+    def _is_of_target(self, holding: Holding) -> bool:
         target = self.target
         return (
             not holding.is_spare
@@ -259,23 +276,23 @@
             and holding.layer_end <= target.layers
         )
 
-    def _list_ours(
-        self, known: Mapping[str, Engine], doubted: bool = True
+    def _list_holdings(
+        self, known: Mapping[str, Engine], suspected: bool = True
     ) -> Iterator[Holding]:
-        """Give what is held of the model once open orders are done.
+        """Iterate over the model's holdings after all open orders.
 
-        :param doubted: whether to count engines that may be gone
+        :param suspected: whether to include engines that may be gone
         """
         for agent, engine in known.items():
-            if engine.doubted and not doubted:
+            if engine.suspected and not suspected:
                 continue
             if agent in self._open:
                 yield self._open[agent].order.holding
-            elif self._is_ours(engine.holding):
+            elif self._is_of_target(engine.holding):
                 yield engine.holding
 
-    def _list_short(self, ours: Sequence[Holding]) -> list[Span]:
-        counts = _count_ranges(ours)
+    def _find_short_ranges(self, holdings: Sequence[Holding]) -> list[Span]:
+        counts = _count_ranges(holdings)
         missing = find_missing(self.target.layers, counts, self._boundaries)
         if missing:
             return missing
@@ -285,20 +302,25 @@
         )
 
     def _list_due(
-        self, now: float, ours: Sequence[Holding], certain: Sequence[Holding]
+        self,
+        now: float,
+        holdings: Sequence[Holding],
+        certain: Sequence[Holding],
     ) -> list[Span]:
-        """List ranges that have been short for long enough.
+        """List the ranges that have lacked engines for long enough.
 
-        :param certain: what is held without doubt: the wait begins with
-            the first doubt, an order needs certainty
+        :param holdings: holdings including those of suspected engines;
+            only ranges that are short among these are due
+        :param certain: holdings without those of suspected engines; the
+            delay of a range starts when it is short among these
         """
-        short = doubtful = self._list_short(ours)
-        if certain is not ours:
-            doubtful = self._list_short(certain)
+        short = short_if_gone = self._find_short_ranges(holdings)
+        if certain is not holdings:
+            short_if_gone = self._find_short_ranges(certain)
         before = self._short_since
 
         def find_since(span: Span) -> float:
-            # A part of a range that was lost has been lost as long.
+            # A part of a short range has been short for as long.
             wider = [
                 since
                 for (start, end), since in before.items()
@@ -307,20 +329,20 @@
             return min(wider, default=now)
 
         self._short_since = {
-            span: find_since(span) for span in (*short, *doubtful)
+            span: find_since(span) for span in (*short, *short_if_gone)
         }
         return [
             span
             for span in short
-            if now - self._short_since[span] >= self._find_patience(span)
+            if now - self._short_since[span] >= self._get_shortage_delay(span)
         ]
 
-    def _find_patience(self, span: Span) -> float:
-        patience = self._settings.patience
-        for start, end in self._seen:
+    def _get_shortage_delay(self, span: Span) -> float:
+        delay = self._settings.shortage_delay
+        for start, end in self._ranges_seen:
             if start <= span[0] and span[1] <= end:
-                return patience
-        return max(patience, self._settings.first)
+                return delay
+        return max(delay, self._settings.initial_delay)
 
     def _assign(
         self, span: Span, known: Mapping[str, Engine], now: float
@@ -329,18 +351,19 @@
             engine
             for agent, engine in known.items()
             if agent not in self._open
-            and agent not in self._avoid
-            and not engine.doubted
+            and agent not in self._backoff_until
+            and not engine.suspected
         ]
-        ours = list(self._list_ours(known, False))
+        holdings = list(self._list_holdings(known, False))
         chosen = self._pick_spare(span, free)
-        if chosen is None and span not in _count_ranges(ours):
-            chosen = self._pick_replica(free, ours)
+        if chosen is None and span not in _count_ranges(holdings):
+            chosen = self._pick_replica(free, holdings)
         if chosen is None:
             return None
         start, end = span
         if chosen.max_layers:
-            # What does not fit is missing still, and so ordered next.
+            # The layers that do not fit are still missing, so a later
+            # order covers them.
             end = min(end, start + chosen.max_layers)
         target = self.target
         holding = Holding(target.model, target.version, start, end)
@@ -350,24 +373,32 @@
         size = span[1] - span[0]
 
         def rank(engine: Engine) -> tuple[int, int, str]:
-            fits = engine.max_layers or size
-            return max(0, size - fits), engine.work, engine.agent
+            max_layers = engine.max_layers or size
+            return (
+                max(0, size - max_layers),
+                engine.request_count,
+                engine.agent,
+            )
 
         spare = [engine for engine in free if engine.holding.is_spare]
         return min(spare, key=rank, default=None)
 
     def _pick_replica(
-        self, free: Sequence[Engine], ours: Sequence[Holding]
+        self, free: Sequence[Engine], holdings: Sequence[Holding]
     ) -> Engine | None:
-        counts = _count_ranges(ours)
+        counts = _count_ranges(holdings)
 
         def rank(engine: Engine) -> tuple[int, int, str]:
-            return -counts[engine.holding.span], engine.work, engine.agent
+            return (
+                -counts[engine.holding.span],
+                engine.request_count,
+                engine.agent,
+            )
 
         replicated = [
             engine
             for engine in free
-            if self._is_ours(engine.holding)
+            if self._is_of_target(engine.holding)
             and counts[engine.holding.span] > 1
         ]
         return min(replicated, key=rank, default=None)
--- a/packages/core/src/dunlintide_core/replicas.py
+++ b/packages/core/src/dunlintide_core/replicas.py
@@ -1,157 +1,169 @@
-"""One process's replica of the fleet's state: configuration and members.
+"""Replica of the fleet's state: configuration and membership.
 
-A round of anti-entropy is one ``Request`` answered by one ``Reply``. It
-carries recent changes and two short digests; only where those differ do
-more messages follow, so that a round costs its changes and not the whole
-state. The caller drives it: nothing here reads a clock or sends bytes.
+An anti-entropy round consists of one ``Request`` and one ``Reply``. Both
+carry recent changes and two short digests. Further messages follow only
+if the digests differ, so the cost of a round depends on the changes and
+not on the size of the state. The caller passes in the time and sends the
+messages.
 """
 
 import random
 from typing import Iterable
 
-from dunlintide_core import contacts
+from dunlintide_core import configreplica
 from dunlintide_core import exchanges
 from dunlintide_core import fleet
 from dunlintide_core import membership
 from dunlintide_core import neighbours
+from dunlintide_core import peerselection
 from dunlintide_core import records
 from dunlintide_core import revisions
-from dunlintide_core import spread
 from dunlintide_core import suspicion
 from dunlintide_core import watchers
 
 __all__ = ['Replica', 'Timing']
 
-Timing = contacts.Timing
-CHUNK_BYTES = 192 << 10
-_DIGESTS = 256
-_RECORDS = 400
+Timing = peerselection.Timing
+MAX_REPLY_CHUNK_BYTES = 192 << 10
+_MAX_DIGESTS = 256
+_MAX_RECORDS = 400
 
 
 class Replica:
-    """State of one process and its part in each round.
+    """Replicated state of one process.
 
-    :ivar members: view of the fleet
-    :ivar spread: configuration
+    :ivar members: membership view
+    :ivar configuration: active and pending configuration
     """
 
     def __init__(
         self,
         me: fleet.Peer,
         rng: random.Random,
-        timing: contacts.Timing = contacts.Timing(),
+        timing: peerselection.Timing = peerselection.Timing(),
         membership_timing: suspicion.Timing = suspicion.Timing(),
     ) -> None:
         self.members = membership.View(me, membership_timing)
-        self.spread = spread.Spread()
+        self.configuration = configreplica.ConfigurationReplica()
         self._rng = rng
         self._timing = timing
-        self._contacts = contacts.Contacts(self.members, rng, timing)
-        self._introduced: set[str] = set()
-        self._reconciled = 0.0
+        self._selector = peerselection.PeerSelector(self.members, rng, timing)
+        self._informed_peers: set[str] = set()
+        self._reconciled_at = 0.0
         self._was_ready = False
         self._generation = -1
         self._is_watcher = False
 
     @property
-    def near(self) -> neighbours.Neighbours:
-        """Peers that this process talks to."""
-        return self._contacts.near
+    def neighbours(self) -> neighbours.Neighbours:
+        """Peers that this process gossips with."""
+        return self._selector.neighbours
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this process has to watch the store."""
+        """Whether this process must watch the store for new revisions."""
         if self._generation != self.members.generation:
             self._generation = self.members.generation
-            me = self.members.me.peer
-            usable = self.members.usable()
+            me = self.members.own_record.peer
+            usable = self.members.list_usable()
             self._is_watcher = watchers.is_watcher(me, usable)
         return self._is_watcher
 
-    def why_not_ready(self) -> str:
-        """Say why this process cannot serve yet; empty when it can.
+    def explain_unready(self) -> str:
+        """Describe why this process cannot serve yet; empty if it can.
 
-        A new process takes the highest revision of several peers, since
-        the store alone may have been set back.
+        A new process adopts the highest revision of several peers, since
+        the store may have been restored from a backup.
         """
-        if not self.spread.revision:
-            return 'no configuration, neither from the store nor a peer'
+        if not self.configuration.revision:
+            return 'no configuration from the store or a peer'
         if self._was_ready:
             return ''
-        asked, needed = self._contacts.count_asked()
-        if asked < needed:
-            return f'asked {asked} of {needed} peers'
-        newest = self._contacts.newest
-        if newest > self.spread.revision:
-            return f'still fetching revision {newest}'
+        contacted, needed = self._selector.count_contacted()
+        if contacted < needed:
+            return f'contacted {contacted} of {needed} peers'
+        newest = self._selector.newest_revision
+        if newest > self.configuration.revision:
+            return (
+                f'fetching configuration revision {newest}, have'
+                f' {self.configuration.revision}'
+            )
         self._was_ready = True
         return ''
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Set addresses to try besides the known members.
+        """Set addresses to contact in addition to the known members.
 
         :param addresses: ``host:port``, from the host list or settings
         """
-        self._contacts.add_seeds(addresses)
+        self._selector.add_seeds(addresses)
 
     @property
-    def urgent(self) -> bool:
-        """Whether the next round should not wait for its turn."""
-        return self._contacts.urgent
+    def is_urgent(self) -> bool:
+        """Whether the next round should start without the usual pause."""
+        return self._selector.is_urgent
 
-    def pause(self) -> float:
-        """Return seconds until the next round."""
-        return self._contacts.pause()
+    def draw_pause(self) -> float:
+        """Return the seconds until the next round, with jitter."""
+        return self._selector.draw_pause()
 
     def update_endpoint(self, now: float, endpoint: fleet.Endpoint) -> None:
-        """Announce that this process stands before something else."""
+        """Announce a changed endpoint of this process."""
         self.members.update_endpoint(now, endpoint)
-        # Peers know this process by its old record only.
-        self._introduced.clear()
+        # Peers have the old record, so send them the complete new one.
+        self._informed_peers.clear()
 
     def probe(self, name: str) -> None:
-        """Call a process soon, as something else says that it is gone."""
-        self._contacts.probe(name)
+        """Schedule a call to a process to which a link was lost."""
+        self._selector.probe(name)
+
+    def expire_suspects(self, now: float) -> list[str]:
+        """Declare timed-out suspects dead and return their names.
 
-    def settle(self, now: float) -> list[str]:
-        """Declare deaths that are due; return their names."""
-        dead = self.members.settle(now)
-        self._introduced.difference_update(dead)
+        :param now: seconds
+        """
+        dead = self.members.expire_suspects(now)
+        self._informed_peers.difference_update(dead)
         return dead
 
-    def choose(self) -> exchanges.Target | None:
-        """Choose the peer of the next round, or None when alone."""
-        return self._contacts.choose(self.spread.revision)
+    def choose_target(self) -> exchanges.Target | None:
+        """Choose the peer of the next round; None without known peers."""
+        return self._selector.choose_target(self.configuration.revision)
 
-    def open(self, now: float, target: exchanges.Target) -> exchanges.Request:
-        """Begin a round.
+    def make_request(
+        self, now: float, target: exchanges.Target
+    ) -> exchanges.Request:
+        """Start a round and return the request to send.
 
         :param now: seconds
         """
-        due = now - self._reconciled >= self._timing.reconcile
+        due = now - self._reconciled_at >= self._timing.reconcile
         if due:
-            self._reconciled = now
-        return self._request(target.name, reconcile=due)
+            self._reconciled_at = now
+        return self._build_request(target.name, reconcile=due)
 
-    def _request(self, name: str, **fields) -> exchanges.Request:
+    def _build_request(self, name: str, **fields) -> exchanges.Request:
         changes = fields.pop('changes', None)
         if changes is None:
-            changes = self._tell(name)
-        mine = self.members.me
-        known = name in self._introduced
+            changes = self._list_changes_for(name)
+        mine = self.members.own_record
+        known = name in self._informed_peers
         return exchanges.Request(
             sender=records.shorten(mine) if known else mine,
-            offer=self.spread.offer,
-            known_revision=self.spread.known_revision,
+            offer=self.configuration.offer,
+            known_revision=self.configuration.known_revision,
             members_hash=self.members.hash,
             changes=tuple(changes),
-            wanted_chunks=self.spread.missing(),
+            wanted_chunks=self.configuration.list_missing(),
             **fields,
         )
 
-    def _tell(self, name: str) -> list[records.Record]:
-        """Return recent changes, led by a suspicion of the peer itself."""
-        changes = self.members.deltas()
+    def _list_changes_for(self, name: str) -> list[records.Record]:
+        """Return the recent changes, and any suspicion of the peer itself.
+
+        A suspected peer refutes the suspicion when it receives it.
+        """
+        changes = self.members.take_deltas()
         theirs = self.members.get(name)
         if theirs is not None and theirs.witnesses:
             changes.append(records.shorten(theirs))
@@ -160,66 +172,72 @@
             for each in changes
         ]
 
-    def _merge(self, now: float, changes: Iterable[records.Record]) -> None:
+    def _merge_changes(
+        self, now: float, changes: Iterable[records.Record]
+    ) -> None:
         for record in changes:
             self.members.merge(now, record)
 
-    def _hear(
-        self, now: float, sender: records.Record, offer: spread.Offer
+    def _note_sender(
+        self, now: float, sender: records.Record, offer: configreplica.Offer
     ) -> None:
         name = sender.peer.name
         self.members.merge(now, sender)
-        self._contacts.hear(name, offer.revision)
-        self.spread.compare(offer)
+        self._selector.note_revision(name, offer.revision)
+        self.configuration.detect_conflict(offer)
 
-    def answer(
+    def handle_request(
         self,
         now: float,
         request: exchanges.Request,
-        chunk_bytes: int = CHUNK_BYTES,
+        chunk_bytes: int = MAX_REPLY_CHUNK_BYTES,
     ) -> exchanges.Reply:
-        """Answer a peer's request.
+        """Handle a request of a peer and return the reply.
 
-        :param chunk_bytes: most bytes of chunks to send, 0 for none
+        :param now: seconds
+        :param chunk_bytes: maximum bytes of chunks to send, 0 for none
         """
         name = request.sender.peer.name
-        self._hear(now, request.sender, request.offer)
-        self._merge(now, request.changes)
+        self._note_sender(now, request.sender, request.offer)
+        self._merge_changes(now, request.changes)
         wanted = [] if self.members.get(name) else [name]
-        lacking, unknown = self._reconcile(request)
-        if request.offer.revision > self.spread.known_revision:
-            self._contacts.call_next(name)
+        lacking, unknown = self._compare_digests(request)
+        if request.offer.revision > self.configuration.known_revision:
+            self._selector.call_next(name)
         head = b''
-        if self.spread.revision > request.known_revision:
-            head = self.spread.snapshot.body
+        if self.configuration.revision > request.known_revision:
+            head = self.configuration.snapshot.body
         differs = request.members_hash != self.members.hash
         hashes = ()
         if request.reconcile and differs:
             hashes = self.members.bucket_hashes
-        told = self._tell(name)
+        recent = self._list_changes_for(name)
         return exchanges.Reply(
-            sender=records.shorten(self.members.me),
-            offer=self.spread.offer,
+            sender=records.shorten(self.members.own_record),
+            offer=self.configuration.offer,
             head=head,
             chunks=tuple(
-                self.spread.chunks(request.wanted_chunks, chunk_bytes)
+                self.configuration.list_chunks(
+                    request.wanted_chunks, chunk_bytes
+                )
             ),
-            changes=(*lacking, *told),
+            changes=(*lacking, *recent),
             bucket_hashes=hashes,
             wanted_members=(*wanted, *unknown),
         )
 
-    def _reconcile(
+    def _compare_digests(
         self, request: exchanges.Request
     ) -> tuple[list[records.Record], list[str]]:
-        """Compare buckets with a peer's digests of them.
+        """Compare buckets with the digests that a peer sent for them.
 
-        :return: records that the peer lacks, names that this view lacks
+        :return: records that are newer here, and names whose records are
+            newer at the peer
         """
         theirs = {each.name: each for each in request.digests}
         lacking = []
         for index in request.buckets:
-            for record in self.members.bucket(index):
+            for record in self.members.list_bucket(index):
                 digest = theirs.get(record.peer.name)
                 if records.is_newer(record, digest):
                     lacking.append(record)
@@ -228,41 +246,46 @@
             for name, digest in theirs.items()
             if records.is_older(self.members.get(name), digest)
         ]
-        return lacking[:_RECORDS], wanted
+        return lacking[:_MAX_RECORDS], wanted
 
-    def take(
+    def handle_reply(
         self, now: float, target: exchanges.Target, reply: exchanges.Reply
     ) -> exchanges.Request | None:
-        """Take in a reply.
+        """Handle the reply of a peer.
 
+        :param now: seconds
         :return: a request to send to the same peer at once, or None
         """
         name = reply.sender.peer.name
-        self._contacts.note_answer(target)
-        self._introduced.add(name)
-        self._hear(now, reply.sender, reply.offer)
-        self._merge(now, reply.changes)
+        self._selector.note_answer(target)
+        self._informed_peers.add(name)
+        self._note_sender(now, reply.sender, reply.offer)
+        self._merge_changes(now, reply.changes)
         if reply.head:
-            self.spread.take_head(reply.head)
-        self.spread.take_chunks(reply.chunks)
-        self.adopt()
-        # The peer pulls what it now knows of; no need to tell it again.
-        self._contacts.hear(name, self.spread.revision)
-        return self._follow(name, reply)
-
-    def take_stored(self, head: revisions.Head, document: bytes) -> None:
-        """Take a configuration as the store gave it."""
-        if self.spread.take_stored(head, document) is not None:
-            self._contacts.hurry()
-
-    def adopt(self) -> spread.Snapshot | None:
-        """Put a pulled configuration in force once it is whole."""
-        snapshot = self.spread.adopt()
+            self.configuration.accept_head(reply.head)
+        self.configuration.accept_chunks(reply.chunks)
+        self.activate_pending()
+        # The peer pulls a newer revision by itself once it has seen the
+        # offer, so it counts as up to date.
+        self._selector.note_revision(name, self.configuration.revision)
+        return self._build_follow_up(name, reply)
+
+    def apply_stored(self, head: revisions.Head, document: bytes) -> None:
+        """Apply a configuration that was read from the store."""
+        if self.configuration.accept_stored(head, document) is not None:
+            self._selector.start_eager_rounds()
+
+    def activate_pending(self) -> configreplica.Snapshot | None:
+        """Activate the pending configuration if it is complete.
+
+        :return: the new snapshot, or None if nothing changed
+        """
+        snapshot = self.configuration.activate_pending()
         if snapshot is not None:
-            self._contacts.hurry()
+            self._selector.start_eager_rounds()
         return snapshot
 
-    def _follow(
+    def _build_follow_up(
         self, name: str, reply: exchanges.Reply
     ) -> exchanges.Request | None:
         mine = self.members.bucket_hashes
@@ -271,8 +294,8 @@
             for index, theirs in enumerate(reply.bucket_hashes)
             if theirs != mine[index]
         ]
-        pulls = bool(self.spread.missing()) and (
-            reply.offer.revision >= self.spread.known_revision
+        pulls = bool(self.configuration.list_missing()) and (
+            reply.offer.revision >= self.configuration.known_revision
         )
         wanted = [
             self.members.get(each)
@@ -281,29 +304,32 @@
         ]
         if not (differing or pulls or wanted):
             return None
-        buckets, digests = self._digest(differing)
-        return self._request(
+        buckets, digests = self._make_digests(differing)
+        return self._build_request(
             name,
-            changes=wanted[:_RECORDS],
+            changes=wanted[:_MAX_RECORDS],
             buckets=tuple(buckets),
             digests=tuple(digests),
         )
 
-    def _digest(
+    def _make_digests(
         self, differing: list[int]
     ) -> tuple[list[int], list[records.Digest]]:
         self._rng.shuffle(differing)
         buckets, digests = [], []
         for index in differing:
-            if len(digests) >= _DIGESTS:
+            if len(digests) >= _MAX_DIGESTS:
                 break
             buckets.append(index)
             digests.extend(
                 records.make_digest(record)
-                for record in self.members.bucket(index)
+                for record in self.members.list_bucket(index)
             )
         return buckets, digests
 
-    def fail(self, now: float, target: exchanges.Target) -> None:
-        """Take note that a peer did not answer."""
-        self._contacts.note_failure(now, target)
+    def note_failure(self, now: float, target: exchanges.Target) -> None:
+        """Record that a peer did not answer.
+
+        :param now: seconds
+        """
+        self._selector.note_failure(now, target)
--- a/packages/core/src/dunlintide_core/subset.py
+++ b/packages/core/src/dunlintide_core/subset.py
@@ -1,10 +1,11 @@
-"""Which agents each entry connects to, the same on every process.
-
-Agents that can stand in for each other form a group: one layer range of
-one model version, or one plain service. Each entry takes a few of every
-group, so that it can tile each model with a choice at each range. Within
-a group the entries pick in turn by rendezvous hashing, and an agent that
-has its fair share of entries is passed over.
+"""Deterministic subsetting: the agents that each entry connects to.
+
+Interchangeable agents form a group: those with one layer range of one
+model version, or one plain service. Each entry is assigned a few agents
+of every group, so that it can build complete chains with a choice at each
+range. Within a group the entries take turns and select by rendezvous
+hashing. Agents that have their share of entries are selected last. Every
+process computes the same assignment.
 """
 
 import math
@@ -13,19 +14,19 @@
 from dunlintide_core import fleet
 from dunlintide_core import hashing
 
-__all__ = ['DEFAULT_AGENTS', 'FULL_MESH', 'assign']
+__all__ = ['DEFAULT_AGENTS', 'FULL_MESH_AGENTS', 'assign']
 
 DEFAULT_AGENTS = 24
-# Up to so many agents every entry connects to all of them: fewer links
-# would save little and leave less choice.
-FULL_MESH = 64
-LEAST_CHOICES = 2
-# An agent takes at most so much of the mean number of entries.
-_SLACK = 1.15
+# Up to this number of agents, every entry connects to all of them: a subset
+# would save few links and reduce the choice of chains.
+FULL_MESH_AGENTS = 64
+MIN_CHOICES = 2
+# Preferred upper limit of links per agent, relative to the mean.
+_MAX_LOAD_FACTOR = 1.15
 
 
 class _Group(NamedTuple):
-    """What the agents of one group have in common."""
+    """Key of a group of interchangeable agents."""
 
     kind: str
     model: str
@@ -35,7 +36,7 @@
     service: str
 
 
-def _group(
+def _group_agents(
     agents: Iterable[fleet.Peer],
 ) -> dict[_Group, list[fleet.Peer]]:
     groups: dict[_Group, list[fleet.Peer]] = {}
@@ -62,23 +63,28 @@
     )
 
 
-def _pick(
+def _pick_agent(
     ranked: list[fleet.Peer],
     taken: Sequence[fleet.Peer],
     links: Mapping[str, int],
-    most: int,
+    max_links: int,
 ) -> fleet.Peer:
-    """Pick the next agent of a group for one entry.
+    """Select the next agent of a group for one entry.
+
+    Prefers agents that have not reached their limit of links, and among
+    them agents of a failure domain that is new to the entry.
 
-    One of a failure domain that the entry has none of goes first, then
-    one that is not full.
+    :param ranked: agents of the group by rendezvous rank
+    :param taken: agents that the entry has already
+    :param links: number of entries assigned to each agent
+    :param max_links: limit of entries per agent
     """
     domains = {agent.failure_domain for agent in taken}
     free = [agent for agent in ranked if agent not in taken]
     return min(
         free,
         key=lambda agent: (
-            links[agent.name] >= most,
+            links[agent.name] >= max_links,
             agent.failure_domain in domains,
         ),
     )
@@ -88,14 +94,16 @@
     entries: Sequence[fleet.Peer], agents: list[fleet.Peer], choices: int
 ) -> dict[str, list[fleet.Peer]]:
     choices = min(choices, len(agents))
-    most = math.ceil(_SLACK * choices * len(entries) / len(agents))
+    max_links = math.ceil(
+        _MAX_LOAD_FACTOR * choices * len(entries) / len(agents)
+    )
     links = {agent.name: 0 for agent in agents}
     chosen: dict[str, list[fleet.Peer]] = {e.name: [] for e in entries}
     ranks = {entry.name: _rank(entry, agents) for entry in entries}
     for _ in range(choices):
         for entry in entries:
             taken = chosen[entry.name]
-            agent = _pick(ranks[entry.name], taken, links, most)
+            agent = _pick_agent(ranks[entry.name], taken, links, max_links)
             links[agent.name] += 1
             taken.append(agent)
     return chosen
@@ -108,18 +116,18 @@
 ) -> dict[str, tuple[fleet.Peer, ...]]:
     """Assign agents to every entry.
 
-    :param target: agents an entry should have; more when that is needed
+    :param target: preferred number of agents per entry; exceeded if needed
         for two choices in each group
-    :return: agents by the entry's name
+    :return: agents by name of the entry
     """
     entries = sorted(entries, key=lambda peer: hashing.hash_text(peer.name))
-    groups = _group(agents)
+    groups = _group_agents(agents)
     if not groups:
         return {entry.name: () for entry in entries}
-    choices = max(LEAST_CHOICES, target // len(groups))
+    choices = max(MIN_CHOICES, target // len(groups))
     result: dict[str, list[fleet.Peer]] = {e.name: [] for e in entries}
     for key in sorted(groups):
-        teams = sorted(groups[key], key=lambda agent: agent.name)
-        for name, chosen in _assign_group(entries, teams, choices).items():
+        group = sorted(groups[key], key=lambda agent: agent.name)
+        for name, chosen in _assign_group(entries, group, choices).items():
             result[name].extend(chosen)
     return {name: tuple(chosen) for name, chosen in result.items()}
--- a/packages/core/src/dunlintide_core/suspicion.py
+++ b/packages/core/src/dunlintide_core/suspicion.py
@@ -1,4 +1,8 @@
-"""How long the silence of a process must last before it counts as dead."""
+"""Time for which a process must stay suspected before it is declared dead.
+
+The time-out grows with the number of suspects, since many simultaneous
+suspects point to a network partition rather than to many failures.
+"""
 
 from typing import Iterable, Mapping
 
@@ -8,83 +12,87 @@
 
 __all__ = [
     'NEEDED_WITNESSES',
-    'Silence',
+    'SuspectCount',
     'Timing',
-    'count_silent',
-    'find_patience',
+    'count_suspects',
+    'get_timeout',
 ]
 
 NEEDED_WITNESSES = 2
-_MANY = 4
-_MANY_SHARE = 1 / 16
+_MANY_SUSPECTS = 4
+_OUTAGE_SHARE = 1 / 16
 
 
 @attrs.frozen
 class Timing:
     """Time constants of membership, in seconds.
 
-    :ivar suspect: from two witnesses of different failure domains to death
-    :ivar suspect_same_domain: same, when both share a failure domain
-    :ivar suspect_many: same, while several processes are silent and the
-        news of more may be under way
-    :ivar held: most time a process is held suspect while most of its
-        failure domain or a large part of the fleet is silent; longer
-        than a region is cut off
-    :ivar tombstone: how long a dead process is remembered
+    :ivar suspect: time-out with two witnesses in different failure domains
+    :ivar suspect_same_domain: time-out if all witnesses share a failure
+        domain
+    :ivar suspect_many: time-out while several processes are suspected and
+        reports of more may be under way
+    :ivar suspect_outage: time-out while most of the failure domain or a
+        large part of the fleet is suspected; longer than a partition of
+        a region is expected to last
+    :ivar tombstone: time for which a dead process is remembered
     """
 
     suspect: float = 10.0
     suspect_same_domain: float = 20.0
     suspect_many: float = 60.0
-    held: float = 7200.0
+    suspect_outage: float = 7200.0
     tombstone: float = 10800.0
 
 
 @attrs.frozen
-class Silence:
-    """Silent and all processes of one failure domain."""
+class SuspectCount:
+    """Number of suspects among the processes of one failure domain."""
 
-    silent: int = 0
+    suspects: int = 0
     total: int = 0
 
 
-def count_silent(present: Iterable[records.Record]) -> dict[str, Silence]:
-    """Count silent and all processes by failure domain.
+def count_suspects(
+    present: Iterable[records.Record],
+) -> dict[str, SuspectCount]:
+    """Count suspects and all processes by failure domain.
 
-    :param present: records of all that are not dead
+    :param present: records of all processes that are not dead
     """
-    counts: dict[str, Silence] = {}
+    counts: dict[str, SuspectCount] = {}
     for record in present:
         domain = record.peer.failure_domain
-        known = counts.get(domain, Silence())
-        counts[domain] = Silence(
-            known.silent + bool(record.witnesses), known.total + 1
+        count = counts.get(domain, SuspectCount())
+        counts[domain] = SuspectCount(
+            count.suspects + bool(record.witnesses), count.total + 1
         )
     return counts
 
 
-def find_patience(
+def get_timeout(
     domain: str,
     witness_domains: int,
-    counts: Mapping[str, Silence],
+    counts: Mapping[str, SuspectCount],
     timing: Timing,
 ) -> float:
-    """Return for how long a silent process is given time, in seconds.
+    """Return the time-out of a suspicion, in seconds.
 
-    :param domain: its failure domain
-    :param witness_domains: failure domains of those who miss it
+    :param domain: failure domain of the suspect
+    :param witness_domains: number of failure domains of its witnesses
+    :param counts: suspects and all processes by failure domain
     """
-    mine = counts[domain]
-    if 2 * mine.silent > mine.total >= _MANY:
-        return timing.held
-    silent = sum(each.silent for each in counts.values())
+    own = counts[domain]
+    if 2 * own.suspects > own.total >= _MANY_SUSPECTS:
+        return timing.suspect_outage
+    suspects = sum(each.suspects for each in counts.values())
     total = sum(each.total for each in counts.values())
-    # The process that judges may be the one that is cut off: a small part
-    # of the fleet cannot probe most of the others, so a majority of each
-    # failure domain need not show.
-    if silent >= max(_MANY, total * _MANY_SHARE):
-        return timing.held
-    if silent >= _MANY:
+    # This process may be on the smaller side of a partition. That side can
+    # probe only a part of the other one, so even a partition may not show
+    # as a majority of suspects in a failure domain.
+    if suspects >= max(_MANY_SUSPECTS, total * _OUTAGE_SHARE):
+        return timing.suspect_outage
+    if suspects >= _MANY_SUSPECTS:
         return timing.suspect_many
     if witness_domains < NEEDED_WITNESSES:
         return timing.suspect_same_domain
--- a/packages/core/src/dunlintide_core/validation.py
+++ b/packages/core/src/dunlintide_core/validation.py
@@ -1,4 +1,4 @@
-"""What must hold in a configuration beyond the types of its fields."""
+"""Validation of the values in a configuration, beyond field types."""
 
 import functools
 import re
@@ -10,7 +10,7 @@
 
 __all__ = ['list_faults']
 
-LEAST_PRIORITY, MOST_PRIORITY = 0, 3
+MIN_PRIORITY, MAX_PRIORITY = 0, 3
 MAX_PATH_CHARACTERS = 512
 MAX_NAME_CHARACTERS = 128
 
@@ -44,8 +44,8 @@
 
 
 def _check_priority(path: jsonc.Path, value: int) -> Iterator[Fault]:
-    if not LEAST_PRIORITY <= value <= MOST_PRIORITY:
-        expected = f'a priority from {LEAST_PRIORITY} to {MOST_PRIORITY}'
+    if not MIN_PRIORITY <= value <= MAX_PRIORITY:
+        expected = f'a priority from {MIN_PRIORITY} to {MAX_PRIORITY}'
         yield path, _expect(expected, value)
 
 
@@ -68,14 +68,15 @@
     for index, team in enumerate(teams):
         path = ('members', index)
         yield from _check_name((*path, 'name'), team.name, _NAME)
-        for place, digest in enumerate(team.key_hashes):
-            spot = (*path, 'key_hashes', place)
-            # The value is not shown: it may be a key, put here by mistake.
+        for position, digest in enumerate(team.key_hashes):
+            key_path = (*path, 'key_hashes', position)
+            # The value is not shown, as it may be a secret key entered by
+            # mistake.
             if not _KEY_HASH.fullmatch(digest):
                 text = 'expected a SHA-256 of 64 lower-case hex digits'
-                yield spot, f'{text}, got {len(digest)} characters'
+                yield key_path, f'{text}, got {len(digest)} characters'
             elif digest in owners:
-                yield spot, f'the key is already that of {owners[digest]}'
+                yield key_path, f'the key is already used by {owners[digest]}'
             owners.setdefault(digest, team.name)
 
 
@@ -93,14 +94,14 @@
 ) -> Iterator[Fault]:
     yield from _check_unique('services', (s.name for s in services))
     for index, service in enumerate(services):
-        spot = ('services', index, 'name')
-        yield from _check_name(spot, service.name, _NAME)
+        item_path = ('services', index, 'name')
+        yield from _check_name(item_path, service.name, _NAME)
 
 
 def _has_open_set(glob: str) -> bool:
     start = glob.find('[')
     while start >= 0:
-        # As fnmatch reads it, a "]" that comes first is in the set.
+        # As in fnmatch, a "]" directly after "[" or "[!" belongs to the set.
         first = start + 1 + glob.startswith('!', start + 1)
         end = glob.find(']', first + 1)
         if end < 0:
@@ -153,7 +154,11 @@
 def _collect(
     models: Iterable[configuration.Model], names: tuple[str, ...], field: str
 ) -> frozenset[str]:
-    """Collect versions or adapters of the named models, or of all."""
+    """Collect the versions or adapters of the named models.
+
+    :param names: names of models, empty for all
+    :param field: field of the model to collect
+    """
     found: set[str] = set()
     for model in models:
         if not names or model.name in names:
@@ -183,9 +188,9 @@
         ):
             names = enumerate(getattr(when, field))
             for index, name in names:
-                written = configuration.name_condition(field)
-                spot = (*path, written, index)
-                yield from _check_known(spot, name, known, written)
+                document_name = configuration.name_condition(field)
+                item_path = (*path, document_name, index)
+                yield from _check_known(item_path, name, known, document_name)
 
     def check_then(path: jsonc.Path, rule: configuration.Rule):
         then = rule.then
@@ -194,12 +199,12 @@
                 (*path, 'model'), then.model, models, 'model'
             )
         targets = (then.model,) if then.model else rule.when.model
-        for field, name, many in (
+        for field, name, model_field in (
             ('version', then.version, 'version'),
             ('adapter', then.adapter, 'adapters'),
         ):
             if name is not None:
-                known = collect(targets, many)
+                known = collect(targets, model_field)
                 yield from _check_known((*path, field), name, known, field)
 
     def check(path: jsonc.Path, rule: configuration.Rule) -> Iterator[Fault]:
@@ -223,9 +228,9 @@
 
 
 def list_faults(source: configuration.Configuration) -> Iterator[Fault]:
-    """List values out of range, names used twice and names not known.
+    """List out-of-range values, duplicate names and unknown names.
 
-    :returns: path and text of each fault
+    :returns: path and description of each fault
     """
     yield from _check_teams(source.teams)
     yield from _check_models(source.models)
