--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -10,7 +10,7 @@
 from dunlintide_core import cachenews
 from dunlintide_daemon.agent import caching
 from dunlintide_daemon.agent import counts as counting
-from dunlintide_daemon.entry import learning
+from dunlintide_daemon.entry import modelplanning
 from dunlintide_standins import reference
 from dunlintide_trials import deployment
 from dunlintide_trials import launcher
@@ -212,27 +212,29 @@
     assert context.reader.describe() == before
 
 
-def _tell(learner, *held, everything=False, moment=1.0):
+def _tell(model_planner, *held, everything=False, moment=1.0):
     news = cachenews.News(held, all=everything)
-    learner.note(learning.News('agent', news, moment))
-    learner.refresh((), moment)
+    model_planner.enqueue(
+        modelplanning.TimedCacheUpdate('agent', news, moment)
+    )
+    model_planner.refresh((), moment)
 
 
 @behave.given("an entry's plan that was told prefixes of an agent")
 def give_told(context):
-    context.learner = learning.Learner(1, False)
-    _tell(context.learner, 11, 12, moment=time.monotonic())
+    context.model_planner = modelplanning.ModelPlanner(1, False)
+    _tell(context.model_planner, 11, 12, moment=time.monotonic())
 
 
 @behave.when('the agent tells all anew without one of them')
 def tell_anew(context):
     later = time.monotonic() + 0.001
-    _tell(context.learner, 12, everything=True, moment=later)
+    _tell(context.model_planner, 12, everything=True, moment=later)
 
 
 @behave.then('the entry finds the others only')
 def check_dropped(context):
-    held = context.learner._affinity
+    held = context.model_planner._affinity
     now = time.monotonic() + 1.0
     assert held.find([12], now) == {'agent': 1.0}
     assert not held.find([11], now)
--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -352,7 +352,7 @@
 
 @behave.given('the entry has no room for answers')
 def fill_room(context):
-    room = context.entry.role._room
+    room = context.entry.role._answer_memory
     context.taken = room.limit // 2 + 1
     assert room.reserve(context.taken)
     assert not room.reserve(context.taken)
@@ -360,12 +360,12 @@
 
 @behave.when('the entry has room for answers again')
 def empty_room(context):
-    context.entry.role._room.release(context.taken)
+    context.entry.role._answer_memory.release(context.taken)
 
 
 @behave.then('the entry holds no answer any more')
 def check_room(context):
-    room = context.entry.role._room
+    room = context.entry.role._answer_memory
     wait_until(lambda: room.reserved == 0)
 
 
--- a/features/steps/placement_orders.py
+++ b/features/steps/placement_orders.py
@@ -14,8 +14,8 @@
 from dunlintide_core import placement
 from dunlintide_core import settings
 from dunlintide_daemon.agent import role
+from dunlintide_daemon.entry import engineview
 from dunlintide_daemon.entry import leader as leading
-from dunlintide_daemon.entry import sightings
 from dunlintide_standins.engine import server as engines
 from dunlintide_standins import faults
 from dunlintide_standins import reference
@@ -204,8 +204,8 @@
 
     def __init__(self, context, name):
         self.now, self.sent, self.status = 1000.0, [], None
-        view = leading.View(
-            lambda: sightings.Sight(
+        view = leading.FleetAccess(
+            lambda: engineview.EngineSnapshot(
                 (placement.Engine('spare', placement.Holding()),), True
             ),
             lambda agent, order: self.sent.append(order) or True,
--- a/features/steps/subset.py
+++ b/features/steps/subset.py
@@ -16,10 +16,10 @@
 from dunlintide_core import membership
 from dunlintide_core import records
 from dunlintide_core import settings
+from dunlintide_daemon.entry import engineview
 from dunlintide_daemon.entry import fleet as entry_fleet
 from dunlintide_daemon.entry import placement
 from dunlintide_daemon.entry import roster
-from dunlintide_daemon.entry import sightings
 
 _LAYERS = 8
 _WAIT_SECONDS = 30.0
@@ -111,8 +111,8 @@
 
     context.leaving = set()
     context.now = context.later = 0.0
-    source = roster.heed_list(
-        roster.follow_members(list_present),
+    source = roster.mark_leaving_hosts(
+        roster.poll_membership(list_present),
         lambda: result.Ok(
             [
                 hostlist.Host(
@@ -137,8 +137,8 @@
     context.now = getattr(context, 'now', 0.0) + 1000.0
     assert context.roster.refresh(context.now)
     context.fleet.update(context.roster.hosts, context.roster.wanted)
-    if 'sightings' in context:
-        context.sightings.note_hosts(context.roster.hosts)
+    if 'engine_view' in context:
+        context.engine_view.update_hosts(context.roster.hosts)
 
 
 def _list_linked(context):
@@ -168,7 +168,7 @@
     outside = context.agents.keys() - context.roster.wanted
     context.outside = min(outside)
     assert context.fleet.find(context.outside, 2) is None
-    context.reached = context.fleet.reach(context.outside, 2)
+    context.reached = context.fleet.connect(context.outside, 2)
 
 
 @behave.then('it is linked, and also under work for long after')
@@ -210,7 +210,7 @@
 @behave.then('asking for an older life of an agent outside finds nobody')
 def reach_older(context):
     outside = min(context.agents.keys() - context.roster.wanted)
-    assert context.fleet.reach(outside, 1) is None
+    assert context.fleet.connect(outside, 1) is None
 
 
 @behave.given('a process that knows an engine by its first record')
@@ -267,12 +267,12 @@
 
 
 def _look(context):
-    if 'sightings' not in context:
-        context.sightings = sightings.Sightings(
+    if 'engine_view' not in context:
+        context.engine_view = engineview.EngineView(
             'entry-0', 'domain-0', context.fleet
         )
-        context.sightings.note_hosts(context.roster.hosts)
-    return context.sightings.look()
+        context.engine_view.update_hosts(context.roster.hosts)
+    return context.engine_view.take_snapshot()
 
 
 def _count_doubted(context):
@@ -284,7 +284,7 @@
 def check_seen(context):
     _wait_for(lambda: _list_linked(context) == context.roster.wanted)
     assert _count_doubted(context) == (12, 0)
-    assert _look(context).enough
+    assert _look(context).has_sufficient_view
     assert len(context.fleet.describe()['dialled']) == 4
 
 
@@ -305,9 +305,9 @@
         context.fleet,
         None,
     )
-    keeper.note_hosts(context.roster.hosts)
+    keeper.update_hosts(context.roster.hosts)
     order = link_pb2.Order(order_id='one')
-    assert keeper._view.send(context.outside, order)
+    assert keeper._fleet_access.send(context.outside, order)
 
 
 @behave.then(
@@ -352,7 +352,7 @@
         context.view.merge(1.0, attrs.evolve(record, witnesses=(witness,)))
     context.roster._due = float('inf')
     assert context.roster.refresh(context.now)
-    context.sightings.note_hosts(context.roster.hosts)
+    context.engine_view.update_hosts(context.roster.hosts)
 
 
 @behave.when('an agent outside its subset tells that its engine is away')
@@ -375,12 +375,15 @@
     wanted = set(context.roster.wanted)
     outside = sorted(context.agents.keys() - wanted)[:4]
     busy, oldest, *others = outside
-    before, entry_fleet.MAX_SPARE = entry_fleet.MAX_SPARE, 3
-    context.stack.callback(setattr, entry_fleet, 'MAX_SPARE', before)
+    before, entry_fleet.MAX_ON_DEMAND_LINKS = (
+        entry_fleet.MAX_ON_DEMAND_LINKS,
+        3,
+    )
+    context.stack.callback(setattr, entry_fleet, 'MAX_ON_DEMAND_LINKS', before)
     for name in (busy, oldest, *others):
         # A link counts as used for as long as its opening may take.
         _wait_for(lambda: time.monotonic() > context.later)
-        assert context.fleet.reach(name, None) is not None
+        assert context.fleet.connect(name, None) is not None
         context.fleet.add_work([name], int(name == busy))
-        context.later = time.monotonic() + entry_fleet.REACH_SECONDS
+        context.later = time.monotonic() + entry_fleet.CONNECT_SECONDS
     _wait_for(lambda: _list_linked(context) == wanted | {busy, *others})
--- a/features/steps/threads.py
+++ b/features/steps/threads.py
@@ -24,7 +24,7 @@
     raise ValueError('Authorization: {KEY}')
 
 logs.configure('e', 'entry', 'a')
-threads.watch_errors()
+threads.install_excepthook()
 thread = threading.Thread(target=fail, name='NAME')
 thread.start()
 thread.join()
@@ -73,7 +73,7 @@
     )
     context.leaders = Leaders()
     placing = placement.Placement(mine, context.leaders, Fleet(), holder)
-    placing.note_hosts([roster.Host('entry', 'entry', '', 'live')])
+    placing.update_hosts([roster.Host('entry', 'entry', '', 'live')])
     done = threading.Event()
     ticker = threading.Thread(target=placing.run, args=(done,))
     ticker.start()
--- a/packages/daemon/src/dunlintide_daemon/entry/application.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/application.py
@@ -23,8 +23,8 @@
 from dunlintide_daemon.entry import requests
 from dunlintide_daemon.entry import router
 from dunlintide_daemon.entry import routes
+from dunlintide_daemon.entry import routetable
 from dunlintide_daemon.entry import services
-from dunlintide_daemon.entry import table
 
 __all__ = [
     'Application',
@@ -178,7 +178,9 @@
         request_id: str,
         snapshot: holders.Snapshot,
     ) -> result.Result[_AuthenticatedRequest, outcomes.Refusal]:
-        team = snapshot.keys.find(environ.get('HTTP_AUTHORIZATION', ''))
+        team = snapshot.keys.authenticate(
+            environ.get('HTTP_AUTHORIZATION', '')
+        )
         if isinstance(team, result.Err):
             return team
         team_refusal = _count_for_team(environ, team.ok_value)
@@ -207,19 +209,19 @@
     ) -> result.Result[problems.Response, outcomes.Refusal]:
         environ = request.environ
         method = environ['REQUEST_METHOD']
-        target = table.find_target(method, environ.get('PATH_INFO', ''))
-        match target.endpoint:
-            case table.Endpoint.COMPLETION:
+        target = routetable.find_target(method, environ.get('PATH_INFO', ''))
+        match target.resource:
+            case routetable.Resource.COMPLETION:
                 return self._complete(request, chat=False)
-            case table.Endpoint.CHAT:
+            case routetable.Resource.CHAT:
                 return self._complete(request, chat=True)
-            case table.Endpoint.SERVICE:
+            case routetable.Resource.SERVICE:
                 return self._call_service(request, target)
-            case table.Endpoint.MODELS:
+            case routetable.Resource.MODELS:
                 return self._list_models(request)
-            case table.Endpoint.REQUEST:
+            case routetable.Resource.REQUEST:
                 return self._show_request(request, target.name)
-            case table.Endpoint.WRONG_METHOD:
+            case routetable.Resource.WRONG_METHOD:
                 code = outcomes.FailCode.BAD_REQUEST
                 return _refuse(code, 'the method is not allowed for this path')
         return _refuse(outcomes.FailCode.NOT_FOUND, 'there is no such path')
@@ -242,7 +244,7 @@
         return result.Ok(answers.respond_json(body, request.caller.request_id))
 
     def _call_service(
-        self, request: _AuthenticatedRequest, target: table.Target
+        self, request: _AuthenticatedRequest, target: routetable.Target
     ) -> result.Result[problems.Response, outcomes.Refusal]:
         environ, caller = request.environ, request.caller
         body = requests.read_body(environ)
--- a/packages/daemon/src/dunlintide_daemon/entry/claims.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/claims.py
@@ -106,7 +106,7 @@
                 return result.Err(outcomes.refuse(code, detail))
             return _refuse_store('the store did not accept the claim')
         stored = answer.ok_value
-        executor = self.fleet.reach(stored.executor, stored.incarnation)
+        executor = self.fleet.connect(stored.executor, stored.incarnation)
         repeated = stored.attempt != wanted.attempt
         return result.Ok(BoundClaim(stored, executor, repeated))
 
--- a/packages/daemon/src/dunlintide_daemon/entry/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/crashes.py
@@ -7,14 +7,14 @@
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
-    'hear',
-    'spread',
+    'broadcast',
+    'route_suspects_first',
 ]
 
-Take = Callable[[links.Link, list[link_pb2.Frame]], None]
+FrameHandler = Callable[[links.Link, list[link_pb2.Frame]], None]
 
 
-def spread(
+def broadcast(
     fleet_view: fleet.Fleet, frame: link_pb2.Frame, source: links.Link
 ) -> None:
     """Send word to all agents but the one that sent it."""
@@ -23,20 +23,21 @@
             agent.link.send(frame)
 
 
-def hear(
-    take: Callable[[links.Link, link_pb2.Suspects], None], route: Take
-) -> Take:
+def route_suspects_first(
+    take_suspects: Callable[[links.Link, link_pb2.Suspects], None],
+    route: FrameHandler,
+) -> FrameHandler:
     """Return what takes frames: word of crashes first, then all others.
 
     :param take: takes word of crashes
     :param route: takes frames of requests
     """
 
-    def hear_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def route_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         # An attempt that failed in a crash comes behind word of it.
         for frame in frames:
             if frame.WhichOneof('body') == 'suspects':
-                take(link, frame.suspects)
+                take_suspects(link, frame.suspects)
         route(link, frames)
 
-    return hear_frames
+    return route_frames
--- a/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
@@ -15,7 +15,7 @@
 from dunlintide_daemon.entry import chains
 from dunlintide_daemon.entry import fleet
 from dunlintide_daemon.entry import jobs
-from dunlintide_daemon.entry import learning
+from dunlintide_daemon.entry import modelplanning
 from dunlintide_daemon.entry import sessions
 
 __all__ = [
@@ -57,7 +57,7 @@
         self._head: fleet.Agent | None = None
         self._executor_ended = False
         self._state_held = False
-        self._pace = learning.Pace()
+        self._token_intervals = modelplanning.TokenIntervals()
         self._session = context.sessions.add(
             job.terms.request_id,
             job.terms.team,
@@ -101,7 +101,7 @@
         self._end_attempt()
         self._head = chain[0]
         self._agent_names = tuple(agent.peer.name for agent in chain)
-        self._pace = learning.Pace()
+        self._token_intervals = modelplanning.TokenIntervals()
         self._context.add_work(self._agent_names, 1)
         session = self._session
         session.link = self._head.link
@@ -134,9 +134,11 @@
     def record_tokens(self, count: int) -> None:
         """Report the pace of tokens that came together to the planner."""
         now = self._context.clock()
-        interval = self._pace.note(count, now)
+        interval = self._token_intervals.add(count, now)
         if interval is not None:
-            self._context.planner.observe(self._agent_names, interval, now)
+            self._context.planner.record_interval(
+                self._agent_names, interval, now
+            )
 
     def check_termination(self) -> outcomes.Refusal | None:
         """Check the deadline and the caller's connection.
--- a/packages/daemon/src/dunlintide_daemon/entry/sightings.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/engineview.py
@@ -15,13 +15,13 @@
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
+    'EngineSnapshot',
+    'EngineView',
     'Host',
-    'Sight',
-    'Sightings',
 ]
 
 # An engine without a link to it is the last to be given an order.
-_UNREACHED_WORK = 1 << 30
+_UNCONNECTED_REQUESTS = 1 << 30
 
 
 class Host(Protocol):
@@ -40,14 +40,14 @@
 
 
 @attrs.frozen
-class Sight:
+class EngineSnapshot:
     """The engines at one moment.
 
-    :ivar enough: whether enough agents are seen to judge
+    :ivar has_sufficient_view: whether enough agents are seen to judge
     """
 
     engines: tuple[placement.Engine, ...] = ()
-    enough: bool = False
+    has_sufficient_view: bool = False
 
 
 def _is_engine(peer: core_fleet.Peer | None) -> bool:
@@ -57,7 +57,9 @@
 
 
 def _build_engine(
-    peer: core_fleet.Peer, work: int = _UNREACHED_WORK, doubted: bool = False
+    peer: core_fleet.Peer,
+    request_count: int = _UNCONNECTED_REQUESTS,
+    suspected: bool = False,
 ) -> placement.Engine:
     endpoint = peer.endpoint
     holding = placement.Holding(
@@ -67,11 +69,11 @@
         endpoint.layer_end,
     )
     return placement.Engine(
-        peer.name, holding, work, endpoint.max_layers, doubted
+        peer.name, holding, request_count, endpoint.max_layers, suspected
     )
 
 
-class Sightings:
+class EngineView:
     """Engines by the membership, corrected by the links of this entry."""
 
     def __init__(
@@ -86,17 +88,17 @@
         self._fleet = fleet_view
         self._agents: dict[str, Host] = {}
         self._domains: dict[str, str] = {}
-        self._needed = 1
+        self._required_domains = 1
         # By the membership alone, which is looked at much more often
         # than it changes.
         self._engines: dict[str, placement.Engine] = {}
         self._present: frozenset[str] = frozenset()
 
-    def note_hosts(self, hosts: Iterable[Host]) -> None:
+    def update_hosts(self, hosts: Iterable[Host]) -> None:
         """Take in the fleet as it is known now."""
         hosts = list(hosts)
         self._domains = {host.name: host.failure_domain for host in hosts}
-        self._needed = standing.count_needed_domains(
+        self._required_domains = standing.count_needed_domains(
             set(self._domains.values())
         )
         self._agents = {
@@ -104,63 +106,65 @@
             for host in hosts
             if host.role == core_fleet.Role.AGENT and not host.is_leaving
         }
-        judged = {
-            name: self._judge(host, host.witnesses)
+        assessed = {
+            name: self._assess(host, host.witnesses)
             for name, host in self._agents.items()
         }
         self._present = frozenset(
             name
-            for name, held in judged.items()
-            if held is standing.Standing.PRESENT
+            for name, reachability in assessed.items()
+            if reachability is standing.Standing.PRESENT
         )
         self._engines = {}
-        for name, held in judged.items():
-            self._set(self._engines, name, held)
+        for name, reachability in assessed.items():
+            self._update_engine(self._engines, name, reachability)
 
-    def _judge(
+    def _assess(
         self, host: Host, witnesses: Iterable[str]
     ) -> standing.Standing:
         if host.peer is None:
             # The host list says nothing of who reaches it.
             return standing.Standing.GONE
-        missed = {
+        unreached_by = {
             # Others than processes witness too.
             witness: self._domains.get(witness, witness)
             for witness in witnesses
         }
-        return standing.judge(host.state, missed, self._needed)
+        return standing.judge(host.state, unreached_by, self._required_domains)
 
-    def _set(
+    def _update_engine(
         self,
         engines: dict[str, placement.Engine],
         name: str,
-        held: standing.Standing,
+        reachability: standing.Standing,
     ) -> None:
         """Put in or take out an engine that is known by the membership."""
         engines.pop(name, None)
         peer = self._agents[name].peer
-        if held is standing.Standing.GONE or not _is_engine(peer):
+        if reachability is standing.Standing.GONE or not _is_engine(peer):
             return
         if not peer.endpoint.away:
-            doubted = held is standing.Standing.DOUBTED
-            engines[name] = _build_engine(peer, doubted=doubted)
+            suspected = reachability is standing.Standing.DOUBTED
+            engines[name] = _build_engine(peer, suspected=suspected)
 
-    def look(self) -> Sight:
+    def take_snapshot(self) -> EngineSnapshot:
         """Return the engines as they are now."""
         engines, present = dict(self._engines), set(self._present)
-        for name in self._fleet.list_unreached() & self._agents.keys():
+        for name in self._fleet.list_unconnected() & self._agents.keys():
             host = self._agents[name]
-            held = self._judge(host, (*host.witnesses, self._name))
-            self._set(engines, name, held)
+            reachability = self._assess(host, (*host.witnesses, self._name))
+            self._update_engine(engines, name, reachability)
             present.discard(name)
         for agent in self._fleet.list_agents():
             engines.pop(agent.peer.name, None)
             present.add(agent.peer.name)
         for agent in self._fleet.list_usable():
             if _is_engine(agent.peer):
-                work = agent.load.running + agent.load.queued
-                engines[agent.peer.name] = _build_engine(agent.peer, work)
-        enough = placement.sees_enough(
+                request_count = agent.load.running + agent.load.queued
+                engines[agent.peer.name] = _build_engine(
+                    agent.peer, request_count
+                )
+        has_sufficient_view = placement.sees_enough(
             len(present & self._agents.keys()), len(self._agents)
         )
-        return Sight(tuple(engines.values()), enough)
+        return EngineSnapshot(tuple(engines.values()), has_sufficient_view)
--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -29,9 +29,9 @@
 # Links outside the subset stay open for so long after their last use.
 IDLE_SECONDS = 60.0
 # Beyond so many of them the longest unused one makes room.
-MAX_SPARE = 32
+MAX_ON_DEMAND_LINKS = 32
 # Bound on opening a link that one request needs.
-REACH_SECONDS = 1.0
+CONNECT_SECONDS = 1.0
 
 
 class Host(Protocol):
@@ -49,7 +49,7 @@
 
     :ivar link: the open link to it
     :ivar load: its last report
-    :ivar heard: monotonic time of that report, in seconds
+    :ivar reported_at: monotonic time of that report, in seconds
     :ivar outstanding: work of this entry that it has not finished
     :ivar leaving: whether it takes no new work
     """
@@ -57,7 +57,7 @@
     peer: fleet.Peer
     link: links.Link
     load: fleet.LoadReport = fleet.LoadReport()
-    heard: float = 0.0
+    reported_at: float = 0.0
     outstanding: int = 0
     leaving: bool = False
 
@@ -108,7 +108,7 @@
         self._listed: dict[str, Host] = {}
         self._listed_leaving: frozenset[str] = frozenset()
         # Links outside the subset: address to the time of the last use.
-        self._spare: dict[str, float] = {}
+        self._on_demand: dict[str, float] = {}
         self._changed = threading.Condition(self._lock)
         self._stopped = False
 
@@ -139,13 +139,13 @@
         with self._lock:
             self._listed = listed
             self._listed_leaving = leaving
-            known = {host.address for host in listed.values()}
-            for address in known & self._dialers.keys() - addresses:
-                self._spare.setdefault(address, now)
-            for address in addresses & self._spare.keys():
-                del self._spare[address]
-            started = self._add(addresses)
-            dropped = self._drop(addresses | self._spare.keys())
+            listed_addresses = {host.address for host in listed.values()}
+            for address in listed_addresses & self._dialers.keys() - addresses:
+                self._on_demand.setdefault(address, now)
+            for address in addresses & self._on_demand.keys():
+                del self._on_demand[address]
+            started = self._build_dialers(addresses)
+            dropped = self._remove_dialers(addresses | self._on_demand.keys())
         for dialer in started:
             dialer.start()
         for dialer in dropped:
@@ -157,65 +157,71 @@
         :param now: monotonic time in seconds
         """
         with self._lock:
-            self._note_busy(now)
+            self._touch_busy(now)
             idle = [
                 address
-                for address, used in self._spare.items()
+                for address, used in self._on_demand.items()
                 if now - used > IDLE_SECONDS
             ]
-            dropped = self._take_spare(idle)
+            dropped = self._remove_on_demand(idle)
         for dialer in dropped:
             dialer.stop()
 
-    def _note_busy(self, now: float) -> None:
+    def _touch_busy(self, now: float) -> None:
         busy = {
             agent.link for agent in self._agents.values() if agent.outstanding
         }
-        for address in self._spare:
+        for address in self._on_demand:
             if self._dialers[address].link in busy:
-                self._spare[address] = now
+                self._on_demand[address] = now
 
-    def _take_spare(self, addresses: Iterable[str]) -> list[links.Dialer]:
-        taken = []
+    def _remove_on_demand(
+        self, addresses: Iterable[str]
+    ) -> list[links.Dialer]:
+        removed = []
         for address in addresses:
-            del self._spare[address]
-            taken.append(self._dialers.pop(address))
-        return taken
+            del self._on_demand[address]
+            removed.append(self._dialers.pop(address))
+        return removed
 
-    def _make_room(self, now: float) -> list[links.Dialer]:
+    def _evict_least_recent(self, now: float) -> list[links.Dialer]:
         """Give up the longest unused link when there are many."""
-        self._note_busy(now)
-        free = [address for address, used in self._spare.items() if used < now]
-        if len(self._spare) < MAX_SPARE or not free:
+        self._touch_busy(now)
+        free = [
+            address for address, used in self._on_demand.items() if used < now
+        ]
+        if len(self._on_demand) < MAX_ON_DEMAND_LINKS or not free:
             return []
-        return self._take_spare([min(free, key=self._spare.__getitem__)])
+        return self._remove_on_demand(
+            [min(free, key=self._on_demand.__getitem__)]
+        )
 
-    def reach(self, name: str, incarnation: int | None) -> Agent | None:
+    def connect(self, name: str, incarnation: int | None) -> Agent | None:
         """Return an agent, dialling it when it is outside the subset.
 
         :param incarnation: the life of it that is meant, None for any
         :returns: None when that life of it is not reached in time
         """
         now = time.monotonic()
-        end = now + REACH_SECONDS
+        end = now + CONNECT_SECONDS
         with self._changed:
             host = self._listed.get(name)
             if host is None or name in self._agents:
                 return self._find(name, incarnation)
             if host.address not in self._dialers:
-                self._open_spare(host.address, now)
+                self._open_on_demand(host.address, now)
             # One of the subset without a link is being dialled anyway.
-            if host.address in self._spare:
+            if host.address in self._on_demand:
                 self._changed.wait_for(
                     lambda: name in self._agents, end - time.monotonic()
                 )
             return self._find(name, incarnation)
 
-    def _open_spare(self, address: str, now: float) -> None:
-        for dialer in self._make_room(now):
+    def _open_on_demand(self, address: str, now: float) -> None:
+        for dialer in self._evict_least_recent(now):
             dialer.stop()
-        for dialer in self._add({address}):
-            self._spare[address] = now + REACH_SECONDS
+        for dialer in self._build_dialers({address}):
+            self._on_demand[address] = now + CONNECT_SECONDS
             dialer.start()
 
     def touch(self, names: Iterable[str]) -> None:
@@ -224,10 +230,10 @@
         with self._lock:
             for name in names:
                 host = self._listed.get(name)
-                if host is not None and host.address in self._spare:
-                    self._spare[host.address] = now
+                if host is not None and host.address in self._on_demand:
+                    self._on_demand[host.address] = now
 
-    def list_unreached(self) -> frozenset[str]:
+    def list_unconnected(self) -> frozenset[str]:
         """Return the names of listed agents that are dialled in vain."""
         with self._lock:
             return frozenset(
@@ -236,11 +242,11 @@
                 if name not in self._agents and host.address in self._dialers
             )
 
-    def _add(self, addresses: set[str]) -> list[links.Dialer]:
+    def _build_dialers(self, addresses: set[str]) -> list[links.Dialer]:
         if self._stopped:
             return []
-        take = threads.guard_frames(self._take)
-        handlers = links.Handlers(self._greet, take, self._down)
+        handle = threads.guard_frames(self._handle_frames)
+        handlers = links.Handlers(self._handle_open, handle, self._handle_loss)
         added = []
         for address in addresses - self._dialers.keys():
             dialer = links.Dialer(
@@ -255,35 +261,38 @@
             added.append(dialer)
         return added
 
-    def _drop(self, addresses: set[str]) -> list[links.Dialer]:
-        gone = [
+    def _remove_dialers(self, addresses: set[str]) -> list[links.Dialer]:
+        unlisted = [
             address
             for address, dialer in self._dialers.items()
             if address not in addresses and dialer.link is None
         ]
-        return [self._dialers.pop(address) for address in gone]
+        return [self._dialers.pop(address) for address in unlisted]
 
-    def _greet(self, link: links.Link) -> None:
-        self._up(link)
+    def _handle_open(self, link: links.Link) -> None:
+        self._record_agent(link)
         self._listeners.up(link)
 
-    def _up(self, link: links.Link) -> None:
+    def _record_agent(self, link: links.Link) -> None:
         peer = hellos.read_peer(link.peer)
         if peer is None:
             return
         with self._lock:
-            known = self._agents.get(peer.name)
-            if known is None or known.peer.incarnation != peer.incarnation:
+            previous = self._agents.get(peer.name)
+            if (
+                previous is None
+                or previous.peer.incarnation != peer.incarnation
+            ):
                 agent = Agent(peer, link, leaving=peer.leaving)
             else:
-                leaving = known.leaving or peer.leaving
+                leaving = previous.leaving or peer.leaving
                 agent = attrs.evolve(
-                    known, peer=peer, link=link, leaving=leaving
+                    previous, peer=peer, link=link, leaving=leaving
                 )
             self._agents[peer.name] = agent
             self._changed.notify_all()
 
-    def _down(self, link: links.Link, reason: str) -> None:
+    def _handle_loss(self, link: links.Link, reason: str) -> None:
         with self._lock:
             name = link.peer.name
             agent = self._agents.get(name)
@@ -291,20 +300,22 @@
                 del self._agents[name]
         self._listeners.down(link)
 
-    def _take(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
-        rest = []
+    def _handle_frames(
+        self, link: links.Link, frames: list[link_pb2.Frame]
+    ) -> None:
+        request_frames = []
         for frame in frames:
             if frame.WhichOneof('body') in _CONTROL:
-                self._apply(link, frame)
+                self._handle_control(link, frame)
             else:
-                rest.append(frame)
-        if rest:
-            self._listeners.frames(link, rest)
+                request_frames.append(frame)
+        if request_frames:
+            self._listeners.frames(link, request_frames)
 
-    def _apply(self, link: links.Link, frame: link_pb2.Frame) -> None:
+    def _handle_control(self, link: links.Link, frame: link_pb2.Frame) -> None:
         body = frame.WhichOneof('body')
         if body == 'hello':
-            self._up(link)
+            self._record_agent(link)
             return
         if body == 'order_reply':
             self._listeners.reply(link, frame.order_reply)
@@ -317,7 +328,9 @@
                 agent = attrs.evolve(agent, leaving=True)
             else:
                 load = hellos.read_load(frame.load)
-                agent = attrs.evolve(agent, load=load, heard=time.monotonic())
+                agent = attrs.evolve(
+                    agent, load=load, reported_at=time.monotonic()
+                )
             self._agents[link.peer.name] = agent
         if body == 'load':
             self._listeners.load(agent)
@@ -369,8 +382,8 @@
         agent = self._agents.get(name)
         if agent is None:
             return None
-        same = incarnation in (None, agent.peer.incarnation)
-        return agent if same else None
+        is_match = incarnation in (None, agent.peer.incarnation)
+        return agent if is_match else None
 
     def pick_usable(self, names: Iterable[str]) -> tuple[Agent, ...] | None:
         """Return the named agents, or None unless all are usable."""
@@ -409,7 +422,7 @@
                 'outstanding': agent.outstanding,
                 'running': agent.load.running,
                 'queued': agent.load.queued,
-                'load_age': round(now - agent.heard, 3),
+                'load_age': round(now - agent.reported_at, 3),
             }
             for agent in self.list_agents()
         ]
@@ -423,6 +436,6 @@
             self._stopped = True
             dialers = list(self._dialers.values())
             self._dialers.clear()
-            self._spare.clear()
+            self._on_demand.clear()
         for dialer in dialers:
             dialer.stop()
--- a/packages/daemon/src/dunlintide_daemon/entry/states.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
@@ -16,7 +16,7 @@
 def build(
     settings: settings_module.Settings,
     incarnation: int,
-    served: entrylinks.EntryLinks,
+    entry_links: entrylinks.EntryLinks,
     outside: watching.Outside | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
@@ -28,8 +28,8 @@
     if outside is None:
         return None
     host = settings.link_listen.rpartition(':')[0]
-    address = settings.advertise or f'{host}:{served.port}'
-    me = lives.make_peer(settings, incarnation, address)
-    state = peers.FleetState(me, outside, transport=transport)
-    peer_calls.add_service(served.server, state.answer, transport)
+    address = settings.advertise or f'{host}:{entry_links.port}'
+    own_peer = lives.make_peer(settings, incarnation, address)
+    state = peers.FleetState(own_peer, outside, transport=transport)
+    peer_calls.add_service(entry_links.server, state.answer, transport)
     return state
--- a/packages/daemon/src/dunlintide_daemon/entry/hellos.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/hellos.py
@@ -6,7 +6,7 @@
 from dunlintide_core import settings as settings_module
 
 __all__ = [
-    'build_own',
+    'build_hello',
     'read_load',
     'read_peer',
 ]
@@ -37,7 +37,7 @@
     )
 
 
-def build_own(
+def build_hello(
     settings: settings_module.Settings,
     incarnation: int,
     revision: int,
--- a/packages/daemon/src/dunlintide_daemon/entry/identity.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/identity.py
@@ -77,11 +77,13 @@
         """
         return self._salts.get(team) or secrets.token_hex(_SALT_BYTES)
 
-    def knows(self, word: str) -> bool:
+    def is_key(self, token: str) -> bool:
         """Tell whether a word is a team's bearer key."""
-        return _hash_key(word) in self._teams
+        return _hash_key(token) in self._teams
 
-    def find(self, header: str) -> result.Result[str, outcomes.Refusal]:
+    def authenticate(
+        self, header: str
+    ) -> result.Result[str, outcomes.Refusal]:
         """Return the team named by an ``Authorization`` header.
 
         :param header: the header's value, empty when it is missing
--- a/packages/daemon/src/dunlintide_daemon/entry/leader.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/leader.py
@@ -19,20 +19,23 @@
 from dunlintide_core import leadership
 from dunlintide_core import placement
 from dunlintide_core import settings as settings_module
-from dunlintide_daemon.entry import sightings
+from dunlintide_daemon.entry import engineview
 
 __all__ = [
+    'FleetAccess',
     'Leader',
     'Reply',
     'Resign',
     'Status',
     'Tick',
-    'View',
 ]
 
 # A candidate looks at the leader's key after such a part of a lease.
-_LEAST_PAUSE, _MOST_PAUSE = 0.4, 0.8
-_DEPOSED = (placement.Refusal.OLD_FENCE, placement.Refusal.NOT_LEADER)
+_MIN_RETRY_FRACTION, _MAX_RETRY_FRACTION = 0.4, 0.8
+_TERM_ENDING_REFUSALS = (
+    placement.Refusal.OLD_FENCE,
+    placement.Refusal.NOT_LEADER,
+)
 
 
 @attrs.frozen
@@ -40,11 +43,11 @@
     """Do what is due.
 
     :ivar targets: versions of the model that are to be placed
-    :ivar candidate: whether this entry should try to lead
+    :ivar is_candidate: whether this entry should try to lead
     """
 
     targets: tuple[placement.Target, ...]
-    candidate: bool
+    is_candidate: bool
 
 
 @attrs.frozen
@@ -60,14 +63,14 @@
 
 
 @attrs.frozen
-class View:
+class FleetAccess:
     """The fleet as a leader sees it.
 
-    :ivar look: returns the engines, of any model
+    :ivar take_snapshot: returns the engines, of any model
     :ivar send: sends an order to a named agent; False when it can't
     """
 
-    look: Callable[[], sightings.Sight]
+    take_snapshot: Callable[[], engineview.EngineSnapshot]
     send: Callable[[str, link_pb2.Order], bool]
 
 
@@ -112,7 +115,7 @@
         model: str,
         name: str,
         keys: leader_keys.Leaders,
-        view: View,
+        fleet_access: FleetAccess,
         settings: settings_module.Placement,
         publish: Callable[[Status], None],
         clock: Callable[[], float] = time.monotonic,
@@ -126,16 +129,16 @@
         self._model = model
         self._name = name
         self._keys = keys
-        self._view = view
+        self._fleet_access = fleet_access
         self._settings = settings
         self._publish = publish
         self._clock = clock
         self._leadership = leadership.Leadership(
             leadership.LeaseTiming(settings.lease)
         )
-        self._next_try = 0.0
+        self._next_attempt = 0.0
         self._placers: dict[placement.Target, placement.Placer] = {}
-        self._given: dict[str, tuple[placement.Placer, str]] = {}
+        self._sent_orders: dict[str, tuple[placement.Placer, str]] = {}
         self._status = Status()
 
     def on_receive(self, message) -> None:
@@ -143,7 +146,7 @@
         if isinstance(message, Tick):
             self._tick(message)
         elif isinstance(message, Reply):
-            self._take_reply(message.reply)
+            self._handle_reply(message.reply)
         elif isinstance(message, Resign):
             self._resign()
 
@@ -155,24 +158,26 @@
     def _tick(self, tick: Tick) -> None:
         now = self._clock()
         if self._leadership.term is None:
-            if tick.candidate and now >= self._next_try:
+            if tick.is_candidate and now >= self._next_attempt:
                 self._campaign()
         elif self._leadership.needs_renewal(now):
             self._renew()
-        self._place(tick.targets)
-        self._report()
+        self._place_layers(tick.targets)
+        self._publish_status()
 
-    def _pause(self) -> None:
-        share = random.uniform(_LEAST_PAUSE, _MOST_PAUSE)
-        self._next_try = self._clock() + self._settings.lease * share
+    def _delay_next_attempt(self) -> None:
+        fraction = random.uniform(_MIN_RETRY_FRACTION, _MAX_RETRY_FRACTION)
+        self._next_attempt = self._clock() + self._settings.lease * fraction
 
     def _campaign(self) -> None:
-        self._pause()
+        self._delay_next_attempt()
         read = self._keys.read(self._model)
         if isinstance(read, result.Err):
             return
         if read.ok_value is not None:
-            self._set(leader=read.ok_value.name, fence=read.ok_value.fence)
+            self._update_status(
+                leader=read.ok_value.name, fence=read.ok_value.fence
+            )
             return
         lease = self._settings.lease
         acquired = self._keys.acquire(self._model, self._name, lease)
@@ -181,8 +186,8 @@
         term = acquired.ok_value
         self._leadership.begin(term)
         self._placers.clear()
-        self._given.clear()
-        self._set(leader=self._name, fence=term.fence)
+        self._sent_orders.clear()
+        self._update_status(leader=self._name, fence=term.fence)
         logging.info('leads model %s, fence %d', self._model, term.fence)
 
     def _renew(self) -> None:
@@ -192,37 +197,37 @@
             return
         if renewed.ok_value is None:
             logging.warning('the lease for %s has lapsed', self._model)
-            self._end()
+            self._end_term()
         else:
             self._leadership.renew(renewed.ok_value)
 
-    def _end(self) -> None:
+    def _end_term(self) -> None:
         self._leadership.end()
         self._placers.clear()
-        self._given.clear()
-        self._set(leader='', fence=0)
-        self._pause()
+        self._sent_orders.clear()
+        self._update_status(leader='', fence=0)
+        self._delay_next_attempt()
 
     def _resign(self) -> None:
         term = self._leadership.term
         if term is not None:
             logging.info('gives up the lead of model %s', self._model)
-            self._end()
+            self._end_term()
             self._keys.resign(term)
 
-    def _place(self, targets: tuple[placement.Target, ...]) -> None:
+    def _place_layers(self, targets: tuple[placement.Target, ...]) -> None:
         now = self._clock()
         if self._leadership.get_fence(now) is None:
             return
-        sight = self._view.look()
-        self._set(sees_enough=sight.enough)
+        snapshot = self._fleet_access.take_snapshot()
+        self._update_status(sees_enough=snapshot.has_sufficient_view)
         for target in targets:
             placer = self._find_placer(target)
-            if not sight.enough:
+            if not snapshot.has_sufficient_view:
                 placer.wait()
                 continue
-            for order in placer.decide(now, sight.engines):
-                self._give(placer, order)
+            for order in placer.decide(now, snapshot.engines):
+                self._send_order(placer, order)
         for target in self._placers.keys() - set(targets):
             del self._placers[target]
 
@@ -238,7 +243,9 @@
             self._placers[target] = placer
         return placer
 
-    def _give(self, placer: placement.Placer, order: placement.Order) -> None:
+    def _send_order(
+        self, placer: placement.Placer, order: placement.Order
+    ) -> None:
         # Asked for each order: this process may have been paused since
         # the last time.
         now = self._clock()
@@ -247,44 +254,46 @@
             placer.fail(order.agent, now)
             return
         message = _build_order(order, fence, self._name)
-        self._given[message.order_id] = placer, order.agent
+        self._sent_orders[message.order_id] = placer, order.agent
         logging.info('orders %s to hold %s', order.agent, order.holding)
-        if not self._view.send(order.agent, message):
+        if not self._fleet_access.send(order.agent, message):
             placer.fail(order.agent, now)
 
-    def _take_reply(self, reply: link_pb2.OrderReply) -> None:
-        given = self._given.get(reply.order_id)
-        if given is None or reply.accepted:
+    def _handle_reply(self, reply: link_pb2.OrderReply) -> None:
+        sent = self._sent_orders.get(reply.order_id)
+        if sent is None or reply.accepted:
             return
-        placer, agent = given
+        placer, agent = sent
         logging.warning('%s refused an order: %s', agent, reply.detail)
-        self._set(refusals=self._status.refusals + 1)
+        self._update_status(refusals=self._status.refusals + 1)
         placer.fail(agent, self._clock())
-        if reply.detail in _DEPOSED:
+        if reply.detail in _TERM_ENDING_REFUSALS:
             # Another leads, or the engine has seen a higher number from
             # the leader of another model: a new term has a higher one.
             self._resign()
 
-    def _set(self, **fields) -> None:
+    def _update_status(self, **fields) -> None:
         self._status = attrs.evolve(self._status, **fields)
 
-    def _report(self) -> None:
+    def _publish_status(self) -> None:
         placers = self._placers.values()
-        opened = {
+        open_orders = {
             order.agent: order
             for placer in placers
             for order in placer.list_open()
         }
-        self._given = {
-            order_id: given
-            for order_id, given in self._given.items()
-            if given[1] in opened
+        self._sent_orders = {
+            order_id: sent
+            for order_id, sent in self._sent_orders.items()
+            if sent[1] in open_orders
         }
-        self._set(
+        self._update_status(
             phase=self._leadership.get_phase(self._clock()),
-            orders=tuple(opened.values()),
+            orders=tuple(open_orders.values()),
             missing=tuple(
-                span for placer in placers for span in placer.list_missing()
+                layer_range
+                for placer in placers
+                for layer_range in placer.list_missing()
             ),
         )
         self._publish(self._status)
--- a/packages/daemon/src/dunlintide_daemon/entry/masking.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/masking.py
@@ -11,27 +11,29 @@
 from dunlintide_daemon.entry import configuration
 
 __all__ = [
+    'mask_log_keys',
     'mask_state',
-    'watch_keys',
 ]
 
 # Characters that a key may have, but that also join it to other words.
-_JOINTS = re.compile('[=/.]')
+_SEPARATORS = re.compile('[=/.]')
 
 
-def _is_key(holder: configuration.Holder, word: str) -> bool:
+def _is_key(holder: configuration.Holder, token: str) -> bool:
     snapshot = holder.snapshot
     if snapshot is None:
         return False
-    parts = {word, word.strip('.=/'), *_JOINTS.split(word)}
+    parts = {token, token.strip('.=/'), *_SEPARATORS.split(token)}
     # The end of an assignment or a path may itself have such characters.
-    parts.update(word[joint.end() :] for joint in _JOINTS.finditer(word))
-    return any(snapshot.keys.knows(part) for part in parts)
+    parts.update(
+        token[separator.end() :] for separator in _SEPARATORS.finditer(token)
+    )
+    return any(snapshot.keys.is_key(part) for part in parts)
 
 
-def watch_keys(holder: configuration.Holder) -> None:
+def mask_log_keys(holder: configuration.Holder) -> None:
     """Mask the keys of the configuration in force in all logs."""
-    logs.mask_keys(lambda word: _is_key(holder, word))
+    logs.mask_keys(lambda token: _is_key(holder, token))
 
 
 def mask_state(value: Any) -> Any:
--- a/packages/daemon/src/dunlintide_daemon/entry/learning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/modelplanning.py
@@ -22,61 +22,61 @@
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
-    'Interval',
-    'Learner',
-    'News',
-    'Pace',
-    'Report',
-    'build_stop',
+    'ModelPlanner',
+    'TimedCacheUpdate',
+    'TimedLoad',
+    'TokenInterval',
+    'TokenIntervals',
+    'build_stage',
 ]
 
 # What an endpoint that declares no capacity is taken to carry.
-_UNDECLARED_TOKENS_PER_SECOND = 1000.0
+_DEFAULT_TOKENS_PER_SECOND = 1000.0
 # An interval is the mean over this many tokens, or over what came in
 # this time when a chain is slow.
-_TOKENS = 8
-_LONGEST_SECONDS = 1.0
+_INTERVAL_TOKENS = 8
+_MAX_INTERVAL_SECONDS = 1.0
 # Observations that may wait for the background thread; more are old.
-_MAX_WAITING = 20_000
+_MAX_QUEUED = 20_000
 # Estimates below this are worth an operator's look.
-_SUSPECTED = 0.9
+_SUSPICION_FACTOR = 0.9
 
 
 @attrs.frozen
-class Report:
+class TimedLoad:
     """A load report of an agent, and when it came."""
 
     agent: str
     load: core_fleet.LoadReport
-    moment: float
+    received_at: float
 
 
 @attrs.frozen
-class News:
+class TimedCacheUpdate:
     """What an agent tells of its engine's cache, and when it came."""
 
     agent: str
-    news: cachenews.News
-    moment: float
+    update: cachenews.News
+    received_at: float
 
 
 @attrs.frozen
-class Interval:
+class TokenInterval:
     """Mean time between some tokens that came over a chain."""
 
     agents: tuple[str, ...]
     seconds: float
-    moment: float
+    received_at: float
 
 
 @attrs.define
-class Pace:
+class TokenIntervals:
     """Token intervals of one attempt, in means over several tokens."""
 
     _since: float | None = None
     _count: int = 0
 
-    def note(self, count: int, now: float) -> float | None:
+    def add(self, count: int, now: float) -> float | None:
         """Take tokens that came together.
 
         The time to the first token is prefill and counts for nothing.
@@ -89,21 +89,21 @@
             return None
         self._count += count
         elapsed = now - self._since
-        if self._count < _TOKENS and elapsed < _LONGEST_SECONDS:
+        if self._count < _INTERVAL_TOKENS and elapsed < _MAX_INTERVAL_SECONDS:
             return None
         mean = elapsed / self._count
         self._since, self._count = now, 0
         return mean
 
 
-def build_stop(agent: fleet.Agent) -> plans.Stop:
+def build_stage(agent: fleet.Agent) -> plans.Stop:
     """Give an agent in the form of the planner."""
     endpoint = agent.peer.endpoint
     return plans.Stop(
         agent=agent.peer.name,
         layer_start=endpoint.layer_start,
         layer_end=endpoint.layer_end,
-        capacity=endpoint.tokens_per_second or _UNDECLARED_TOKENS_PER_SECOND,
+        capacity=endpoint.tokens_per_second or _DEFAULT_TOKENS_PER_SECOND,
         failure_domain=agent.peer.failure_domain,
     )
 
@@ -116,34 +116,36 @@
     return shares
 
 
-class Learner:
+class ModelPlanner:
     """Estimates, plan and choice of one model version."""
 
-    def __init__(self, layers: int, in_turn: bool) -> None:
+    def __init__(self, layers: int, round_robin: bool) -> None:
         """Begin without endpoints.
 
-        :param in_turn: take endpoints in turn instead, as a baseline
+        :param round_robin: take endpoints in turn instead, as a baseline
         """
         self.layers = layers
         self._replanner = replan.Replanner(layers, plans.Links())
-        self._waiting: collections.deque[Report | Interval | News] = (
-            collections.deque(maxlen=_MAX_WAITING)
-        )
+        self._queue: collections.deque[
+            TimedLoad | TokenInterval | TimedCacheUpdate
+        ] = collections.deque(maxlen=_MAX_QUEUED)
         self._declared: dict[str, plans.Stop] = {}
-        self._lives: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
         self._lock = threading.Lock()
         self._chooser = choose.Chooser()
         self._affinity = affinity.AffinityMap()
-        self._turns = turns.Turns() if in_turn else None
-        self._described: dict[str, Any] = {}
+        self._round_robin = turns.Turns() if round_robin else None
+        self._state: dict[str, Any] = {}
         self._observations = 0
-        self._told = 0
+        self._reported_blocks = 0
         self._prompts = 0
-        self._known = 0
+        self._known_prompts = 0
 
-    def note(self, observation: Report | Interval | News) -> None:
+    def enqueue(
+        self, observation: TimedLoad | TokenInterval | TimedCacheUpdate
+    ) -> None:
         """Take an observation for later; never blocks."""
-        self._waiting.append(observation)
+        self._queue.append(observation)
 
     def refresh(self, agents: Iterable[fleet.Agent], now: float) -> None:
         """Plan again if that is due; for the background thread only.
@@ -152,51 +154,69 @@
         :param now: monotonic time in seconds
         """
         agents = list(agents)
-        stops = {agent.peer.name: build_stop(agent) for agent in agents}
-        self._track_lives(agents, now)
-        if stops != self._declared:
-            self._declared = stops
-            self._replanner.set_stops(stops.values())
-        self._learn()
+        stages = {agent.peer.name: build_stage(agent) for agent in agents}
+        self._track_restarts(agents, now)
+        if stages != self._declared:
+            self._declared = stages
+            self._replanner.set_stops(stages.values())
+        self._apply_observations()
         plan = self._replanner.tick(now)
         if plan is not None:
             with self._lock:
                 self._chooser.adopt(plan, self._replanner.stops, self.layers)
-        self._described = self._describe()
+        self._state = self._describe()
 
-    def _track_lives(self, agents: Iterable[fleet.Agent], now: float) -> None:
-        lives = {one.peer.name: one.peer.incarnation for one in agents}
+    def _track_restarts(
+        self, agents: Iterable[fleet.Agent], now: float
+    ) -> None:
+        incarnations = {one.peer.name: one.peer.incarnation for one in agents}
         with self._lock:
-            for name, life in lives.items():
+            for name, incarnation in incarnations.items():
                 # Its engine may have been started anew as well.
-                if self._lives.get(name, life) != life:
+                if self._incarnations.get(name, incarnation) != incarnation:
                     self._affinity.distrust(name, now)
-            self._lives |= lives
+            self._incarnations |= incarnations
 
-    def _learn(self) -> None:
-        for _ in range(len(self._waiting)):
-            seen = self._waiting.popleft()
-            if isinstance(seen, News):
-                self._take_news(seen)
+    def _apply_observations(self) -> None:
+        for _ in range(len(self._queue)):
+            observation = self._queue.popleft()
+            if isinstance(observation, TimedCacheUpdate):
+                self._apply_cache_update(observation)
                 continue
             self._observations += 1
-            if isinstance(seen, Report):
-                self._replanner.report(seen.agent, seen.load, seen.moment)
+            if isinstance(observation, TimedLoad):
+                self._replanner.report(
+                    observation.agent,
+                    observation.load,
+                    observation.received_at,
+                )
                 with self._lock:
-                    self._chooser.report(seen.agent, seen.load, seen.moment)
+                    self._chooser.report(
+                        observation.agent,
+                        observation.load,
+                        observation.received_at,
+                    )
                 continue
-            stops = tuple(map(self._declared.get, seen.agents))
-            if None not in stops:
-                chain = plans.Chain(stops)
-                self._replanner.observe(chain, seen.seconds, seen.moment)
-
-    def _take_news(self, seen: News) -> None:
+            stages = tuple(map(self._declared.get, observation.agents))
+            if None not in stages:
+                chain = plans.Chain(stages)
+                self._replanner.observe(
+                    chain, observation.seconds, observation.received_at
+                )
+
+    def _apply_cache_update(self, observation: TimedCacheUpdate) -> None:
         with self._lock:
-            if seen.news.all:
-                self._affinity.distrust(seen.agent, seen.moment)
-            self._affinity.record(seen.news.held, [seen.agent], seen.moment)
-            self._affinity.remove(seen.agent, seen.news.lost)
-            self._told += len(seen.news.held)
+            if observation.update.all:
+                self._affinity.distrust(
+                    observation.agent, observation.received_at
+                )
+            self._affinity.record(
+                observation.update.held,
+                [observation.agent],
+                observation.received_at,
+            )
+            self._affinity.remove(observation.agent, observation.update.lost)
+            self._reported_blocks += len(observation.update.held)
 
     def choose(
         self,
@@ -212,12 +232,12 @@
         """
         now = time.monotonic()
         with self._lock:
-            if self._turns is not None:
-                stops = list(self._declared.values())
-                return self._turns.choose(stops, self.layers, avoid)
+            if self._round_robin is not None:
+                stages = list(self._declared.values())
+                return self._round_robin.choose(stages, self.layers, avoid)
             holders = self._affinity.find(blocks, now)
             self._prompts += bool(blocks)
-            self._known += bool(holders)
+            self._known_prompts += bool(holders)
             chain = self._chooser.choose(now, rng, avoid, holders)
             if chain is not None:
                 self._affinity.record(blocks, chain.agents, now)
@@ -250,28 +270,28 @@
             'suspected_agents': {
                 agent: round(factor, 3)
                 for agent, factor in factors.items()
-                if factor < _SUSPECTED
+                if factor < _SUSPICION_FACTOR
             },
             'suspected_links': {
-                ' '.join(map(str, place)): round(factor, 3)
-                for place, factor in replanner.delays.factors().items()
-                if factor < _SUSPECTED
+                ' '.join(map(str, link)): round(factor, 3)
+                for link, factor in replanner.delays.factors().items()
+                if factor < _SUSPICION_FACTOR
             },
         }
 
     def count_prompts(self) -> tuple[int, int]:
         """Count prompts, and those with a known holder of their start."""
         with self._lock:
-            return self._prompts, self._known
+            return self._prompts, self._known_prompts
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump, as of the last refresh."""
         with self._lock:
-            return self._described | {
+            return self._state | {
                 'in_flight': dict(self._chooser.in_flight()),
                 'reported': dict(self._chooser.reported()),
                 'prefix_blocks': len(self._affinity),
-                'prefixes_told': self._told,
+                'prefixes_told': self._reported_blocks,
                 'prompts': self._prompts,
-                'prompts_known': self._known,
+                'prompts_known': self._known_prompts,
             }
--- a/packages/daemon/src/dunlintide_daemon/entry/owners.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/owners.py
@@ -5,7 +5,7 @@
 from dunlintide_core import claims
 from dunlintide_core import fleet
 
-__all__ = ['Host', 'Owners']
+__all__ = ['Host', 'BucketOwners']
 
 
 class Host(Protocol):
@@ -16,7 +16,7 @@
     address: str
 
 
-class Owners:
+class BucketOwners:
     """Owners of the buckets, by the entries that are listed.
 
     The list lags, and entries may see different ones for a while; then a
@@ -29,7 +29,7 @@
         :param name: this entry's name
         """
         self._name = name
-        self._table: tuple[str | None, ...] = (None,) * claims.BUCKETS
+        self._addresses: tuple[str | None, ...] = (None,) * claims.BUCKETS
 
     def update(self, hosts: Iterable[Host]) -> set[str]:
         """Take in the host list and return the owners' addresses."""
@@ -39,12 +39,12 @@
             if host.role == fleet.Role.ENTRY
         }
         listed[self._name] = None
-        self._table = tuple(
+        self._addresses = tuple(
             listed[claims.choose_owner(bucket, listed)]
             for bucket in range(claims.BUCKETS)
         )
-        return {address for address in self._table if address is not None}
+        return {address for address in self._addresses if address is not None}
 
     def find(self, bucket: int) -> str | None:
         """Return the address of a bucket's owner, None for this entry."""
-        return self._table[bucket]
+        return self._addresses[bucket]
--- a/packages/daemon/src/dunlintide_daemon/entry/placement.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/placement.py
@@ -16,9 +16,9 @@
 from dunlintide_core import placement
 from dunlintide_core import settings as settings_module
 from dunlintide_daemon.entry import configuration
+from dunlintide_daemon.entry import engineview
 from dunlintide_daemon.entry import fleet
 from dunlintide_daemon.entry import leader
-from dunlintide_daemon.entry import sightings
 
 __all__ = [
     'Placement',
@@ -28,7 +28,7 @@
 _RESIGN_SECONDS = 3.0
 
 
-def _tell(actor: pykka.ActorRef, message: Any) -> None:
+def _send_message(actor: pykka.ActorRef, message: Any) -> None:
     # One that failed is replaced at the next tick.
     with contextlib.suppress(pykka.ActorDeadError):
         actor.tell(message)
@@ -49,20 +49,22 @@
         self._keys = keys
         self._fleet = fleet_view
         self._holder = holder
-        self._entries: tuple[leadership.Candidate, ...] = ()
-        self._sightings = sightings.Sightings(
+        self._candidates: tuple[leadership.Candidate, ...] = ()
+        self._engine_view = engineview.EngineView(
             settings.name, settings.failure_domain, fleet_view
         )
         # Each change of these is one assignment, by one thread.
         self._actors: dict[str, pykka.ActorRef] = {}
         self._status: dict[str, leader.Status] = {}
-        self._view = leader.View(self._sightings.look, self._send)
+        self._fleet_access = leader.FleetAccess(
+            self._engine_view.take_snapshot, self._send
+        )
 
-    def note_hosts(self, hosts: Iterable[sightings.Host]) -> None:
+    def update_hosts(self, hosts: Iterable[engineview.Host]) -> None:
         """Take in the fleet as it is known now."""
         hosts = list(hosts)
-        self._sightings.note_hosts(hosts)
-        self._entries = tuple(
+        self._engine_view.update_hosts(hosts)
+        self._candidates = tuple(
             leadership.Candidate(host.name, host.failure_domain)
             for host in hosts
             if host.role == core_fleet.Role.ENTRY and not host.is_leaving
@@ -71,15 +73,17 @@
     def _send(self, name: str, order: link_pb2.Order) -> bool:
         """Send an order, for which a link may have to be opened."""
         # What it must hold when the order comes is in the order.
-        agent = self._fleet.reach(name, None)
+        agent = self._fleet.connect(name, None)
         if agent is None or agent.leaving:
             return False
         return agent.link.send(link_pb2.Frame(order=order))
 
-    def take_reply(self, link: links.Link, reply: link_pb2.OrderReply) -> None:
+    def handle_reply(
+        self, link: links.Link, reply: link_pb2.OrderReply
+    ) -> None:
         """Hand an agent's answer to the leaders; one knows the order."""
         for actor in self._actors.values():
-            _tell(actor, leader.Reply(reply))
+            _send_message(actor, leader.Reply(reply))
 
     def run(self, done: threading.Event) -> None:
         """Tick the leaders until the event is set."""
@@ -101,26 +105,26 @@
                 model.name, model.version, model.layers, model.replicas
             )
             targets[model.name].append(target)
-        for name, wanted in targets.items():
-            self._tick_model(name, tuple(wanted))
+        for name, versions in targets.items():
+            self._tick_model(name, tuple(versions))
         for name in self._actors.keys() - targets.keys():
-            _tell(self._actors[name], leader.Resign())
+            _send_message(self._actors[name], leader.Resign())
 
     def _tick_model(
         self, name: str, targets: tuple[placement.Target, ...]
     ) -> None:
         candidates = leadership.pick_candidates(
-            name, self._entries, self._settings.placement.candidates
+            name, self._candidates, self._settings.placement.candidates
         )
-        candidate = self._settings.name in candidates
+        is_candidate = self._settings.name in candidates
         actor = self._actors.get(name)
         if actor is None or not actor.is_alive():
-            if not candidate:
+            if not is_candidate:
                 return
             actor = self._start(name)
         # One tick at a time: a slow store must not fill the mailbox.
         if actor.actor_inbox.empty():
-            _tell(actor, leader.Tick(targets, candidate))
+            _send_message(actor, leader.Tick(targets, is_candidate))
 
     def _start(self, name: str) -> pykka.ActorRef:
         def publish(status: leader.Status) -> None:
@@ -130,7 +134,7 @@
             name,
             self._settings.name,
             self._keys,
-            self._view,
+            self._fleet_access,
             self._settings.placement,
             publish,
         )
@@ -139,12 +143,12 @@
 
     def stop(self) -> None:
         """Give up all leaderships; call it once ``run`` has ended."""
-        asked = [
+        resignations = [
             actor.ask(leader.Resign(), block=False)
             for actor in self._actors.values()
             if actor.is_alive()
         ]
-        for future in asked:
+        for future in resignations:
             try:
                 future.get(timeout=_RESIGN_SECONDS)
             except (pykka.Timeout, pykka.ActorDeadError):
--- a/packages/daemon/src/dunlintide_daemon/entry/planning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/planning.py
@@ -15,16 +15,16 @@
 from dunlintide_daemon.entry import chains
 from dunlintide_daemon.entry import configuration
 from dunlintide_daemon.entry import fleet
-from dunlintide_daemon.entry import learning
+from dunlintide_daemon.entry import modelplanning
 
 __all__ = [
     'Planner',
 ]
 
 REFRESH_SECONDS = 0.2
-_EARLY = 8
+_MAX_EARLY_UPDATES = 8
 
-_Key = tuple[str, str]
+_ModelVersion = tuple[str, str]
 
 
 class Planner:
@@ -34,36 +34,44 @@
         self,
         fleet_view: fleet.Fleet,
         rng: random.Random,
-        in_turn: bool = False,
+        round_robin: bool = False,
     ) -> None:
         """Begin without plans.
 
         :param rng: draws the chains
-        :param in_turn: take endpoints in turn instead, as a baseline
+        :param round_robin: take endpoints in turn instead, as a baseline
         """
         self._fleet = fleet_view
         self._rng = rng
-        self._in_turn = in_turn
+        self._round_robin = round_robin
         # One thread writes these, and each change is one assignment.
-        self._learners: dict[_Key, learning.Learner] = {}
-        self._by_agent: dict[str, learning.Learner] = {}
+        self._model_planners: dict[
+            _ModelVersion, modelplanning.ModelPlanner
+        ] = {}
+        self._planners_by_agent: dict[str, modelplanning.ModelPlanner] = {}
         # News of agents that no plan knows yet.
-        self._early: dict[str, collections.deque[learning.News]] = {}
+        self._early_updates: dict[
+            str, collections.deque[modelplanning.TimedCacheUpdate]
+        ] = {}
 
     def refresh(self, snapshot: configuration.Snapshot) -> None:
         """Learn, and plan where that is due; for one thread only."""
         for model in snapshot.models.values():
             key = (model.name, model.version)
-            learner = self._learners.get(key)
-            if learner is None or learner.layers != model.layers:
-                learner = learning.Learner(model.layers, self._in_turn)
-                self._learners = self._learners | {key: learner}
+            model_planner = self._model_planners.get(key)
+            if model_planner is None or model_planner.layers != model.layers:
+                model_planner = modelplanning.ModelPlanner(
+                    model.layers, self._round_robin
+                )
+                self._model_planners = self._model_planners | {
+                    key: model_planner
+                }
             agents = self._fleet.list_engines(*key)
-            learner.refresh(agents, time.monotonic())
+            model_planner.refresh(agents, time.monotonic())
             for agent in agents:
-                self._by_agent[agent.peer.name] = learner
-                for news in self._early.pop(agent.peer.name, ()):
-                    learner.note(news)
+                self._planners_by_agent[agent.peer.name] = model_planner
+                for early in self._early_updates.pop(agent.peer.name, ()):
+                    model_planner.enqueue(early)
 
     def choose(
         self,
@@ -77,11 +85,11 @@
         :param avoid: agents that are not to be chosen
         :param blocks: hashes of the prompt's blocks
         """
-        learner = self._learners.get((model, version))
-        if learner is None:
+        model_planner = self._model_planners.get((model, version))
+        if model_planner is None:
             return None
         names = {name for name, _ in avoid}
-        found = learner.choose(self._rng, names, blocks)
+        found = model_planner.choose(self._rng, names, blocks)
         if found is None:
             return None
         return self._fleet.pick_usable(found.agents)
@@ -89,32 +97,36 @@
     def add_work(self, names: Iterable[str], amount: int) -> None:
         """Count a chain's requests: 1 when one begins, -1 when it ends."""
         names = tuple(names)
-        learner = self._by_agent.get(names[0]) if names else None
-        if learner is not None:
-            learner.add_work(names, amount)
+        model_planner = (
+            self._planners_by_agent.get(names[0]) if names else None
+        )
+        if model_planner is not None:
+            model_planner.add_work(names, amount)
 
-    def report(self, agent: fleet.Agent) -> None:
+    def record_load(self, agent: fleet.Agent) -> None:
         """Take the load that an agent has just reported."""
-        learner = self._by_agent.get(agent.peer.name)
-        if learner is not None:
-            report = learning.Report(agent.peer.name, agent.load, agent.heard)
-            learner.note(report)
-
-    def take_news(self, name: str, news: link_pb2.CacheNews) -> None:
+        model_planner = self._planners_by_agent.get(agent.peer.name)
+        if model_planner is not None:
+            timed_load = modelplanning.TimedLoad(
+                agent.peer.name, agent.load, agent.reported_at
+            )
+            model_planner.enqueue(timed_load)
+
+    def record_cache_update(self, name: str, news: link_pb2.CacheNews) -> None:
         """Take an agent's news of its engine's cache."""
-        noted = learning.News(
+        update = modelplanning.TimedCacheUpdate(
             name,
             cachenews.News(tuple(news.held), tuple(news.lost), news.all),
             time.monotonic(),
         )
-        learner = self._by_agent.get(name)
-        if learner is not None:
-            learner.note(noted)
+        model_planner = self._planners_by_agent.get(name)
+        if model_planner is not None:
+            model_planner.enqueue(update)
             return
-        empty = collections.deque(maxlen=_EARLY)
-        self._early.setdefault(name, empty).append(noted)
+        empty = collections.deque(maxlen=_MAX_EARLY_UPDATES)
+        self._early_updates.setdefault(name, empty).append(update)
 
-    def observe(
+    def record_interval(
         self, names: tuple[str, ...], interval: float, now: float
     ) -> None:
         """Take the mean time between some tokens of a request.
@@ -122,18 +134,20 @@
         :param interval: in seconds
         :param now: monotonic time in seconds
         """
-        learner = self._by_agent.get(names[0])
-        if learner is not None:
-            learner.note(learning.Interval(names, interval, now))
+        model_planner = self._planners_by_agent.get(names[0])
+        if model_planner is not None:
+            model_planner.enqueue(
+                modelplanning.TokenInterval(names, interval, now)
+            )
 
     def count_prompts(self) -> tuple[int, int]:
         """Count prompts, and those with a known holder of their start."""
-        counts = [one.count_prompts() for one in self._learners.values()]
-        return sum(both for both, _ in counts), sum(one for _, one in counts)
+        counts = [one.count_prompts() for one in self._model_planners.values()]
+        return sum(total for total, _ in counts), sum(one for _, one in counts)
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the state for a dump."""
         return [
-            {'model': model, 'version': version} | learner.describe()
-            for (model, version), learner in self._learners.items()
+            {'model': model, 'version': version} | model_planner.describe()
+            for (model, version), model_planner in self._model_planners.items()
         ]
--- a/packages/daemon/src/dunlintide_daemon/entry/process.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/process.py
@@ -19,7 +19,7 @@
 ]
 
 
-def _watch(
+def _install_signal_handlers(
     done: threading.Event, describe: Callable[[], dict[str, Any]]
 ) -> None:
     """Stop on SIGTERM and SIGINT, dump the state on SIGUSR1.
@@ -28,18 +28,18 @@
     :param describe: returns the state, with keys masked
     """
 
-    def show(*_) -> None:
+    def write_dump(*_) -> None:
         json.dump(describe(), sys.stderr, default=str)
         sys.stderr.write('\n')
 
-    def dump_aside(*_) -> None:
+    def dump_in_thread(*_) -> None:
         # A handler interrupts any line of the main thread, so it must
         # not wait for a lock itself.
-        threading.Thread(target=show, daemon=True).start()
+        threading.Thread(target=write_dump, daemon=True).start()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: done.set())
-    signal.signal(signal.SIGUSR1, dump_aside)
+    signal.signal(signal.SIGUSR1, dump_in_thread)
 
 
 def run(settings: settings_module.Settings) -> int:
@@ -48,11 +48,11 @@
     :returns: exit status, 0 after a planned stop
     :raises OSError: when a port is taken
     """
-    threads.watch_errors()
-    outside = sources.Sources.from_config(settings)
-    shared = watching.Outside.from_config(settings)
-    with role.Entry(settings, outside, shared=shared) as entry:
-        _watch(entry.done, entry.describe)
+    threads.install_excepthook()
+    platform = sources.Sources.from_config(settings)
+    fleet_sources = watching.Outside.from_config(settings)
+    with role.Entry(settings, platform, fleet_sources=fleet_sources) as entry:
+        _install_signal_handlers(entry.done, entry.describe)
         logging.info('entry %s serves port %d', settings.name, entry.port)
         entry.done.wait()
         logging.info('entry %s stops', settings.name)
--- a/packages/daemon/src/dunlintide_daemon/entry/readiness.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/readiness.py
@@ -8,13 +8,13 @@
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
-    'SETTLE_SECONDS',
+    'STARTUP_SECONDS',
     'list_reasons',
 ]
 
 # A start takes this long at most to link to agents, one silent one
 # included; whatever is still missing then is taken to be down.
-SETTLE_SECONDS = 5.0
+STARTUP_SECONDS = 5.0
 
 
 def _check_model(
@@ -55,7 +55,7 @@
     unready: str,
     snapshot: configuration.Snapshot | None,
     fleet_view: fleet.Fleet,
-    settling: bool = False,
+    is_starting: bool = False,
 ) -> list[str]:
     """List reasons not to send callers here.
 
@@ -64,7 +64,7 @@
     the others, so any that is served will do.
 
     :param unready: why the fleet's state is not ready, empty when it is
-    :param settling: whether the entry is still linking to agents
+    :param is_starting: whether the entry is still linking to agents
     :returns: empty when the entry is ready
     """
     reasons = ['leaving'] if leaving else []
@@ -74,6 +74,6 @@
         return [*reasons, 'no configuration yet']
     unserved = _list_unserved(snapshot, fleet_view)
     offered = len(snapshot.models) + len(snapshot.services)
-    if settling or len(unserved) == offered:
+    if is_starting or len(unserved) == offered:
         reasons += unserved
     return reasons
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -29,6 +29,7 @@
 from dunlintide_daemon.entry import dump
 from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon.entry import fleet
+from dunlintide_daemon.entry import fleetstate
 from dunlintide_daemon.entry import hellos
 from dunlintide_daemon.entry import history
 from dunlintide_daemon.entry import jobs
@@ -46,7 +47,6 @@
 from dunlintide_daemon.entry import router
 from dunlintide_daemon.entry import sessions
 from dunlintide_daemon.entry import sources
-from dunlintide_daemon.entry import states
 from dunlintide_daemon.entry import threads
 from dunlintide_daemon import suspicion
 from dunlintide_daemon import watching
@@ -59,7 +59,7 @@
 LAME_DUCK_SECONDS = 1.0
 _JOIN_SECONDS = 1.0
 # Pause between two looks at the membership, which cost no message.
-FLEET_SECONDS = 0.5
+MEMBERSHIP_POLL_SECONDS = 0.5
 
 
 class Entry:
@@ -71,21 +71,21 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        outside: sources.Sources,
+        platform: sources.Sources,
         lame_duck: float = LAME_DUCK_SECONDS,
-        shared: watching.Outside | None = None,
+        fleet_sources: watching.Outside | None = None,
     ) -> None:
         """Bind the ports; entering the context begins to serve.
 
         :param lame_duck: seconds between not ready and closing the port
-        :param shared: what the fleet's state is drawn from; without it
-            the configuration comes from ``outside`` alone
+        :param fleet_sources: what the fleet's state is drawn from; without it
+            the configuration comes from ``platform`` alone
         :raises OSError: when a port is taken
         """
         self.settings = settings
         self.done = threading.Event()
         self.leaving = False
-        self._outside = outside
+        self._platform = platform
         self._lame_duck = lame_duck
         self._rng = random.Random()
         # The wall clock only orders the lives of one name.
@@ -94,7 +94,7 @@
         self._metrics = metrics.Metrics.from_registry(
             self._registry, core_fleet.Role.ENTRY
         )
-        self._room = memorybudget.MemoryBudget()
+        self._answer_memory = memorybudget.MemoryBudget()
         self._transport = transports.build(settings)
         self._registry.register(transports.Collector(self._transport))
         self._meter = meter.Meter(self._metrics)
@@ -103,19 +103,23 @@
         self._holder = configuration.Holder()
         self._retries = budget.RetryBudget(settings.limits.retry_ratio)
         self._suspicion = suspicion.Suspicion(
-            lambda *told: crashes.spread(self._fleet, *told),
+            lambda *report: crashes.broadcast(self._fleet, *report),
             poison.Limits(seconds=settings.timing.quarantine),
         )
         timing = settings.timing
         self._fleet = fleet.Fleet(
             self._build_hello,
             fleet.Listeners(
-                crashes.hear(self._suspicion.take, self._sessions.route),
-                self._lose_link,
-                lambda agent: self._planner.report(agent),
-                lambda link, reply: self._placement.take_reply(link, reply),
+                crashes.route_suspects_first(
+                    self._suspicion.take, self._sessions.route
+                ),
+                self._handle_link_loss,
+                lambda agent: self._planner.record_load(agent),
+                lambda link, reply: self._placement.handle_reply(link, reply),
                 lambda link: self._suspicion.welcome(link.send),
-                lambda name, news: self._planner.take_news(name, news),
+                lambda name, news: self._planner.record_cache_update(
+                    name, news
+                ),
             ),
             links.LinkTiming(timing.ping, timing.silence, timing.redial),
             self._transport,
@@ -125,8 +129,8 @@
             self._rng,
             settings.routing is settings_module.Routing.ROUND_ROBIN,
         )
-        counter = prefixmetrics.Collector(self._planner.count_prompts)
-        counter.register(self._registry)
+        prefix_collector = prefixmetrics.Collector(self._planner.count_prompts)
+        prefix_collector.register(self._registry)
         self._limits = limits.Limiter(
             lambda take: entrylinks.EntryLinks(
                 settings.name,
@@ -136,12 +140,12 @@
                 self._transport,
             )
         )
-        self._owners = owners.Owners(settings.name)
+        self._owners = owners.BucketOwners(settings.name)
         self._claims = claimroutes.RoutedWriter(
-            outside.writer, self._owners.find, transport=self._transport
+            platform.writer, self._owners.find, transport=self._transport
         )
         claimroutes.add_service(
-            self._limits.entry_links.server, outside.writer, self._transport
+            self._limits.entry_links.server, platform.writer, self._transport
         )
         self._http = self._build_server()
         self._admin = admin.AdminServer.from_config(
@@ -152,23 +156,23 @@
             self._registry,
             tlschecks.build_server(settings.admin_tls),
         )
-        self._state = states.build(
+        self._state = fleetstate.build(
             settings,
             self._incarnation,
             self._limits.entry_links,
-            shared,
+            fleet_sources,
             self._transport,
         )
         self._placement = placement.Placement(
-            settings, outside.leaders, self._fleet, self._holder
+            settings, platform.leaders, self._fleet, self._holder
         )
         self._meter.register_gauges(
             lambda: len(self._sessions.list()),
             lambda: len(self._fleet.list_agents()),
             lambda: self._holder.revision,
         )
-        self._keeper = threads.Keeper(self.done)
-        self._settled = math.inf
+        self._supervisor = threads.Supervisor(self.done)
+        self._startup_end = math.inf
         self._stack = contextlib.ExitStack()
 
     @property
@@ -177,7 +181,7 @@
         return self._http.port
 
     def _build_hello(self) -> link_pb2.Hello:
-        return hellos.build_own(
+        return hellos.build_hello(
             self.settings,
             self._incarnation,
             self._holder.revision,
@@ -202,11 +206,11 @@
             self._sessions,
             self._retries,
             count_retry=self._meter.count_retry,
-            answer_memory=self._room,
+            answer_memory=self._answer_memory,
             keeps_stage_state=settings.recovery
             is settings_module.Recovery.REPLAY,
         )
-        parts = application.Dependencies(
+        dependencies = application.Dependencies(
             context,
             self._holder,
             route,
@@ -217,7 +221,7 @@
             settings.timing.heartbeat,
         )
         return httpserver.HttpServer.from_config(
-            application.Application(parts),
+            application.Application(dependencies),
             settings.listen,
             settings.limits.threads,
             settings.limits.max_body_bytes,
@@ -242,7 +246,7 @@
         state['limits'] = self._limits.describe()
         state['plans'] = self._planner.describe()
         state['placement'] = self._placement.describe()
-        state['thread_errors'] = self._keeper.describe()
+        state['thread_errors'] = self._supervisor.describe()
         if self._state is not None:
             state['state'] = self._state.dump()
         state['poison'] = self._suspicion.describe()
@@ -259,41 +263,41 @@
             unready,
             self._holder.snapshot,
             self._fleet,
-            settling=time.monotonic() < self._settled,
+            is_starting=time.monotonic() < self._startup_end,
         )
         return admin.Readiness(tuple(reasons))
 
-    def _lose_link(self, link: links.Link) -> None:
+    def _handle_link_loss(self, link: links.Link) -> None:
         self._sessions.report_link_loss(link)
         if self._state is not None:
             # Whoever places layers waits for others that miss it too.
             self._state.probe(link.peer.name)
 
-    def _follow_fleet(self) -> None:
+    def _watch_fleet(self) -> None:
         if self._state is None:
-            source = roster.follow_list(self._outside.read_hosts)
+            source = roster.poll_host_list(self._platform.read_hosts)
             pause = self.settings.timing.host_list_poll
         else:
-            source = roster.heed_list(
-                roster.follow_members(self._state.list_present),
-                self._outside.read_hosts,
+            source = roster.mark_leaving_hosts(
+                roster.poll_membership(self._state.list_present),
+                self._platform.read_hosts,
             )
-            pause = FLEET_SECONDS
-        known = roster.Roster(self.settings.name, source)
+            pause = MEMBERSHIP_POLL_SECONDS
+        processes = roster.Roster(self.settings.name, source)
         entries = None
         while not self.done.is_set():
             now = time.monotonic()
-            if known.refresh(now):
-                self._fleet.update(known.hosts, known.wanted)
-                self._placement.note_hosts(known.hosts)
-            if known.map_entries() != entries:
-                entries = known.map_entries()
-                self._limits.entry_links.update(known.hosts)
-                self._claims.keep(self._owners.update(known.hosts))
+            if processes.refresh(now):
+                self._fleet.update(processes.hosts, processes.wanted)
+                self._placement.update_hosts(processes.hosts)
+            if processes.map_entries() != entries:
+                entries = processes.map_entries()
+                self._limits.entry_links.update(processes.hosts)
+                self._claims.keep(self._owners.update(processes.hosts))
             self._fleet.drop_idle(now)
             self.done.wait(pause)
 
-    def _plan(self) -> None:
+    def _run_planner(self) -> None:
         while not self.done.wait(planning.REFRESH_SECONDS):
             self._suspicion.tick()
             snapshot = self._holder.snapshot
@@ -302,24 +306,32 @@
 
     def _start_configuration(self) -> None:
         if self._state is None:
-            follow = self._outside.follow_configuration
-            self._start('configuration', follow, self._holder.adopt, self.done)
+            watch = self._platform.watch_configuration
+            self._start_thread(
+                'configuration', watch, self._holder.adopt, self.done
+            )
             return
-        take_up = functools.partial(sources.take_up, self._holder.adopt)
-        self._state.on_snapshot(take_up)
+        adopt_snapshot = functools.partial(
+            sources.adopt_document, self._holder.adopt
+        )
+        self._state.on_snapshot(adopt_snapshot)
         self._stack.enter_context(self._state)
 
-    def _start(self, name: str, work: Callable[..., None], *arguments) -> None:
-        thread = self._keeper.start(name, functools.partial(work, *arguments))
+    def _start_thread(
+        self, name: str, work: Callable[..., None], *arguments
+    ) -> None:
+        thread = self._supervisor.start(
+            name, functools.partial(work, *arguments)
+        )
         # The configuration's follower sleeps through a stop for as long
         # as it pauses between two reads; it holds nothing that needs it.
         self._stack.callback(thread.join, _JOIN_SECONDS)
 
     def __enter__(self) -> 'Entry':
-        self._settled = time.monotonic() + readiness.SETTLE_SECONDS
+        self._startup_end = time.monotonic() + readiness.STARTUP_SECONDS
         with self._stack as stack:
-            masking.watch_keys(self._holder)
-            stack.callback(self._outside.close)
+            masking.mask_log_keys(self._holder)
+            stack.callback(self._platform.close)
             stack.callback(self._claims.close)
             stack.callback(self._fleet.stop)
             self._start_configuration()
@@ -327,20 +339,20 @@
             stack.callback(self._limits.entry_links.stop)
             self._admin.start()
             stack.callback(self._admin.stop)
-            self._start('hosts', self._follow_fleet)
-            self._start('planner', self._plan)
-            if self._outside.leaders is not None:
+            self._start_thread('hosts', self._watch_fleet)
+            self._start_thread('planner', self._run_planner)
+            if self._platform.leaders is not None:
                 stack.callback(self._placement.stop)
-                self._start('placement', self._placement.run, self.done)
-            self._start('limits', self._limits.run_renewals, self.done)
+                self._start_thread('placement', self._placement.run, self.done)
+            self._start_thread('limits', self._limits.run_renewals, self.done)
             stack.callback(self.done.set)
             self._http.start()
             # Runs first: what is in flight still needs all the rest.
-            stack.callback(self._leave)
+            stack.callback(self._drain)
             self._stack = stack.pop_all()
         return self
 
-    def _leave(self) -> None:
+    def _drain(self) -> None:
         """Take no new requests and finish those in flight."""
         self.leaving = True
         if self._state is not None:
--- a/packages/daemon/src/dunlintide_daemon/entry/roster.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/roster.py
@@ -21,19 +21,19 @@
     'Host',
     'Roster',
     'Source',
-    'follow_list',
-    'follow_members',
-    'heed_list',
+    'mark_leaving_hosts',
+    'poll_host_list',
+    'poll_membership',
 ]
 
 # The platform's list is read by each entry, since only the platform knows
 # which hosts it means to stop; so many reads a second by all together.
 LIST_READS_PER_SECOND = 50.0
-LIST_SECONDS = 2.0
+MIN_LIST_INTERVAL_SECONDS = 2.0
 
 # Least pause between two computations of the subset, as a multiple of the
 # processor time that the last one took: at most a hundredth of a core.
-_PAUSE_RATIO = 100.0
+_INTERVAL_TO_CPU_TIME = 100.0
 
 
 @attrs.frozen
@@ -64,12 +64,12 @@
 Source = Callable[[], list[Host] | None]
 
 
-def follow_list(
+def poll_host_list(
     read: Callable[[], result.Result[Iterable[object], object]],
 ) -> Source:
     """Build a source that reads the platform's list each time."""
 
-    def take() -> list[Host] | None:
+    def poll() -> list[Host] | None:
         listed = read()
         if isinstance(listed, result.Err):
             logging.warning('host list not read: %s', listed.err_value)
@@ -85,24 +85,24 @@
             for each in listed.ok_value
         ]
 
-    return take
+    return poll
 
 
-def follow_members(
+def poll_membership(
     list_present: Callable[[int], tuple[int, list[records.Record]] | None],
 ) -> Source:
     """Build a source that reads the membership.
 
     :param list_present: as ``FleetState`` has it
     """
-    seen = -1
+    version = -1
 
-    def take() -> list[Host] | None:
-        nonlocal seen
-        changed = list_present(seen)
+    def poll() -> list[Host] | None:
+        nonlocal version
+        changed = list_present(version)
         if changed is None:
             return None
-        seen, present = changed
+        version, present = changed
         return [
             Host(
                 each.peer.name,
@@ -116,10 +116,10 @@
             for each in present
         ]
 
-    return take
+    return poll
 
 
-def heed_list(
+def mark_leaving_hosts(
     source: Source,
     read: Callable[[], result.Result[Iterable[hostlist.Host], object]],
     clock: Callable[[], float] = time.monotonic,
@@ -132,12 +132,14 @@
     """
     hosts: list[Host] = []
     leaving: frozenset[str] = frozenset()
-    due = float('-inf')
+    next_read = float('-inf')
 
     def read_leaving() -> frozenset[str]:
-        nonlocal due
+        nonlocal next_read
         entries = sum(host.role == fleet.Role.ENTRY for host in hosts)
-        due = clock() + max(LIST_SECONDS, entries / LIST_READS_PER_SECOND)
+        next_read = clock() + max(
+            MIN_LIST_INTERVAL_SECONDS, entries / LIST_READS_PER_SECOND
+        )
         listed = read()
         if isinstance(listed, result.Err):
             return leaving
@@ -152,18 +154,18 @@
             return attrs.evolve(host, state=records.State.LEAVING)
         return host
 
-    def take() -> list[Host] | None:
+    def poll() -> list[Host] | None:
         nonlocal hosts, leaving
         changed = source()
         if changed is not None:
             hosts = changed
-        told = read_leaving() if clock() >= due else leaving
-        if changed is None and told == leaving:
+        listed_leaving = read_leaving() if clock() >= next_read else leaving
+        if changed is None and listed_leaving == leaving:
             return None
-        leaving = told
+        leaving = listed_leaving
         return [mark(host) for host in hosts]
 
-    return take
+    return poll
 
 
 class Roster:
@@ -216,10 +218,10 @@
         if not self._stale:
             return False
         if now >= self._due:
-            self._choose(now)
+            self._choose_subset(now)
         return hosts is not None or not self._stale
 
-    def _choose(self, now: float) -> None:
+    def _choose_subset(self, now: float) -> None:
         self._stale = False
         peers = [host.peer for host in self.hosts if host.peer is not None]
         entries = [each for each in peers if each.role is fleet.Role.ENTRY]
@@ -230,12 +232,12 @@
             and host.peer is not None
             and host.state == records.State.ALIVE
         ]
-        known = any(each.name == self._name for each in entries)
-        if not known or len(agents) <= self._full_mesh:
+        is_member = any(each.name == self._name for each in entries)
+        if not is_member or len(agents) <= self._full_mesh:
             self.wanted = None
             return
         start = time.thread_time()
-        chosen = subset.assign(entries, agents, self._target)
-        self._due = now + (time.thread_time() - start) * _PAUSE_RATIO
-        mine = chosen[self._name]
-        self.wanted = frozenset(agent.name for agent in mine)
+        assigned = subset.assign(entries, agents, self._target)
+        self._due = now + (time.thread_time() - start) * _INTERVAL_TO_CPU_TIME
+        own_agents = assigned[self._name]
+        self.wanted = frozenset(agent.name for agent in own_agents)
--- a/packages/daemon/src/dunlintide_daemon/entry/router.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/router.py
@@ -307,7 +307,7 @@
         self, bound_claim: claims.BoundClaim
     ) -> fleet.Agent | None:
         binding = bound_claim.binding
-        return self._fleet.reach(binding.executor, binding.incarnation)
+        return self._fleet.connect(binding.executor, binding.incarnation)
 
     def _bind(
         self,
--- a/packages/daemon/src/dunlintide_daemon/entry/table.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/routetable.py
@@ -6,13 +6,13 @@
 import attrs
 
 __all__ = [
-    'Endpoint',
+    'Resource',
     'Target',
     'find_target',
 ]
 
 
-class Endpoint(enum.Enum):
+class Resource(enum.Enum):
     """What a path stands for."""
 
     COMPLETION = 'completion'
@@ -32,15 +32,15 @@
     :ivar rest: path behind a service's name
     """
 
-    endpoint: Endpoint
+    resource: Resource
     name: str = ''
     rest: str = ''
 
 
 _FIXED = {
-    '/v1/completions': ('POST', Endpoint.COMPLETION),
-    '/v1/chat/completions': ('POST', Endpoint.CHAT),
-    '/v1/models': ('GET', Endpoint.MODELS),
+    '/v1/completions': ('POST', Resource.COMPLETION),
+    '/v1/chat/completions': ('POST', Resource.CHAT),
+    '/v1/models': ('GET', Resource.MODELS),
 }
 _REQUEST = re.compile(r'/v1/requests/([0-9a-f-]{36})')
 _SERVICE = re.compile(r'/services/([A-Za-z0-9._-]{1,128})(/.*)?', re.DOTALL)
@@ -50,12 +50,12 @@
     """Find what a method and path stand for."""
     fixed = _FIXED.get(path)
     if fixed is not None:
-        allowed, endpoint = fixed
-        return Target(endpoint if method == allowed else Endpoint.WRONG_METHOD)
+        allowed, resource = fixed
+        return Target(resource if method == allowed else Resource.WRONG_METHOD)
     if (found := _REQUEST.fullmatch(path)) is not None:
         if method != 'GET':
-            return Target(Endpoint.WRONG_METHOD)
-        return Target(Endpoint.REQUEST, found[1])
+            return Target(Resource.WRONG_METHOD)
+        return Target(Resource.REQUEST, found[1])
     if (found := _SERVICE.fullmatch(path)) is not None:
-        return Target(Endpoint.SERVICE, found[1], found[2] or '/')
-    return Target(Endpoint.UNKNOWN)
+        return Target(Resource.SERVICE, found[1], found[2] or '/')
+    return Target(Resource.UNKNOWN)
--- a/packages/daemon/src/dunlintide_daemon/entry/sources.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sources.py
@@ -23,14 +23,14 @@
 __all__ = [
     'Adopt',
     'Sources',
-    'take_up',
+    'adopt_document',
 ]
 
 # Takes a revision and its configuration; False when it is not newer.
 Adopt = Callable[[int, configuration.Configuration], bool]
 
 
-def take_up(
+def adopt_document(
     adopt: Adopt, snapshot: configstore.Snapshot | spread.Snapshot
 ) -> None:
     """Decode a configuration and hand it on, or log why not."""
@@ -63,7 +63,7 @@
     """
 
     read_hosts: Callable[[], result.Result[Iterable[hostlist.Host], object]]
-    follow_configuration: Callable[[Adopt, threading.Event], None]
+    watch_configuration: Callable[[Adopt, threading.Event], None]
     writer: claims.Writer
     leaders: leader_keys.Leaders | None = None
     close: Callable[[], None] = lambda: None
@@ -72,17 +72,17 @@
     def from_config(
         cls,
         settings: settings_module.Settings,
-        shared: metrics.Metrics | None = None,
+        store_metrics: metrics.Metrics | None = None,
     ) -> 'Sources':
         """Build clients of the store and the host list.
 
-        :param shared: metrics that calls on the store are counted in
+        :param store_metrics: metrics that calls on the store are counted in
         """
         timing = settings.timing
         with contextlib.ExitStack() as stack:
             client = store.Store.from_url(
                 settings.store_url,
-                shared,
+                store_metrics,
                 store.StoreTiming(read=timing.store_timeout),
             )
             stack.callback(client.close)
@@ -93,16 +93,18 @@
             stack.callback(listed.close)
             configs = configstore.ConfigStore.from_store(client)
 
-            def follow(adopt: Adopt, stopped: threading.Event) -> None:
+            def watch_configuration(
+                adopt: Adopt, stopped: threading.Event
+            ) -> None:
                 configs.watch(
-                    lambda snapshot: take_up(adopt, snapshot),
+                    lambda snapshot: adopt_document(adopt, snapshot),
                     stopped,
                     poll_seconds=timing.configuration_poll,
                 )
 
             return cls(
                 listed.poll,
-                follow,
+                watch_configuration,
                 writer,
                 leader_keys.Leaders(client),
                 stack.pop_all().close,
--- a/packages/daemon/src/dunlintide_daemon/entry/threads.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/threads.py
@@ -15,27 +15,27 @@
 from dunlintide_adapters.wire import link_pb2
 
 __all__ = [
-    'Keeper',
+    'Supervisor',
     'guard_frames',
-    'watch_errors',
+    'install_excepthook',
 ]
 
 # How long a thread that failed waits, so that an error that stays doesn't
 # fill the log or a core.
-PAUSE_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 1.0
 # Threads of libraries and adapters by the beginning of their names.
 # Claims and configuration are decided by what these hold, and without
 # their loops no caller is served and no agent reached.
 _CRITICAL = ('claims', 'http-', 'store-watch', 'event-loop')
 
-Take = Callable[[links.Link, list[link_pb2.Frame]], None]
+FrameHandler = Callable[[links.Link, list[link_pb2.Frame]], None]
 
 
-class Keeper:
+class Supervisor:
     """Runs periodic work on threads that outlive its errors."""
 
     def __init__(
-        self, done: threading.Event, pause: float = PAUSE_SECONDS
+        self, done: threading.Event, delay: float = RESTART_DELAY_SECONDS
     ) -> None:
         """Begin without threads.
 
@@ -43,7 +43,7 @@
         :param pause: seconds from an error to the next try
         """
         self._done = done
-        self._pause = pause
+        self._delay = delay
         self._errors: collections.Counter[str] = collections.Counter()
 
     def start(self, name: str, work: Callable[[], None]) -> threading.Thread:
@@ -66,14 +66,14 @@
                 self._errors[name] += 1
                 logging.exception('thread %s failed and goes on', name)
             # Work that returns early is begun anew as well.
-            self._done.wait(self._pause)
+            self._done.wait(self._delay)
 
     def describe(self) -> dict[str, int]:
         """Return the number of errors by thread."""
         return dict(self._errors)
 
 
-def guard_frames(take: Take) -> Take:
+def guard_frames(handle: FrameHandler) -> FrameHandler:
     """Close a link whose frames meet an unexpected error.
 
     It is dialled anew and what ran over it is recovered, as after any
@@ -81,21 +81,21 @@
     :param take: takes frames of a link
     """
 
-    def take_guarded(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_guarded(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         try:
-            take(link, frames)
+            handle(link, frames)
         except Exception:
             logging.exception('frames of %s not taken', link.peer.name)
             link.close()
 
-    return take_guarded
+    return handle_guarded
 
 
 def _is_critical(thread: threading.Thread | None) -> bool:
     return thread is not None and thread.name.startswith(_CRITICAL)
 
 
-def _report(details: Any) -> None:
+def _handle_thread_error(details: Any) -> None:
     name = details.thread.name if details.thread else 'unknown'
     error = details.exc_type, details.exc_value, details.exc_traceback
     if _is_critical(details.thread):
@@ -103,6 +103,6 @@
     logging.error('thread %s ended by an error', name, exc_info=error)
 
 
-def watch_errors() -> None:
+def install_excepthook() -> None:
     """Log what ends a thread, and stop the process for a critical one."""
-    threading.excepthook = _report
+    threading.excepthook = _handle_thread_error
--- a/packages/trials/src/dunlintide_trials/cases/leader.py
+++ b/packages/trials/src/dunlintide_trials/cases/leader.py
@@ -12,10 +12,10 @@
 from dunlintide_core import placement
 from dunlintide_core import records
 from dunlintide_core import subset
+from dunlintide_daemon.entry import engineview
 from dunlintide_daemon.entry import fleet
 from dunlintide_daemon.entry import placement as keeper
 from dunlintide_daemon.entry import roster
-from dunlintide_daemon.entry import sightings
 from dunlintide_trials import figures
 from dunlintide_trials import network
 
@@ -37,7 +37,7 @@
 
 def _make_hosts(agents: int) -> list[roster.Host]:
     peers = network.make_peers(ENTRIES, agents, DOMAINS)
-    taken = roster.follow_members(
+    taken = roster.poll_membership(
         lambda seen: (1, [records.Record(peer) for peer in peers])
     )
     return taken()
@@ -46,14 +46,14 @@
 def _time_tick(hosts: list[roster.Host]) -> float:
     """Return processor seconds of one look at the fleet."""
     view = fleet.Fleet(link_pb2.Hello, fleet.Listeners(_ignore, _ignore))
-    seen = sightings.Sightings(hosts[0].name, 'domain-0', view)
-    seen.note_hosts(hosts)
+    seen = engineview.EngineView(hosts[0].name, 'domain-0', view)
+    seen.update_hosts(hosts)
     target = placement.Target(MODEL, '1', LAYERS)
     placer = placement.Placer(target, placement.PlacerSettings())
     start = time.thread_time()
     for tick in range(_TICKS):
-        sight = seen.look()
-        if not sight.enough or placer.decide(tick, sight.engines):
+        sight = seen.take_snapshot()
+        if not sight.has_sufficient_view or placer.decide(tick, sight.engines):
             raise AssertionError('a whole fleet was not seen as such')
     return (time.thread_time() - start) / _TICKS
 
