--- a/packages/daemon/src/dunlintide_daemon/entry/configuration.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this entry."""
+"""Configuration in force at this entry, with look-up tables for it."""
 
 import threading
 
@@ -16,10 +16,16 @@
 
 @attrs.frozen(eq=False)
 class Snapshot:
-    """One configuration with what is derived from it.
+    """One revision of the configuration with look-up tables.
 
-    A request takes one snapshot and keeps it, so that no request meets
-    halves of two configurations.
+    A request keeps the snapshot that it started with, so it never mixes
+    two revisions.
+
+    :ivar revision: store revision of the configuration
+    :ivar index: routing rules, indexed for matching
+    :ivar keys: teams by the hash of their bearer keys
+    :ivar models: models by name
+    :ivar services: plain services by name
     """
 
     revision: int
@@ -31,30 +37,30 @@
 
 
 class Holder:
-    """Holds the newest configuration and never goes back."""
+    """Holds the newest configuration; older revisions are rejected."""
 
     def __init__(self) -> None:
-        """Begin without a configuration."""
+        """Initialize without a configuration."""
         self._lock = threading.Lock()
         self._snapshot: Snapshot | None = None
 
     @property
     def snapshot(self) -> Snapshot | None:
-        """The configuration in force, or None before the first."""
+        """Configuration in force, None before the first one."""
         return self._snapshot
 
     @property
     def revision(self) -> int:
-        """Revision in force, 0 before the first."""
+        """Revision in force, 0 before the first one."""
         snapshot = self._snapshot
         return snapshot.revision if snapshot is not None else 0
 
     def adopt(
         self, revision: int, config: configuration.Configuration
     ) -> bool:
-        """Put a configuration in force unless a newer one is.
+        """Put a configuration in force if its revision is newer.
 
-        :returns: whether it was put in force
+        :returns: False if this or a newer revision is already in force
         """
         with self._lock:
             if revision <= self.revision:
--- a/packages/daemon/src/dunlintide_daemon/entry/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/crashes.py
@@ -1,4 +1,4 @@
-"""Word of crashes among the frames of the agents."""
+"""Crash suspicion reports (``Suspects`` frames) from and to agents."""
 
 from typing import Callable
 
@@ -17,7 +17,7 @@
 def broadcast(
     fleet_view: fleet.Fleet, frame: link_pb2.Frame, source: links.Link
 ) -> None:
-    """Send word to all agents but the one that sent it."""
+    """Forward a frame to all agents except its sender."""
     for agent in fleet_view.list_agents():
         if agent.link is not source:
             agent.link.send(frame)
@@ -27,14 +27,15 @@
     take_suspects: Callable[[links.Link, link_pb2.Suspects], None],
     route: FrameHandler,
 ) -> FrameHandler:
-    """Return what takes frames: word of crashes first, then all others.
+    """Build a frame handler that handles suspects before other frames.
 
-    :param take: takes word of crashes
-    :param route: takes frames of requests
+    :param take_suspects: handles the body of a ``Suspects`` frame
+    :param route: handles a batch of frames, ``Suspects`` included
     """
 
     def route_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
-        # An attempt that failed in a crash comes behind word of it.
+        # A failure caused by a crash is sent behind the report of the
+        # crash, which must be known before the request is retried.
         for frame in frames:
             if frame.WhichOneof('body') == 'suspects':
                 take_suspects(link, frame.suspects)
--- a/packages/daemon/src/dunlintide_daemon/entry/dump.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dump.py
@@ -1,4 +1,7 @@
-"""State of an entry for operators, without content or keys."""
+"""State dump of an entry for operators.
+
+It contains no request content and no bearer keys.
+"""
 
 from typing import Any
 
@@ -20,7 +23,7 @@
     retries: budget.RetryBudget,
     outcomes: history.History,
 ) -> dict[str, Any]:
-    """Return the state, fit for JSON."""
+    """Return the state as JSON-compatible values."""
     snapshot = holder.snapshot
     rules = [] if snapshot is None else snapshot.config.rules
     return {
--- a/packages/daemon/src/dunlintide_daemon/entry/engineview.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/engineview.py
@@ -1,8 +1,9 @@
-"""The engines of the fleet, as the entry that leads a model sees them.
+"""Engines of the fleet, for the placement decisions of a model's leader.
 
-What they hold comes from the membership, so a leader needs no link to
-them. The links that it has tell sooner, and one that is lost makes it a
-witness like any other, whose word alone removes nothing.
+The layers that an engine holds are read from the gossip membership, so a
+leader needs no link to it. The entry's own links give newer state. A lost
+link makes the entry one more witness that the engine is unreachable; a
+single witness does not remove an engine.
 """
 
 from typing import Iterable, Protocol
@@ -20,14 +21,15 @@
     'Host',
 ]
 
-# An engine without a link to it is the last to be given an order.
+# Request count assumed for an engine without a link, whose load is unknown,
+# so that it is chosen for an order last.
 _UNCONNECTED_REQUESTS = 1 << 30
 
 
 class Host(Protocol):
-    """One process of the fleet.
+    """Fields of a fleet member that the engine view depends on.
 
-    :ivar peer: None where it is known from the host list only
+    :ivar peer: None if it is known from the host list only
     """
 
     name: str
@@ -41,9 +43,10 @@
 
 @attrs.frozen
 class EngineSnapshot:
-    """The engines at one moment.
+    """Engines that can be placed on, at one moment.
 
-    :ivar has_sufficient_view: whether enough agents are seen to judge
+    :ivar has_sufficient_view: whether enough agents are reachable to make
+        placement decisions
     """
 
     engines: tuple[placement.Engine, ...] = ()
@@ -74,14 +77,14 @@
 
 
 class EngineView:
-    """Engines by the membership, corrected by the links of this entry."""
+    """Engines of the membership, corrected by the links of this entry."""
 
     def __init__(
         self, name: str, failure_domain: str, fleet_view: fleet.Fleet
     ) -> None:
-        """Begin with nobody.
+        """Initialize without engines.
 
-        :param name: of this entry
+        :param name: name of this entry
         """
         self._name = name
         self._domain = failure_domain
@@ -89,13 +92,13 @@
         self._agents: dict[str, Host] = {}
         self._domains: dict[str, str] = {}
         self._required_domains = 1
-        # By the membership alone, which is looked at much more often
-        # than it changes.
+        # Results from the membership alone, cached since it changes much
+        # less often than snapshots are taken.
         self._engines: dict[str, placement.Engine] = {}
         self._present: frozenset[str] = frozenset()
 
     def update_hosts(self, hosts: Iterable[Host]) -> None:
-        """Take in the fleet as it is known now."""
+        """Apply a new member list."""
         hosts = list(hosts)
         self._domains = {host.name: host.failure_domain for host in hosts}
         self._required_domains = standing.count_needed_domains(
@@ -123,10 +126,11 @@
         self, host: Host, witnesses: Iterable[str]
     ) -> standing.Standing:
         if host.peer is None:
-            # The host list says nothing of who reaches it.
+            # The host list has no reachability reports.
             return standing.Standing.GONE
         unreached_by = {
-            # Others than processes witness too.
+            # A witness that is no process of the fleet counts as a failure
+            # domain of its own.
             witness: self._domains.get(witness, witness)
             for witness in witnesses
         }
@@ -138,7 +142,7 @@
         name: str,
         reachability: standing.Standing,
     ) -> None:
-        """Put in or take out an engine that is known by the membership."""
+        """Add or remove an engine according to its reachability."""
         engines.pop(name, None)
         peer = self._agents[name].peer
         if reachability is standing.Standing.GONE or not _is_engine(peer):
@@ -148,7 +152,7 @@
             engines[name] = _build_engine(peer, suspected=suspected)
 
     def take_snapshot(self) -> EngineSnapshot:
-        """Return the engines as they are now."""
+        """Return the current engines by membership and links."""
         engines, present = dict(self._engines), set(self._present)
         for name in self._fleet.list_unconnected() & self._agents.keys():
             host = self._agents[name]
--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -1,8 +1,9 @@
-"""Agents as this entry sees them: listed, linked, loaded or leaving.
+"""Links to agents, and the last reported state of each agent.
 
-A view behind a lock rather than an actor: link readers write to it and
-request threads read from it, and neither may wait for a mailbox. Readers
-get immutable records, so they never hold the lock while they decide.
+The state is guarded by a lock rather than owned by an actor: link readers
+write it and request threads read it, and neither may wait for a mailbox.
+Readers get immutable records, so they don't hold the lock while they
+choose an agent.
 """
 
 import threading
@@ -26,16 +27,17 @@
 ]
 
 _CONTROL = frozenset(('hello', 'load', 'leaving', 'order_reply'))
-# Links outside the subset stay open for so long after their last use.
+# An on-demand link, to an agent outside this entry's subset, is closed when
+# it has been unused for this long.
 IDLE_SECONDS = 60.0
-# Beyond so many of them the longest unused one makes room.
+# At this many on-demand links, a new one replaces the least recently used.
 MAX_ON_DEMAND_LINKS = 32
-# Bound on opening a link that one request needs.
+# Bound on the wait of a request for an on-demand link to open.
 CONNECT_SECONDS = 1.0
 
 
 class Host(Protocol):
-    """One process of the fleet, as far as it matters here."""
+    """Fields of a fleet member that links depend on."""
 
     name: str
     role: str
@@ -45,13 +47,13 @@
 
 @attrs.frozen(eq=False)
 class Agent:
-    """One agent in one life of it, at one moment.
+    """Immutable state of one incarnation of a linked agent.
 
-    :ivar link: the open link to it
-    :ivar load: its last report
-    :ivar reported_at: monotonic time of that report, in seconds
-    :ivar outstanding: work of this entry that it has not finished
-    :ivar leaving: whether it takes no new work
+    :ivar link: open link to the agent
+    :ivar load: last load report
+    :ivar reported_at: monotonic time of the last load report, in seconds
+    :ivar outstanding: number of unfinished requests of this entry
+    :ivar leaving: whether the agent takes no new work
     """
 
     peer: fleet.Peer
@@ -64,14 +66,15 @@
 
 @attrs.frozen
 class Listeners:
-    """What the rest of the entry wants to hear of links.
+    """Callbacks for frames and link events.
 
     :ivar frames: called with frames that belong to requests
-    :ivar down: called with a link that was lost
-    :ivar load: called with an agent that has just told its load
-    :ivar reply: called with an agent's answer to an order
-    :ivar cache: called with an agent's name and news of its engine's cache
-    :ivar up: called with a link to an agent that has just opened
+    :ivar down: called with a lost link
+    :ivar load: called with an agent after each of its load reports
+    :ivar reply: called with an agent's answer to a placement order
+    :ivar up: called with a newly opened link to an agent
+    :ivar cache: called with an agent's name and a prefix cache update of
+        its engine
     """
 
     frames: Callable[[links.Link, list[link_pb2.Frame]], None]
@@ -85,7 +88,7 @@
 
 
 class Fleet:
-    """Keeps a link to each listed agent and tells which are usable."""
+    """Keeps links to the agents of the subset and lists usable agents."""
 
     def __init__(
         self,
@@ -94,9 +97,10 @@
         timing: links.LinkTiming = links.LinkTiming(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Begin with no agents.
+        """Initialize without agents.
 
-        :param hello: builds what this entry says of itself
+        :param hello: builds the hello message of this entry
+        :param listeners: callbacks for frames and link events
         """
         self._hello = hello
         self._listeners = listeners
@@ -107,7 +111,7 @@
         self._agents: dict[str, Agent] = {}
         self._listed: dict[str, Host] = {}
         self._listed_leaving: frozenset[str] = frozenset()
-        # Links outside the subset: address to the time of the last use.
+        # On-demand links: address to the monotonic time of the last use.
         self._on_demand: dict[str, float] = {}
         self._changed = threading.Condition(self._lock)
         self._stopped = False
@@ -117,11 +121,12 @@
         hosts: Iterable[Host],
         wanted: Collection[str] | None = None,
     ) -> None:
-        """Take in the fleet: dial new agents, drop the gone ones.
+        """Apply a new member list: dial new agents, drop unlisted ones.
 
-        What is known of it lags, so an agent that is gone by it stays
-        while its link is open.
+        The list lags behind, so an unlisted agent is kept while its link
+        is open.
 
+        :param hosts: all members of the fleet
         :param wanted: names of the agents to keep links to, None for all
         """
         listed = {
@@ -152,7 +157,7 @@
             dialer.stop()
 
     def drop_idle(self, now: float) -> None:
-        """Close links outside the subset that nothing has used for long.
+        """Close on-demand links that have been idle for too long.
 
         :param now: monotonic time in seconds
         """
@@ -185,7 +190,7 @@
         return removed
 
     def _evict_least_recent(self, now: float) -> list[links.Dialer]:
-        """Give up the longest unused link when there are many."""
+        """Remove the least recently used on-demand link if at the limit."""
         self._touch_busy(now)
         free = [
             address for address, used in self._on_demand.items() if used < now
@@ -197,10 +202,11 @@
         )
 
     def connect(self, name: str, incarnation: int | None) -> Agent | None:
-        """Return an agent, dialling it when it is outside the subset.
+        """Return an agent, dialling it if it is outside the subset.
 
-        :param incarnation: the life of it that is meant, None for any
-        :returns: None when that life of it is not reached in time
+        :param incarnation: required incarnation, None for any
+        :returns: None if that incarnation is not linked within
+            ``CONNECT_SECONDS``
         """
         now = time.monotonic()
         end = now + CONNECT_SECONDS
@@ -210,7 +216,8 @@
                 return self._find(name, incarnation)
             if host.address not in self._dialers:
                 self._open_on_demand(host.address, now)
-            # One of the subset without a link is being dialled anyway.
+            # An unlinked agent of the subset is redialled in the background;
+            # the request does not wait for it.
             if host.address in self._on_demand:
                 self._changed.wait_for(
                     lambda: name in self._agents, end - time.monotonic()
@@ -221,11 +228,12 @@
         for dialer in self._evict_least_recent(now):
             dialer.stop()
         for dialer in self._build_dialers({address}):
+            # A time ahead protects the link from eviction while it opens.
             self._on_demand[address] = now + CONNECT_SECONDS
             dialer.start()
 
     def touch(self, names: Iterable[str]) -> None:
-        """Count agents as used now, so that their links stay open."""
+        """Mark on-demand links as used now, so that they stay open."""
         now = time.monotonic()
         with self._lock:
             for name in names:
@@ -234,7 +242,7 @@
                     self._on_demand[host.address] = now
 
     def list_unconnected(self) -> frozenset[str]:
-        """Return the names of listed agents that are dialled in vain."""
+        """Return names of listed agents that are dialled but not linked."""
         with self._lock:
             return frozenset(
                 name
@@ -343,7 +351,7 @@
             return list(self._agents.values())
 
     def list_usable(self) -> list[Agent]:
-        """Return the agents that may get new work."""
+        """Return linked agents that may get new work."""
         with self._lock:
             return [
                 agent
@@ -354,7 +362,7 @@
             ]
 
     def list_engines(self, model: str, version: str) -> list[Agent]:
-        """Return usable agents that hold layers of a model version."""
+        """Return usable agents that serve layers of a model version."""
         return [
             agent
             for agent in self.list_usable()
@@ -374,7 +382,7 @@
         ]
 
     def find(self, name: str, incarnation: int) -> Agent | None:
-        """Return an agent, leaving or not, in that life of it."""
+        """Return one incarnation of a linked agent, even if it is leaving."""
         with self._lock:
             return self._find(name, incarnation)
 
@@ -392,7 +400,10 @@
         return None if None in picked else tuple(picked)
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
-        """Add to the outstanding work of agents; negative when it ends."""
+        """Add to the outstanding requests of agents.
+
+        :param amount: 1 when a request starts, -1 when it ends
+        """
         with self._lock:
             for name in names:
                 agent = self._agents.get(name)
@@ -404,12 +415,12 @@
                 )
 
     def announce(self, hello: link_pb2.Hello) -> None:
-        """Tell all agents anew what this entry is."""
+        """Send an updated hello to all agents."""
         for agent in self.list_agents():
             agent.link.send(link_pb2.Frame(hello=hello))
 
     def describe(self) -> Mapping[str, object]:
-        """Return the state for a dump."""
+        """Return the state for a dump as JSON-compatible values."""
         now = time.monotonic()
         agents = [
             {
@@ -431,7 +442,7 @@
         return {'agents': agents, 'dialled': dialled}
 
     def stop(self) -> None:
-        """Close all links."""
+        """Close all links and dial no more."""
         with self._lock:
             self._stopped = True
             dialers = list(self._dialers.values())
--- a/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
@@ -1,4 +1,4 @@
-"""The fleet's state, served at the port for other entries."""
+"""Construction of the fleet state, served on the entry link port."""
 
 from dunlintide_adapters import peers as peer_calls
 from dunlintide_adapters import transports
@@ -20,10 +20,11 @@
     outside: watching.Outside | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
-    """Build the state and add its service to a port.
+    """Build the fleet state and add its service to the entry link server.
 
-    :param served: whose port serves it, before it is started
-    :param outside: what the state is drawn from; None for no state
+    :param entry_links: links whose server, not started yet, serves the state
+    :param outside: sources of the fleet state, None to build none
+    :returns: None without sources
     """
     if outside is None:
         return None
--- a/packages/daemon/src/dunlintide_daemon/entry/hellos.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/hellos.py
@@ -1,4 +1,4 @@
-"""What processes say of themselves: own words, and agents' as types."""
+"""Hello and load messages: build this entry's, decode those of agents."""
 
 from dunlintide_adapters import peercodec
 from dunlintide_adapters.wire import link_pb2
@@ -13,18 +13,23 @@
 
 
 def read_peer(hello: link_pb2.Hello) -> fleet.Peer | None:
-    """Return the agent that a process says it is, None for no agent."""
+    """Decode an agent's hello.
+
+    :returns: None if the sender is not an agent or its endpoint is of an
+        unknown kind
+    """
     if hello.role != fleet.Role.AGENT or not hello.HasField('endpoint'):
         return None
     try:
         return peercodec.decode_peer(hello)
     except ValueError:
-        # It stands before a kind of endpoint that is not known here.
+        # An agent of a newer version may have an endpoint kind that this
+        # version does not know.
         return None
 
 
 def read_load(message: link_pb2.Load) -> fleet.LoadReport:
-    """Return what an agent tells of its load."""
+    """Decode an agent's load report."""
     return fleet.LoadReport(
         running=message.running,
         queued=message.queued,
@@ -43,9 +48,10 @@
     revision: int,
     leaving: bool,
 ) -> link_pb2.Hello:
-    """Build what this entry says of itself.
+    """Build the hello message of this entry.
 
-    :param revision: of the configuration in force
+    :param revision: revision of the configuration in force
+    :param leaving: whether this entry is draining
     """
     return link_pb2.Hello(
         name=settings.name,
--- a/packages/daemon/src/dunlintide_daemon/entry/history.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/history.py
@@ -1,4 +1,7 @@
-"""Outcomes of recent requests, for callers that lost an answer."""
+"""Outcomes of recent requests.
+
+A caller that lost the connection can look up how its request ended.
+"""
 
 import collections
 import threading
@@ -20,10 +23,11 @@
 
 @attrs.frozen
 class Record:
-    """What became of a request.
+    """Outcome of one request.
 
-    :ivar outcome: an outcome's value, or ``running``
-    :ivar code: why it failed, empty when it did not
+    :ivar team: team that sent the request
+    :ivar outcome: value of an ``Outcome``, or ``running``
+    :ivar code: failure code, empty if the request did not fail
     """
 
     team: str
@@ -31,7 +35,7 @@
     code: str = ''
 
     def render(self, request_id: str) -> bytes:
-        """Return it as JSON."""
+        """Encode the record as JSON."""
         fields = {'id': request_id, 'outcome': self.outcome}
         if self.code:
             fields['code'] = self.code
@@ -39,17 +43,18 @@
 
 
 class History:
-    """Remembers a bounded number of outcomes."""
+    """Keeps the outcomes of a bounded number of recent requests."""
 
     def __init__(
         self,
         observe: Callable[[str, str], None],
         limit: int = MAX_RECORDS,
     ) -> None:
-        """Begin with none.
+        """Initialize without records.
 
-        :param observe: called with each outcome and its code, which is
-            empty for a whole answer
+        :param observe: called with each outcome and its failure code,
+            which is empty for a complete answer
+        :param limit: number of records to keep; the oldest is evicted
         """
         self._observe = observe
         self._limit = limit
@@ -60,7 +65,7 @@
         self.totals: collections.Counter[str] = collections.Counter()
 
     def begin(self, request_id: str, team: str) -> None:
-        """Take note of a request."""
+        """Record a request as running."""
         with self._lock:
             self._records[request_id] = Record(team, RUNNING)
             while len(self._records) > self._limit:
@@ -69,7 +74,10 @@
     def end(
         self, request_id: str, team: str, refusal: outcomes.Refusal | None
     ) -> None:
-        """Take note of an outcome; None stands for a whole answer."""
+        """Record an outcome.
+
+        :param refusal: why the request failed, None for a complete answer
+        """
         outcome, code = outcomes.Outcome.COMPLETE, ''
         if refusal is not None:
             outcome, code = refusal.outcome, refusal.code.value
@@ -80,7 +88,7 @@
                 self._records[request_id] = Record(team, outcome.value, code)
 
     def find(self, request_id: str, team: str) -> Record | None:
-        """Return a team's own request, or None."""
+        """Return the record of a request if it is this team's, else None."""
         with self._lock:
             record = self._records.get(request_id)
         if record is None or record.team != team:
--- a/packages/daemon/src/dunlintide_daemon/entry/identity.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/identity.py
@@ -1,4 +1,4 @@
-"""Which team a bearer key belongs to."""
+"""Authentication of callers by bearer key, and cache salts of teams."""
 
 import hashlib
 import secrets
@@ -30,10 +30,11 @@
 
 
 def _derive_salt(team: configuration.Team) -> str:
-    """Derive a team's cache salt, the same at each entry.
+    """Derive a team's cache salt, identical on all entries.
 
-    Its key is the hash of the team's first bearer key, which no other
-    team can know; a new first key only empties the prefix caches.
+    The digest is keyed with the hash of the team's first bearer key, which
+    no other team can know. Changing that key only invalidates the team's
+    prefix cache.
     """
     key = team.key_hashes[0].lower().encode()
     digest = hashlib.blake2b(
@@ -47,10 +48,10 @@
 
 @attrs.frozen
 class KeyTable:
-    """Teams by the hash of their keys.
+    """Teams by the hash of their bearer keys.
 
-    Only hashes are looked up, so the time of a look-up tells nothing
-    about how much of a guessed key is right.
+    Only hashes are compared, so the time of a look-up does not reveal how
+    many characters of a guessed key are right.
     """
 
     _teams: Mapping[str, str]
@@ -71,30 +72,36 @@
         return cls(teams, salts)
 
     def get_salt(self, team: str) -> str:
-        """Give the salt of a team's prefix caches.
+        """Return the salt of a team's prefix cache.
 
-        :returns: one that is used only once for an unknown team
+        :returns: a random salt, never reused, for an unknown team
         """
         return self._salts.get(team) or secrets.token_hex(_SALT_BYTES)
 
     def is_key(self, token: str) -> bool:
-        """Tell whether a word is a team's bearer key."""
+        """Tell whether a string is a team's bearer key."""
         return _hash_key(token) in self._teams
 
     def authenticate(
         self, header: str
     ) -> result.Result[str, outcomes.Refusal]:
-        """Return the team named by an ``Authorization`` header.
+        """Return the team that an ``Authorization`` header authenticates.
 
-        :param header: the header's value, empty when it is missing
+        :param header: value of the header, empty if it is missing
+        :returns: name of the team, or a refusal
         """
         scheme, _, key = header.partition(' ')
         key = key.strip()
         if scheme.lower() != _SCHEME or not key:
-            return _refuse('a bearer key is required')
+            return _refuse(
+                'Authorization header with a bearer key is required'
+            )
         if len(key) > MAX_KEY_LENGTH:
-            return _refuse('the bearer key is too long')
+            return _refuse(
+                f'bearer key has {len(key)} characters,'
+                f' at most {MAX_KEY_LENGTH} are allowed'
+            )
         team = self._teams.get(_hash_key(key))
         if team is None:
-            return _refuse('the bearer key is not known')
+            return _refuse('bearer key belongs to no team')
         return result.Ok(team)
--- a/packages/daemon/src/dunlintide_daemon/entry/leader.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/leader.py
@@ -1,7 +1,8 @@
-"""Leadership of one model at an entry, and the orders that it gives.
+"""Leader election for one model, and the placement orders of its leader.
 
-An actor of its own for each model, since a slow store must not keep the
-renewal of one lease from another. It is ticked some times a second.
+Each model has its own actor, so that a slow store call for one model does
+not delay the lease renewal of another. ``Tick`` messages drive the actor
+several times a second.
 """
 
 import random
@@ -30,7 +31,8 @@
     'Tick',
 ]
 
-# A candidate looks at the leader's key after such a part of a lease.
+# A candidate reads the leader's key again after a random fraction of the
+# lease within these bounds.
 _MIN_RETRY_FRACTION, _MAX_RETRY_FRACTION = 0.4, 0.8
 _TERM_ENDING_REFUSALS = (
     placement.Refusal.OLD_FENCE,
@@ -40,10 +42,10 @@
 
 @attrs.frozen
 class Tick:
-    """Do what is due.
+    """Request to campaign, renew the lease and place layers as due.
 
-    :ivar targets: versions of the model that are to be placed
-    :ivar is_candidate: whether this entry should try to lead
+    :ivar targets: versions of the model to place
+    :ivar is_candidate: whether this entry should try to become leader
     """
 
     targets: tuple[placement.Target, ...]
@@ -52,22 +54,23 @@
 
 @attrs.frozen
 class Reply:
-    """Answer of an agent to an order."""
+    """Answer of an agent to a placement order."""
 
     reply: link_pb2.OrderReply
 
 
 @attrs.frozen
 class Resign:
-    """Give the leadership up."""
+    """Request to give up the leadership."""
 
 
 @attrs.frozen
 class FleetAccess:
-    """The fleet as a leader sees it.
+    """Fleet operations that a leader needs.
 
-    :ivar take_snapshot: returns the engines, of any model
-    :ivar send: sends an order to a named agent; False when it can't
+    :ivar take_snapshot: returns the engines of all models
+    :ivar send: sends an order to a named agent; returns False if the agent
+        is not linked or is leaving
     """
 
     take_snapshot: Callable[[], engineview.EngineSnapshot]
@@ -76,11 +79,15 @@
 
 @attrs.frozen
 class Status:
-    """What operators are told of one model.
-
-    :ivar leader: name of the leader, as last seen here
-    :ivar missing: layer ranges that are short of engines
-    :ivar orders: orders that are open
+    """Leadership and placement of one model, for the state dump.
+
+    :ivar phase: role of this entry in the election
+    :ivar leader: name of the leader, as last read from the store
+    :ivar fence: fencing token of the leader's term, 0 if unknown
+    :ivar sees_enough: whether enough agents are reachable to place layers
+    :ivar missing: layer ranges with too few engines
+    :ivar orders: open orders
+    :ivar refusals: number of orders refused so far
     """
 
     phase: leadership.Phase = leadership.Phase.CANDIDATE
@@ -106,7 +113,7 @@
 
 
 class Leader(pykka.ThreadingActor):
-    """Tries to lead a model, and places its layers while it does."""
+    """Campaigns for the leadership of a model and, as leader, places it."""
 
     use_daemon_thread = True
 
@@ -120,10 +127,12 @@
         publish: Callable[[Status], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin as a candidate.
+        """Initialize as a candidate.
 
-        :param name: of this process
+        :param model: name of the model
+        :param name: name of this entry
         :param publish: called with the status after each tick
+        :param clock: monotonic time in seconds
         """
         super().__init__()
         self._model = model
@@ -151,9 +160,11 @@
             self._resign()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Say so; another actor takes its place and the lease lapses."""
+        """Log the error; the lease expires and a new actor is started."""
         error = exception_type, exception_value, traceback
-        logging.error('leader of %s failed', self._model, exc_info=error)
+        logging.error(
+            'leader actor of model %s failed', self._model, exc_info=error
+        )
 
     def _tick(self, tick: Tick) -> None:
         now = self._clock()
@@ -188,15 +199,21 @@
         self._placers.clear()
         self._sent_orders.clear()
         self._update_status(leader=self._name, fence=term.fence)
-        logging.info('leads model %s, fence %d', self._model, term.fence)
+        logging.info(
+            'became leader of model %s, fencing token %d',
+            self._model,
+            term.fence,
+        )
 
     def _renew(self) -> None:
         renewed = self._keys.renew(self._leadership.term)
         if isinstance(renewed, result.Err):
-            # The own deadline goes on; the next tick tries again.
+            # The local lease deadline still applies; the next tick retries.
             return
         if renewed.ok_value is None:
-            logging.warning('the lease for %s has lapsed', self._model)
+            logging.warning(
+                'lost leadership of model %s: lease expired', self._model
+            )
             self._end_term()
         else:
             self._leadership.renew(renewed.ok_value)
@@ -211,7 +228,7 @@
     def _resign(self) -> None:
         term = self._leadership.term
         if term is not None:
-            logging.info('gives up the lead of model %s', self._model)
+            logging.info('resigning leadership of model %s', self._model)
             self._end_term()
             self._keys.resign(term)
 
@@ -246,8 +263,8 @@
     def _send_order(
         self, placer: placement.Placer, order: placement.Order
     ) -> None:
-        # Asked for each order: this process may have been paused since
-        # the last time.
+        # Checked again for each order: the process may have been suspended
+        # past its lease since the last check.
         now = self._clock()
         fence = self._leadership.get_fence(now)
         if fence is None:
@@ -255,7 +272,9 @@
             return
         message = _build_order(order, fence, self._name)
         self._sent_orders[message.order_id] = placer, order.agent
-        logging.info('orders %s to hold %s', order.agent, order.holding)
+        logging.info(
+            'ordering agent %s to hold %s', order.agent, order.holding
+        )
         if not self._fleet_access.send(order.agent, message):
             placer.fail(order.agent, now)
 
@@ -264,12 +283,12 @@
         if sent is None or reply.accepted:
             return
         placer, agent = sent
-        logging.warning('%s refused an order: %s', agent, reply.detail)
+        logging.warning('agent %s refused an order: %s', agent, reply.detail)
         self._update_status(refusals=self._status.refusals + 1)
         placer.fail(agent, self._clock())
         if reply.detail in _TERM_ENDING_REFUSALS:
-            # Another leads, or the engine has seen a higher number from
-            # the leader of another model: a new term has a higher one.
+            # Another entry leads, or the engine has seen a higher fencing
+            # token from another model's leader; a new term gets a higher one.
             self._resign()
 
     def _update_status(self, **fields) -> None:
--- a/packages/daemon/src/dunlintide_daemon/entry/masking.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/masking.py
@@ -1,7 +1,7 @@
-"""Keeping bearer keys out of what an entry writes.
+"""Masking of bearer keys in logs and state dumps of an entry.
 
-Logs are masked by ``dunlintide_adapters.logs``, which asks here whether a
-word is a key; only the hashes of keys are known.
+``dunlintide_adapters.logs`` masks the logs and calls back to learn whether
+a string is a key. An entry has only the hashes of keys.
 """
 
 import re
@@ -15,7 +15,7 @@
     'mask_state',
 ]
 
-# Characters that a key may have, but that also join it to other words.
+# Characters that may be part of a key or separate it from other text.
 _SEPARATORS = re.compile('[=/.]')
 
 
@@ -24,7 +24,7 @@
     if snapshot is None:
         return False
     parts = {token, token.strip('.=/'), *_SEPARATORS.split(token)}
-    # The end of an assignment or a path may itself have such characters.
+    # A key that ends an assignment or a path may contain separators itself.
     parts.update(
         token[separator.end() :] for separator in _SEPARATORS.finditer(token)
     )
@@ -32,12 +32,12 @@
 
 
 def mask_log_keys(holder: configuration.Holder) -> None:
-    """Mask the keys of the configuration in force in all logs."""
+    """Mask the keys of the configuration in force in all log output."""
     logs.mask_keys(lambda token: _is_key(holder, token))
 
 
 def mask_state(value: Any) -> Any:
-    """Return a dump's value with keys masked in all its texts."""
+    """Return a value of a state dump with keys masked in all strings."""
     if isinstance(value, str):
         return logs.mask(value)
     if isinstance(value, dict):
--- a/packages/daemon/src/dunlintide_daemon/entry/modelplanning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/modelplanning.py
@@ -1,7 +1,7 @@
-"""What an entry learns of one model version, and its plan.
+"""Capacity estimates, routing plan and chain choice of one model version.
 
-One background thread owns the estimates and the planning; the threads of
-links and requests only append what they saw to a bounded queue. So no
+One background thread owns the estimates and the planning. The threads of
+links and requests only append observations to a bounded queue, so no
 request waits for a plan, however large the fleet is.
 """
 
@@ -30,21 +30,25 @@
     'build_stage',
 ]
 
-# What an endpoint that declares no capacity is taken to carry.
+# Assumed capacity of an endpoint that declares none.
 _DEFAULT_TOKENS_PER_SECOND = 1000.0
-# An interval is the mean over this many tokens, or over what came in
-# this time when a chain is slow.
+# A token interval is the mean over this many tokens, or over those of this
+# time on a slow chain.
 _INTERVAL_TOKENS = 8
 _MAX_INTERVAL_SECONDS = 1.0
-# Observations that may wait for the background thread; more are old.
+# Bound on queued observations; the oldest are dropped beyond it.
 _MAX_QUEUED = 20_000
-# Estimates below this are worth an operator's look.
+# The state dump lists agents and links whose estimated factor, 1 when they
+# perform as declared, is below this.
 _SUSPICION_FACTOR = 0.9
 
 
 @attrs.frozen
 class TimedLoad:
-    """A load report of an agent, and when it came."""
+    """Load report of an agent and its time of receipt.
+
+    :ivar received_at: monotonic time in seconds
+    """
 
     agent: str
     load: core_fleet.LoadReport
@@ -53,7 +57,10 @@
 
 @attrs.frozen
 class TimedCacheUpdate:
-    """What an agent tells of its engine's cache, and when it came."""
+    """Prefix cache update of an agent and its time of receipt.
+
+    :ivar received_at: monotonic time in seconds
+    """
 
     agent: str
     update: cachenews.News
@@ -62,7 +69,12 @@
 
 @attrs.frozen
 class TokenInterval:
-    """Mean time between some tokens that came over a chain."""
+    """Mean time between consecutive tokens that a chain delivered.
+
+    :ivar agents: names of the agents of the chain
+    :ivar seconds: mean interval in seconds
+    :ivar received_at: monotonic time in seconds
+    """
 
     agents: tuple[str, ...]
     seconds: float
@@ -71,18 +83,20 @@
 
 @attrs.define
 class TokenIntervals:
-    """Token intervals of one attempt, in means over several tokens."""
+    """Averages the token intervals of one attempt over several tokens."""
 
     _since: float | None = None
     _count: int = 0
 
     def add(self, count: int, now: float) -> float | None:
-        """Take tokens that came together.
+        """Add tokens that arrived together.
 
-        The time to the first token is prefill and counts for nothing.
+        The time to the first token is prefill and is not counted.
 
+        :param count: number of tokens
         :param now: monotonic time in seconds
-        :returns: a mean interval in seconds, once enough have come
+        :returns: mean interval in seconds, None until there are enough
+            tokens
         """
         if self._since is None:
             self._since = now
@@ -97,7 +111,7 @@
 
 
 def build_stage(agent: fleet.Agent) -> plans.Stop:
-    """Give an agent in the form of the planner."""
+    """Convert an agent to a stage for the planner."""
     endpoint = agent.peer.endpoint
     return plans.Stop(
         agent=agent.peer.name,
@@ -117,12 +131,14 @@
 
 
 class ModelPlanner:
-    """Estimates, plan and choice of one model version."""
+    """Plans the chains of one model version and chooses among them."""
 
     def __init__(self, layers: int, round_robin: bool) -> None:
-        """Begin without endpoints.
+        """Initialize without endpoints.
 
-        :param round_robin: take endpoints in turn instead, as a baseline
+        :param layers: number of layers of the model
+        :param round_robin: choose endpoints by round robin instead of by
+            plan, as a baseline
         """
         self.layers = layers
         self._replanner = replan.Replanner(layers, plans.Links())
@@ -144,11 +160,13 @@
     def enqueue(
         self, observation: TimedLoad | TokenInterval | TimedCacheUpdate
     ) -> None:
-        """Take an observation for later; never blocks."""
+        """Queue an observation for the background thread; never blocks."""
         self._queue.append(observation)
 
     def refresh(self, agents: Iterable[fleet.Agent], now: float) -> None:
-        """Plan again if that is due; for the background thread only.
+        """Apply queued observations and replan if due.
+
+        Called by the background thread only.
 
         :param agents: usable agents of the model version
         :param now: monotonic time in seconds
@@ -172,7 +190,8 @@
         incarnations = {one.peer.name: one.peer.incarnation for one in agents}
         with self._lock:
             for name, incarnation in incarnations.items():
-                # Its engine may have been started anew as well.
+                # The engine may have restarted with the agent, and its
+                # prefix cache may be empty.
                 if self._incarnations.get(name, incarnation) != incarnation:
                     self._affinity.distrust(name, now)
             self._incarnations |= incarnations
@@ -224,11 +243,12 @@
         avoid: Collection[str],
         blocks: Sequence[int] = (),
     ) -> plans.Chain | None:
-        """Choose the chain of a request; None when nothing tiles.
+        """Choose the chain of a request.
 
-        :param rng: draws the chains
-        :param avoid: names of agents that are not to be chosen
+        :param rng: random source of the choice
+        :param avoid: names of agents to exclude
         :param blocks: hashes of the prompt's blocks
+        :returns: None if the remaining agents don't cover all layers
         """
         now = time.monotonic()
         with self._lock:
@@ -244,8 +264,13 @@
             return chain
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
-        """Count a chain's requests: 1 when one begins, -1 when it ends."""
-        # Counted by name, as an agent may be gone when its request ends.
+        """Count the requests in flight on a chain.
+
+        :param names: names of the agents of the chain
+        :param amount: 1 when a request starts, -1 when it ends
+        """
+        # Counted by name, since an agent may have left the fleet before its
+        # request ends.
         chain = plans.Chain(
             tuple(plans.Stop(name, 0, 0, 0.0) for name in names)
         )
@@ -280,12 +305,16 @@
         }
 
     def count_prompts(self) -> tuple[int, int]:
-        """Count prompts, and those with a known holder of their start."""
+        """Return how many prompts there were, and how many had a known prefix.
+
+        :returns: all prompts, and those of which an agent is known to
+            cache a prefix
+        """
         with self._lock:
             return self._prompts, self._known_prompts
 
     def describe(self) -> dict[str, Any]:
-        """Return the state for a dump, as of the last refresh."""
+        """Return the state for a dump; estimates are of the last refresh."""
         with self._lock:
             return self._state | {
                 'in_flight': dict(self._chooser.in_flight()),
--- a/packages/daemon/src/dunlintide_daemon/entry/owners.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/owners.py
@@ -1,15 +1,15 @@
-"""Which entry commits the claims of each bucket."""
+"""Assignment of claim buckets to the entries that commit their claims."""
 
 from typing import Iterable, Protocol
 
 from dunlintide_core import claims
 from dunlintide_core import fleet
 
-__all__ = ['Host', 'BucketOwners']
+__all__ = ['BucketOwners', 'Host']
 
 
 class Host(Protocol):
-    """One host of the platform's list, as far as it matters here."""
+    """Fields of a fleet member that the assignment depends on."""
 
     name: str
     role: str
@@ -17,22 +17,27 @@
 
 
 class BucketOwners:
-    """Owners of the buckets, by the entries that are listed.
+    """Maps each bucket to its owner among the listed entries.
 
-    The list lags, and entries may see different ones for a while; then a
-    bucket has two writers, which costs conflicts and nothing else.
+    The list lags behind, and entries may see different lists for a while.
+    A bucket then has two writers, which only causes write conflicts in the
+    store.
     """
 
     def __init__(self, name: str) -> None:
-        """Begin with this entry alone.
+        """Initialize with this entry as the owner of all buckets.
 
-        :param name: this entry's name
+        :param name: name of this entry
         """
         self._name = name
         self._addresses: tuple[str | None, ...] = (None,) * claims.BUCKETS
 
     def update(self, hosts: Iterable[Host]) -> set[str]:
-        """Take in the host list and return the owners' addresses."""
+        """Assign the buckets anew.
+
+        :param hosts: all members of the fleet
+        :returns: addresses of the other entries that own buckets
+        """
         listed: dict[str, str | None] = {
             host.name: host.address
             for host in hosts
--- a/packages/daemon/src/dunlintide_daemon/entry/placement.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/placement.py
@@ -1,4 +1,4 @@
-"""The models whose placement this entry leads or may come to lead."""
+"""Leader actors of the models for which this entry is a candidate."""
 
 import collections
 import contextlib
@@ -29,13 +29,13 @@
 
 
 def _send_message(actor: pykka.ActorRef, message: Any) -> None:
-    # One that failed is replaced at the next tick.
+    # A dead actor is replaced at the next tick.
     with contextlib.suppress(pykka.ActorDeadError):
         actor.tell(message)
 
 
 class Placement:
-    """Keeps a leader actor for each model that has this candidate."""
+    """Runs a leader actor for each model that has this entry as candidate."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         fleet_view: fleet.Fleet,
         holder: configuration.Holder,
     ) -> None:
-        """Begin without models."""
+        """Initialize without actors."""
         self._settings = settings
         self._keys = keys
         self._fleet = fleet_view
@@ -53,7 +53,8 @@
         self._engine_view = engineview.EngineView(
             settings.name, settings.failure_domain, fleet_view
         )
-        # Each change of these is one assignment, by one thread.
+        # Replaced rather than mutated, so that readers need no lock. A status
+        # lost between two actors is published again at the next tick.
         self._actors: dict[str, pykka.ActorRef] = {}
         self._status: dict[str, leader.Status] = {}
         self._fleet_access = leader.FleetAccess(
@@ -61,7 +62,7 @@
         )
 
     def update_hosts(self, hosts: Iterable[engineview.Host]) -> None:
-        """Take in the fleet as it is known now."""
+        """Apply a new member list: engines and candidate entries."""
         hosts = list(hosts)
         self._engine_view.update_hosts(hosts)
         self._candidates = tuple(
@@ -71,8 +72,9 @@
         )
 
     def _send(self, name: str, order: link_pb2.Order) -> bool:
-        """Send an order, for which a link may have to be opened."""
-        # What it must hold when the order comes is in the order.
+        """Send an order, over an on-demand link if necessary."""
+        # Any incarnation will do: the order itself names the layers that
+        # the agent must hold when it arrives.
         agent = self._fleet.connect(name, None)
         if agent is None or agent.leaving:
             return False
@@ -81,7 +83,7 @@
     def handle_reply(
         self, link: links.Link, reply: link_pb2.OrderReply
     ) -> None:
-        """Hand an agent's answer to the leaders; one knows the order."""
+        """Pass an agent's answer to all leaders; only one knows the order."""
         for actor in self._actors.values():
             _send_message(actor, leader.Reply(reply))
 
@@ -91,7 +93,8 @@
             snapshot = self._holder.snapshot
             if snapshot is not None:
                 self._tick(snapshot)
-            # An agent answers an order when it is done, minutes later.
+            # An agent answers an order after executing it, which may take
+            # minutes; its link must stay open until then.
             self._fleet.touch(
                 order.agent
                 for status in self._status.values()
@@ -122,7 +125,8 @@
             if not is_candidate:
                 return
             actor = self._start(name)
-        # One tick at a time: a slow store must not fill the mailbox.
+        # At most one tick is queued, so that the mailbox does not grow
+        # while the store is slow.
         if actor.actor_inbox.empty():
             _send_message(actor, leader.Tick(targets, is_candidate))
 
@@ -142,7 +146,7 @@
         return actor
 
     def stop(self) -> None:
-        """Give up all leaderships; call it once ``run`` has ended."""
+        """Resign all leaderships and stop the actors, after ``run`` ended."""
         resignations = [
             actor.ask(leader.Resign(), block=False)
             for actor in self._actors.values()
@@ -152,13 +156,13 @@
             try:
                 future.get(timeout=_RESIGN_SECONDS)
             except (pykka.Timeout, pykka.ActorDeadError):
-                # The lease lapses by itself.
+                # The lease expires on its own.
                 continue
         for actor in self._actors.values():
             actor.stop(block=False)
 
     def describe(self) -> dict[str, Any]:
-        """Return the state for a dump: status by model."""
+        """Return the status of each model for a dump."""
         return {
             name: attrs.asdict(status) for name, status in self._status.items()
         }
--- a/packages/daemon/src/dunlintide_daemon/entry/planning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/planning.py
@@ -1,8 +1,8 @@
-"""Plans of all models: made in the background, chosen from by requests.
+"""Plans of all model versions, computed in the background.
 
-A plan takes tens of milliseconds for a large fleet, so no request waits
-for one. Until the plan follows a change of the fleet, a chain that has
-lost an agent is replaced by one tiled on the spot.
+Planning takes tens of milliseconds for a large fleet, so no request waits
+for it. Until the next plan takes account of a lost agent, the caller
+replaces a planned chain that contains it by one that it builds itself.
 """
 
 import collections
@@ -28,7 +28,7 @@
 
 
 class Planner:
-    """Plans of all model versions that are served."""
+    """Plans the chains of all configured model versions."""
 
     def __init__(
         self,
@@ -36,26 +36,31 @@
         rng: random.Random,
         round_robin: bool = False,
     ) -> None:
-        """Begin without plans.
+        """Initialize without plans.
 
-        :param rng: draws the chains
-        :param round_robin: take endpoints in turn instead, as a baseline
+        :param rng: random source of the choice of chains
+        :param round_robin: choose endpoints by round robin instead of by
+            plan, as a baseline
         """
         self._fleet = fleet_view
         self._rng = rng
         self._round_robin = round_robin
-        # One thread writes these, and each change is one assignment.
+        # Written by the refreshing thread only; each change is atomic, so
+        # that readers need no lock.
         self._model_planners: dict[
             _ModelVersion, modelplanning.ModelPlanner
         ] = {}
         self._planners_by_agent: dict[str, modelplanning.ModelPlanner] = {}
-        # News of agents that no plan knows yet.
+        # Cache updates of agents that are not in a plan yet.
         self._early_updates: dict[
             str, collections.deque[modelplanning.TimedCacheUpdate]
         ] = {}
 
     def refresh(self, snapshot: configuration.Snapshot) -> None:
-        """Learn, and plan where that is due; for one thread only."""
+        """Refresh the planner of each model version.
+
+        Called by the background thread only.
+        """
         for model in snapshot.models.values():
             key = (model.name, model.version)
             model_planner = self._model_planners.get(key)
@@ -80,10 +85,12 @@
         avoid: Collection[chains.AgentInstance],
         blocks: Sequence[int] = (),
     ) -> chains.Chain | None:
-        """Choose a chain by the plan; None when it has none that lives.
+        """Choose a chain by the plan.
 
-        :param avoid: agents that are not to be chosen
+        :param avoid: agents to exclude
         :param blocks: hashes of the prompt's blocks
+        :returns: None if there is no plan, or an agent of the chosen chain
+            is not usable
         """
         model_planner = self._model_planners.get((model, version))
         if model_planner is None:
@@ -95,7 +102,11 @@
         return self._fleet.pick_usable(found.agents)
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
-        """Count a chain's requests: 1 when one begins, -1 when it ends."""
+        """Count the requests in flight on a chain.
+
+        :param names: names of the agents of the chain
+        :param amount: 1 when a request starts, -1 when it ends
+        """
         names = tuple(names)
         model_planner = (
             self._planners_by_agent.get(names[0]) if names else None
@@ -104,7 +115,7 @@
             model_planner.add_work(names, amount)
 
     def record_load(self, agent: fleet.Agent) -> None:
-        """Take the load that an agent has just reported."""
+        """Queue the last load report of an agent."""
         model_planner = self._planners_by_agent.get(agent.peer.name)
         if model_planner is not None:
             timed_load = modelplanning.TimedLoad(
@@ -113,7 +124,7 @@
             model_planner.enqueue(timed_load)
 
     def record_cache_update(self, name: str, news: link_pb2.CacheNews) -> None:
-        """Take an agent's news of its engine's cache."""
+        """Queue a prefix cache update of an agent."""
         update = modelplanning.TimedCacheUpdate(
             name,
             cachenews.News(tuple(news.held), tuple(news.lost), news.all),
@@ -129,8 +140,9 @@
     def record_interval(
         self, names: tuple[str, ...], interval: float, now: float
     ) -> None:
-        """Take the mean time between some tokens of a request.
+        """Queue the mean token interval of a request.
 
+        :param names: names of the agents of the chain
         :param interval: in seconds
         :param now: monotonic time in seconds
         """
@@ -141,12 +153,16 @@
             )
 
     def count_prompts(self) -> tuple[int, int]:
-        """Count prompts, and those with a known holder of their start."""
+        """Return how many prompts there were, and how many had a known prefix.
+
+        :returns: all prompts, and those of which an agent is known to
+            cache a prefix
+        """
         counts = [one.count_prompts() for one in self._model_planners.values()]
         return sum(total for total, _ in counts), sum(one for _, one in counts)
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the state for a dump."""
+        """Return the state of each model version for a dump."""
         return [
             {'model': model, 'version': version} | model_planner.describe()
             for (model, version), model_planner in self._model_planners.items()
--- a/packages/daemon/src/dunlintide_daemon/entry/process.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/process.py
@@ -1,4 +1,4 @@
-"""An entry as a process, which stops and dumps on signals."""
+"""Main function of an entry process, with its signal handlers."""
 
 import json
 import signal
@@ -33,8 +33,8 @@
         sys.stderr.write('\n')
 
     def dump_in_thread(*_) -> None:
-        # A handler interrupts any line of the main thread, so it must
-        # not wait for a lock itself.
+        # A signal handler interrupts the main thread at any line, which may
+        # hold a lock that the dump needs, so the dump has its own thread.
         threading.Thread(target=write_dump, daemon=True).start()
 
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -43,7 +43,7 @@
 
 
 def run(settings: settings_module.Settings) -> int:
-    """Run an entry until it is told to stop.
+    """Run an entry until a signal or the admin port stops it.
 
     :returns: exit status, 0 after a planned stop
     :raises OSError: when a port is taken
@@ -53,7 +53,9 @@
     fleet_sources = watching.Outside.from_config(settings)
     with role.Entry(settings, platform, fleet_sources=fleet_sources) as entry:
         _install_signal_handlers(entry.done, entry.describe)
-        logging.info('entry %s serves port %d', settings.name, entry.port)
+        logging.info(
+            'entry %s listening on port %d', settings.name, entry.port
+        )
         entry.done.wait()
-        logging.info('entry %s stops', settings.name)
+        logging.info('entry %s stopping', settings.name)
     return 0
--- a/packages/daemon/src/dunlintide_daemon/entry/readiness.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an entry can serve what the configuration offers."""
+"""Readiness of an entry: reasons why it should get no callers."""
 
 from typing import Iterator
 
@@ -12,8 +12,9 @@
     'list_reasons',
 ]
 
-# A start takes this long at most to link to agents, one silent one
-# included; whatever is still missing then is taken to be down.
+# Bound on opening the links to all agents at start, with the connection
+# timeout of an unresponsive agent. Agents without a link by then count as
+# down.
 STARTUP_SECONDS = 5.0
 
 
@@ -38,7 +39,7 @@
 def _list_unserved(
     snapshot: configuration.Snapshot, fleet_view: fleet.Fleet
 ) -> list[str]:
-    """Name the models and services that no chain or agent serves."""
+    """List a reason for each model and service that can't be served."""
     unserved = []
     for model in snapshot.models.values():
         unserved += _check_model(model, fleet_view)
@@ -57,15 +58,17 @@
     fleet_view: fleet.Fleet,
     is_starting: bool = False,
 ) -> list[str]:
-    """List reasons not to send callers here.
+    """List the reasons why the entry is not ready.
 
-    An entry that has just started waits until it can serve all that is
-    offered. Later one model that is down must not take the entry from
-    the others, so any that is served will do.
+    While starting, an entry is ready only when it can serve all configured
+    models and services. Later it is ready when it can serve any of them,
+    so that one model that is down does not make the others unavailable.
 
-    :param unready: why the fleet's state is not ready, empty when it is
+    :param leaving: whether the entry is draining
+    :param unready: why the fleet's state is not ready, empty if it is
+    :param snapshot: configuration in force, None before the first
     :param is_starting: whether the entry is still linking to agents
-    :returns: empty when the entry is ready
+    :returns: empty if the entry is ready
     """
     reasons = ['leaving'] if leaving else []
     if unready:
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -1,4 +1,4 @@
-"""The entry role: wires callers, routing, agents and the platform."""
+"""The entry role: connects HTTP callers, routing, agents and platform."""
 
 import contextlib
 import functools
@@ -55,17 +55,19 @@
     'Entry',
 ]
 
-# Time for the balancer to see that this entry is not ready any more.
+# Time for the load balancer to notice that this entry is not ready any
+# more, before its port closes.
 LAME_DUCK_SECONDS = 1.0
 _JOIN_SECONDS = 1.0
-# Pause between two looks at the membership, which cost no message.
+# Interval of reads of the membership, which send no message.
 MEMBERSHIP_POLL_SECONDS = 0.5
 
 
 class Entry:
-    """One entry process; a context manager that runs it.
+    """All components of one entry; a context manager that runs them.
 
     :ivar done: set when the process should stop
+    :ivar leaving: whether the entry is draining
     """
 
     def __init__(
@@ -75,11 +77,13 @@
         lame_duck: float = LAME_DUCK_SECONDS,
         fleet_sources: watching.Outside | None = None,
     ) -> None:
-        """Bind the ports; entering the context begins to serve.
+        """Bind the ports; entering the context starts serving.
 
-        :param lame_duck: seconds between not ready and closing the port
-        :param fleet_sources: what the fleet's state is drawn from; without it
-            the configuration comes from ``platform`` alone
+        :param platform: clients of the store and the host list
+        :param lame_duck: seconds between turning unready and closing the
+            port
+        :param fleet_sources: sources of the fleet state; without them the
+            configuration is read through ``platform`` only
         :raises OSError: when a port is taken
         """
         self.settings = settings
@@ -88,7 +92,7 @@
         self._platform = platform
         self._lame_duck = lame_duck
         self._rng = random.Random()
-        # The wall clock only orders the lives of one name.
+        # The wall clock only orders the incarnations of this entry.
         self._incarnation = time.time_ns()
         self._registry = prometheus_client.CollectorRegistry()
         self._metrics = metrics.Metrics.from_registry(
@@ -177,7 +181,7 @@
 
     @property
     def port(self) -> int:
-        """Port for callers."""
+        """HTTP port for callers."""
         return self._http.port
 
     def _build_hello(self) -> link_pb2.Hello:
@@ -234,7 +238,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of the process, fit for JSON."""
+        """Return the state of the entry as JSON-compatible values."""
         state = dump.describe(
             self._holder,
             self._fleet,
@@ -256,7 +260,7 @@
         return masking.mask_state(own | state)
 
     def check_readiness(self) -> admin.Readiness:
-        """Tell whether callers should be sent here."""
+        """Return whether the entry is ready for callers, and why not."""
         unready = self._state.why_not_ready() if self._state else ''
         reasons = readiness.list_reasons(
             self.leaving,
@@ -270,7 +274,9 @@
     def _handle_link_loss(self, link: links.Link) -> None:
         self._sessions.report_link_loss(link)
         if self._state is not None:
-            # Whoever places layers waits for others that miss it too.
+            # Probed at once, as a leader waits for several witnesses before
+            # it counts an agent as gone, and a failed probe makes this entry
+            # one of them.
             self._state.probe(link.peer.name)
 
     def _watch_fleet(self) -> None:
@@ -323,8 +329,9 @@
         thread = self._supervisor.start(
             name, functools.partial(work, *arguments)
         )
-        # The configuration's follower sleeps through a stop for as long
-        # as it pauses between two reads; it holds nothing that needs it.
+        # The join is bounded, since the configuration watch notices a stop
+        # only after the interval between two reads. It holds no resource
+        # that it would have to release.
         self._stack.callback(thread.join, _JOIN_SECONDS)
 
     def __enter__(self) -> 'Entry':
@@ -347,13 +354,14 @@
             self._start_thread('limits', self._limits.run_renewals, self.done)
             stack.callback(self.done.set)
             self._http.start()
-            # Runs first: what is in flight still needs all the rest.
+            # The last callback runs first: requests in flight need all
+            # other components until they end.
             stack.callback(self._drain)
             self._stack = stack.pop_all()
         return self
 
     def _drain(self) -> None:
-        """Take no new requests and finish those in flight."""
+        """Turn unready, then finish the requests in flight."""
         self.leaving = True
         if self._state is not None:
             self._state.depart()
--- a/packages/daemon/src/dunlintide_daemon/entry/roster.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/roster.py
@@ -1,8 +1,8 @@
-"""The fleet's processes as an entry knows them, and which it connects to.
+"""Processes of the fleet, and the agents that an entry keeps links to.
 
-The processes come from the fleet's membership, or from the host list
-where an entry takes no part in that. Beyond a size an entry keeps links
-to its subset of the agents only.
+The processes are read from the gossip membership, or from the platform's
+host list if the entry does not take part in gossip. In a large fleet an
+entry keeps links to a subset of the agents only.
 """
 
 import time
@@ -26,13 +26,14 @@
     'poll_membership',
 ]
 
-# The platform's list is read by each entry, since only the platform knows
-# which hosts it means to stop; so many reads a second by all together.
+# Every entry reads the platform's host list, since only the platform knows
+# which hosts it is about to stop. All entries together stay below this
+# rate, and each one keeps the minimum interval.
 LIST_READS_PER_SECOND = 50.0
 MIN_LIST_INTERVAL_SECONDS = 2.0
 
-# Least pause between two computations of the subset, as a multiple of the
-# processor time that the last one took: at most a hundredth of a core.
+# Minimum interval of computing the subset, as a multiple of the processor
+# time of the last computation, which limits it to 1 % of a core.
 _INTERVAL_TO_CPU_TIME = 100.0
 
 
@@ -40,10 +41,10 @@
 class Host:
     """One process of the fleet.
 
-    :ivar state: what the membership says, or ``live`` or ``leaving``
-        where it comes from the host list
-    :ivar peer: None where it comes from the host list
-    :ivar witnesses: names of those who could not reach it
+    :ivar state: state in the membership, or ``live`` or ``leaving`` if the
+        host list is the source
+    :ivar peer: None if the host list is the source
+    :ivar witnesses: names of processes that reported it unreachable
     """
 
     name: str
@@ -56,23 +57,25 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it takes no new work."""
+        """Whether the process takes no new work."""
         return self.state == records.State.LEAVING
 
 
-# Returns all processes, or None when they are as they were.
+# Returns all processes, or None if nothing changed since the last call.
 Source = Callable[[], list[Host] | None]
 
 
 def poll_host_list(
     read: Callable[[], result.Result[Iterable[object], object]],
 ) -> Source:
-    """Build a source that reads the platform's list each time."""
+    """Build a source that reads the platform's host list at each call."""
 
     def poll() -> list[Host] | None:
         listed = read()
         if isinstance(listed, result.Err):
-            logging.warning('host list not read: %s', listed.err_value)
+            logging.warning(
+                'failed to read the host list: %s', listed.err_value
+            )
             return None
         return [
             Host(
@@ -91,9 +94,9 @@
 def poll_membership(
     list_present: Callable[[int], tuple[int, list[records.Record]] | None],
 ) -> Source:
-    """Build a source that reads the membership.
+    """Build a source that reads the gossip membership.
 
-    :param list_present: as ``FleetState`` has it
+    :param list_present: ``FleetState.list_present``
     """
     version = -1
 
@@ -124,10 +127,14 @@
     read: Callable[[], result.Result[Iterable[hostlist.Host], object]],
     clock: Callable[[], float] = time.monotonic,
 ) -> Source:
-    """Add to a source which hosts the platform's list says are leaving.
+    """Wrap a source to mark hosts that the platform is about to stop.
+
+    The mark is local and lasts as long as the host list says so. It is not
+    gossiped, since the list lags behind and may refer to an earlier
+    incarnation of the host.
 
-    That word is not passed on to other processes: the list lags, and may
-    speak of a life of the host that has ended; it counts while it stands.
+    :param source: source to wrap
+    :param read: reads the platform's host list
     :param clock: monotonic time in seconds
     """
     hosts: list[Host] = []
@@ -169,9 +176,9 @@
 
 
 class Roster:
-    """Processes of the fleet, and the agents to keep links to.
+    """Current processes of the fleet, and the subset of agents to link to.
 
-    :ivar hosts: all processes that are not known to be gone
+    :ivar hosts: all processes that the source lists
     :ivar wanted: names of the agents to keep links to, None for all
     """
 
@@ -182,12 +189,13 @@
         full_mesh: int = subset.FULL_MESH,
         target: int = subset.DEFAULT_AGENTS,
     ) -> None:
-        """Begin with nobody.
+        """Initialize without processes.
 
         :param name: name of this entry
-        :param full_mesh: most agents with which this entry connects to
-            all of them
-        :param target: agents to connect to beyond that
+        :param source: returns the processes of the fleet
+        :param full_mesh: maximum number of agents up to which the entry
+            links to all of them
+        :param target: number of agents to link to in a larger fleet
         """
         self.hosts: tuple[Host, ...] = ()
         self.wanted: frozenset[str] | None = None
@@ -207,9 +215,10 @@
         }
 
     def refresh(self, now: float) -> bool:
-        """Look for changes; True when there are any.
+        """Read the source and compute the subset anew if necessary.
 
         :param now: monotonic time in seconds
+        :returns: whether ``hosts`` or ``wanted`` may have changed
         """
         hosts = self._source()
         if hosts is not None:
--- a/packages/daemon/src/dunlintide_daemon/entry/routetable.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/routetable.py
@@ -1,4 +1,4 @@
-"""Routing table of the HTTP application: method and path to a handler."""
+"""Routing table of the HTTP API: method and path to a resource."""
 
 import enum
 import re
@@ -13,7 +13,7 @@
 
 
 class Resource(enum.Enum):
-    """What a path stands for."""
+    """Kind of resource that a method and path address."""
 
     COMPLETION = 'completion'
     CHAT = 'chat'
@@ -26,10 +26,11 @@
 
 @attrs.frozen
 class Target:
-    """Where a request goes in this program.
+    """Resource that an HTTP request addresses.
 
-    :ivar name: the part of the path that names a service or a request
-    :ivar rest: path behind a service's name
+    :ivar name: service name or request id from the path, empty for other
+        resources
+    :ivar rest: remaining path behind a service name
     """
 
     resource: Resource
@@ -47,7 +48,7 @@
 
 
 def find_target(method: str, path: str) -> Target:
-    """Find what a method and path stand for."""
+    """Find the resource that a method and path address."""
     fixed = _FIXED.get(path)
     if fixed is not None:
         allowed, resource = fixed
--- a/packages/daemon/src/dunlintide_daemon/entry/sources.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/sources.py
@@ -1,4 +1,4 @@
-"""What an entry reads from and writes to outside: store and host list."""
+"""Clients of the platform's services: store and host list."""
 
 import contextlib
 import threading
@@ -26,40 +26,41 @@
     'adopt_document',
 ]
 
-# Takes a revision and its configuration; False when it is not newer.
+# Puts a configuration of a revision in force; returns False if the revision
+# is not newer.
 Adopt = Callable[[int, configuration.Configuration], bool]
 
 
 def adopt_document(
     adopt: Adopt, snapshot: configstore.Snapshot | spread.Snapshot
 ) -> None:
-    """Decode a configuration and hand it on, or log why not."""
+    """Decode a configuration and put it in force, or log the error."""
     revision = snapshot.head.revision
     decoded = documents.decode_configuration(snapshot.document)
     if isinstance(decoded, result.Err):
-        # The one in force stays, until a revision comes that this
-        # version can read.
+        # The configuration in force is kept until there is a revision that
+        # this version can decode.
         logging.error(
-            'revision %d not taken up: %s',
+            'configuration revision %d rejected: %s',
             revision,
             decoded.err_value.message,
         )
         return
     if adopt(revision, decoded.ok_value):
-        logging.info('revision %d in force', revision)
+        logging.info('configuration revision %d in force', revision)
 
 
 @attrs.frozen
 class Sources:
-    """The platform as an entry uses it.
+    """Platform operations that an entry uses.
 
-    :ivar read_hosts: reads the host list, or says why it could not
-    :ivar follow_configuration: hands on each new configuration until the
-        event is set
-    :ivar writer: makes claims
-    :ivar leaders: leaderships in the store; without them this entry
-        leads nothing
-    :ivar close: closes all of them
+    :ivar read_hosts: reads the host list, or returns the error
+    :ivar watch_configuration: calls back with each new configuration until
+        the event is set
+    :ivar writer: writes claims to the store
+    :ivar leaders: leader keys in the store; without them this entry does
+        not take part in leader election
+    :ivar close: closes all clients
     """
 
     read_hosts: Callable[[], result.Result[Iterable[hostlist.Host], object]]
@@ -76,7 +77,7 @@
     ) -> 'Sources':
         """Build clients of the store and the host list.
 
-        :param store_metrics: metrics that calls on the store are counted in
+        :param store_metrics: metrics of the store calls
         """
         timing = settings.timing
         with contextlib.ExitStack() as stack:
--- a/packages/daemon/src/dunlintide_daemon/entry/threads.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/threads.py
@@ -1,8 +1,8 @@
-"""What becomes of a long-lived thread that meets an unexpected error.
+"""Handling of unexpected errors in long-lived threads.
 
-Periodic work begins each round from the state of that moment, so it is
-begun anew and the error is logged. A thread whose state can't be trusted
-after an error stops the process, which is replaced like any lost host.
+Periodic work reads the current state in each round, so after an error it
+is logged and restarted. An error in a thread whose state can't be trusted
+afterwards stops the process, which is replaced like any lost host.
 """
 
 import collections
@@ -20,36 +20,37 @@
     'install_excepthook',
 ]
 
-# How long a thread that failed waits, so that an error that stays doesn't
-# fill the log or a core.
+# Delay before failed work is restarted, so that a permanent error neither
+# floods the log nor occupies a core.
 RESTART_DELAY_SECONDS = 1.0
-# Threads of libraries and adapters by the beginning of their names.
-# Claims and configuration are decided by what these hold, and without
-# their loops no caller is served and no agent reached.
+# Name prefixes of threads of libraries and adapters whose errors stop the
+# process. Claims and configuration depend on the state that these threads
+# hold, and without their loops no caller is served and no agent reachable.
 _CRITICAL = ('claims', 'http-', 'store-watch', 'event-loop')
 
 FrameHandler = Callable[[links.Link, list[link_pb2.Frame]], None]
 
 
 class Supervisor:
-    """Runs periodic work on threads that outlive its errors."""
+    """Runs periodic work on threads and restarts it after errors."""
 
     def __init__(
         self, done: threading.Event, delay: float = RESTART_DELAY_SECONDS
     ) -> None:
-        """Begin without threads.
+        """Initialize without threads.
 
-        :param done: set when all of them should end
-        :param pause: seconds from an error to the next try
+        :param done: set when all threads should end
+        :param delay: seconds from an error to the restart
         """
         self._done = done
         self._delay = delay
         self._errors: collections.Counter[str] = collections.Counter()
 
     def start(self, name: str, work: Callable[[], None]) -> threading.Thread:
-        """Start a thread.
+        """Start a supervised thread.
 
-        :param work: returns once the event is set; begun anew after an
+        :param name: name of the thread
+        :param work: returns once the event is set; restarted after an
             error
         """
         thread = threading.Thread(
@@ -64,8 +65,10 @@
                 work()
             except Exception:
                 self._errors[name] += 1
-                logging.exception('thread %s failed and goes on', name)
-            # Work that returns early is begun anew as well.
+                logging.exception(
+                    'thread %s failed, restarting its work', name
+                )
+            # Work that returns early is restarted as well.
             self._done.wait(self._delay)
 
     def describe(self) -> dict[str, int]:
@@ -74,18 +77,22 @@
 
 
 def guard_frames(handle: FrameHandler) -> FrameHandler:
-    """Close a link whose frames meet an unexpected error.
+    """Wrap a frame handler to close the link on an unexpected error.
 
-    It is dialled anew and what ran over it is recovered, as after any
+    The link is then redialled and its requests are recovered, as after any
     lost link.
-    :param take: takes frames of a link
+
+    :param handle: frame handler to wrap
     """
 
     def handle_guarded(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         try:
             handle(link, frames)
         except Exception:
-            logging.exception('frames of %s not taken', link.peer.name)
+            logging.exception(
+                'failed to handle frames of %s, closing the link',
+                link.peer.name,
+            )
             link.close()
 
     return handle_guarded
@@ -99,10 +106,12 @@
     name = details.thread.name if details.thread else 'unknown'
     error = details.exc_type, details.exc_value, details.exc_traceback
     if _is_critical(details.thread):
-        logging.fatal('thread %s failed', name, exc_info=error)
-    logging.error('thread %s ended by an error', name, exc_info=error)
+        logging.fatal('critical thread %s failed', name, exc_info=error)
+    logging.error(
+        'thread %s ended by an unhandled error', name, exc_info=error
+    )
 
 
 def install_excepthook() -> None:
-    """Log what ends a thread, and stop the process for a critical one."""
+    """Log unhandled errors of threads; stop the process if critical."""
     threading.excepthook = _handle_thread_error
