--- a/features/steps/subset.py
+++ b/features/steps/subset.py
@@ -350,7 +350,7 @@
     for name in context.roster.wanted:
         record = context.view.get(name)
         context.view.merge(1.0, attrs.evolve(record, witnesses=(witness,)))
-    context.roster._due = float('inf')
+    context.roster._next_computation = float('inf')
     assert context.roster.refresh(context.now)
     context.engine_view.update_hosts(context.roster.hosts)
 
--- a/packages/daemon/src/dunlintide_daemon/entry/engineview.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/engineview.py
@@ -95,7 +95,7 @@
         # Results from the membership alone, cached since it changes much
         # less often than snapshots are taken.
         self._engines: dict[str, placement.Engine] = {}
-        self._present: frozenset[str] = frozenset()
+        self._reachable: frozenset[str] = frozenset()
 
     def update_hosts(self, hosts: Iterable[Host]) -> None:
         """Apply a new member list."""
@@ -113,7 +113,7 @@
             name: self._assess(host, host.witnesses)
             for name, host in self._agents.items()
         }
-        self._present = frozenset(
+        self._reachable = frozenset(
             name
             for name, reachability in assessed.items()
             if reachability is standing.Standing.PRESENT
@@ -153,15 +153,15 @@
 
     def take_snapshot(self) -> EngineSnapshot:
         """Return the current engines by membership and links."""
-        engines, present = dict(self._engines), set(self._present)
+        engines, reachable = dict(self._engines), set(self._reachable)
         for name in self._fleet.list_unconnected() & self._agents.keys():
             host = self._agents[name]
             reachability = self._assess(host, (*host.witnesses, self._name))
             self._update_engine(engines, name, reachability)
-            present.discard(name)
+            reachable.discard(name)
         for agent in self._fleet.list_agents():
             engines.pop(agent.peer.name, None)
-            present.add(agent.peer.name)
+            reachable.add(agent.peer.name)
         for agent in self._fleet.list_usable():
             if _is_engine(agent.peer):
                 request_count = agent.load.running + agent.load.queued
@@ -169,6 +169,6 @@
                     agent.peer, request_count
                 )
         has_sufficient_view = placement.sees_enough(
-            len(present & self._agents.keys()), len(self._agents)
+            len(reachable & self._agents.keys()), len(self._agents)
         )
         return EngineSnapshot(tuple(engines.values()), has_sufficient_view)
--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -113,7 +113,7 @@
         self._listed_leaving: frozenset[str] = frozenset()
         # On-demand links: address to the monotonic time of the last use.
         self._on_demand: dict[str, float] = {}
-        self._changed = threading.Condition(self._lock)
+        self._agent_linked = threading.Condition(self._lock)
         self._stopped = False
 
     def update(
@@ -149,8 +149,8 @@
                 self._on_demand.setdefault(address, now)
             for address in addresses & self._on_demand.keys():
                 del self._on_demand[address]
-            started = self._build_dialers(addresses)
-            dropped = self._remove_dialers(addresses | self._on_demand.keys())
+            started = self._add_dialers(addresses)
+            dropped = self._remove_unlisted(addresses | self._on_demand.keys())
         for dialer in started:
             dialer.start()
         for dialer in dropped:
@@ -210,7 +210,7 @@
         """
         now = time.monotonic()
         end = now + CONNECT_SECONDS
-        with self._changed:
+        with self._agent_linked:
             host = self._listed.get(name)
             if host is None or name in self._agents:
                 return self._find(name, incarnation)
@@ -219,7 +219,7 @@
             # An unlinked agent of the subset is redialled in the background;
             # the request does not wait for it.
             if host.address in self._on_demand:
-                self._changed.wait_for(
+                self._agent_linked.wait_for(
                     lambda: name in self._agents, end - time.monotonic()
                 )
             return self._find(name, incarnation)
@@ -227,7 +227,7 @@
     def _open_on_demand(self, address: str, now: float) -> None:
         for dialer in self._evict_least_recent(now):
             dialer.stop()
-        for dialer in self._build_dialers({address}):
+        for dialer in self._add_dialers({address}):
             # A time ahead protects the link from eviction while it opens.
             self._on_demand[address] = now + CONNECT_SECONDS
             dialer.start()
@@ -250,7 +250,7 @@
                 if name not in self._agents and host.address in self._dialers
             )
 
-    def _build_dialers(self, addresses: set[str]) -> list[links.Dialer]:
+    def _add_dialers(self, addresses: set[str]) -> list[links.Dialer]:
         if self._stopped:
             return []
         handle = threads.guard_frames(self._handle_frames)
@@ -269,7 +269,7 @@
             added.append(dialer)
         return added
 
-    def _remove_dialers(self, addresses: set[str]) -> list[links.Dialer]:
+    def _remove_unlisted(self, addresses: set[str]) -> list[links.Dialer]:
         unlisted = [
             address
             for address, dialer in self._dialers.items()
@@ -298,7 +298,7 @@
                     previous, peer=peer, link=link, leaving=leaving
                 )
             self._agents[peer.name] = agent
-            self._changed.notify_all()
+            self._agent_linked.notify_all()
 
     def _handle_loss(self, link: links.Link, reason: str) -> None:
         with self._lock:
--- a/packages/daemon/src/dunlintide_daemon/entry/roster.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/roster.py
@@ -204,7 +204,7 @@
         self._full_mesh = full_mesh
         self._target = target
         self._stale = False
-        self._due = 0.0
+        self._next_computation = 0.0
 
     def map_entries(self) -> dict[str, str]:
         """Return the address of each entry by name."""
@@ -226,7 +226,7 @@
             self._stale = True
         if not self._stale:
             return False
-        if now >= self._due:
+        if now >= self._next_computation:
             self._choose_subset(now)
         return hosts is not None or not self._stale
 
@@ -247,6 +247,8 @@
             return
         start = time.thread_time()
         assigned = subset.assign(entries, agents, self._target)
-        self._due = now + (time.thread_time() - start) * _INTERVAL_TO_CPU_TIME
+        self._next_computation = (
+            now + (time.thread_time() - start) * _INTERVAL_TO_CPU_TIME
+        )
         own_agents = assigned[self._name]
         self.wanted = frozenset(agent.name for agent in own_agents)
