--- a/packages/daemon/src/dunlintide_daemon/entry/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/crashes.py
@@ -24,12 +24,12 @@
 
 
 def route_suspects_first(
-    take_suspects: Callable[[links.Link, link_pb2.Suspects], None],
+    handle_suspects: Callable[[links.Link, link_pb2.Suspects], None],
     route: FrameHandler,
 ) -> FrameHandler:
     """Build a frame handler that handles suspects before other frames.
 
-    :param take_suspects: handles the body of a ``Suspects`` frame
+    :param handle_suspects: handles the body of a ``Suspects`` frame
     :param route: handles a batch of frames, ``Suspects`` included
     """
 
@@ -38,7 +38,7 @@
         # crash, which must be known before the request is retried.
         for frame in frames:
             if frame.WhichOneof('body') == 'suspects':
-                take_suspects(link, frame.suspects)
+                handle_suspects(link, frame.suspects)
         route(link, frames)
 
     return route_frames
--- a/packages/daemon/src/dunlintide_daemon/entry/dump.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dump.py
@@ -19,7 +19,7 @@
 def describe(
     holder: configuration.Holder,
     fleet_view: fleet.Fleet,
-    running: sessions.Sessions,
+    request_sessions: sessions.Sessions,
     retries: budget.RetryBudget,
     outcomes: history.History,
 ) -> dict[str, Any]:
@@ -32,7 +32,7 @@
             'rules': [rule.name for rule in rules],
         },
         'fleet': fleet_view.describe(),
-        'requests': running.describe(),
+        'requests': request_sessions.describe(),
         'retries': {
             'tokens': round(retries.tokens, 3),
             'spent': retries.spent,
--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -26,7 +26,7 @@
     'Listeners',
 ]
 
-_CONTROL = frozenset(('hello', 'load', 'leaving', 'order_reply'))
+_CONTROL_BODIES = frozenset(('hello', 'load', 'leaving', 'order_reply'))
 # An on-demand link, to an agent outside this entry's subset, is closed when
 # it has been unused for this long.
 IDLE_SECONDS = 60.0
@@ -313,7 +313,7 @@
     ) -> None:
         request_frames = []
         for frame in frames:
-            if frame.WhichOneof('body') in _CONTROL:
+            if frame.WhichOneof('body') in _CONTROL_BODIES:
                 self._handle_control(link, frame)
             else:
                 request_frames.append(frame)
--- a/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
@@ -17,20 +17,20 @@
     settings: settings_module.Settings,
     incarnation: int,
     entry_links: entrylinks.EntryLinks,
-    outside: watching.Outside | None,
+    fleet_sources: watching.Outside | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
     """Build the fleet state and add its service to the entry link server.
 
     :param entry_links: links whose server, not started yet, serves the state
-    :param outside: sources of the fleet state, None to build none
+    :param fleet_sources: sources of the fleet state, None to build none
     :returns: None without sources
     """
-    if outside is None:
+    if fleet_sources is None:
         return None
     host = settings.link_listen.rpartition(':')[0]
     address = settings.advertise or f'{host}:{entry_links.port}'
     own_peer = lives.make_peer(settings, incarnation, address)
-    state = peers.FleetState(own_peer, outside, transport=transport)
+    state = peers.FleetState(own_peer, fleet_sources, transport=transport)
     peer_calls.add_service(entry_links.server, state.answer, transport)
     return state
--- a/packages/daemon/src/dunlintide_daemon/entry/placement.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/placement.py
@@ -49,7 +49,7 @@
         self._keys = keys
         self._fleet = fleet_view
         self._holder = holder
-        self._candidates: tuple[leadership.Candidate, ...] = ()
+        self._entries: tuple[leadership.Candidate, ...] = ()
         self._engine_view = engineview.EngineView(
             settings.name, settings.failure_domain, fleet_view
         )
@@ -65,7 +65,7 @@
         """Apply a new member list: engines and candidate entries."""
         hosts = list(hosts)
         self._engine_view.update_hosts(hosts)
-        self._candidates = tuple(
+        self._entries = tuple(
             leadership.Candidate(host.name, host.failure_domain)
             for host in hosts
             if host.role == core_fleet.Role.ENTRY and not host.is_leaving
@@ -117,7 +117,7 @@
         self, name: str, targets: tuple[placement.Target, ...]
     ) -> None:
         candidates = leadership.pick_candidates(
-            name, self._candidates, self._settings.placement.candidates
+            name, self._entries, self._settings.placement.candidates
         )
         is_candidate = self._settings.name in candidates
         actor = self._actors.get(name)
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -289,17 +289,17 @@
                 self._platform.read_hosts,
             )
             pause = MEMBERSHIP_POLL_SECONDS
-        processes = roster.Roster(self.settings.name, source)
+        fleet_roster = roster.Roster(self.settings.name, source)
         entries = None
         while not self.done.is_set():
             now = time.monotonic()
-            if processes.refresh(now):
-                self._fleet.update(processes.hosts, processes.wanted)
-                self._placement.update_hosts(processes.hosts)
-            if processes.map_entries() != entries:
-                entries = processes.map_entries()
-                self._limits.entry_links.update(processes.hosts)
-                self._claims.keep(self._owners.update(processes.hosts))
+            if fleet_roster.refresh(now):
+                self._fleet.update(fleet_roster.hosts, fleet_roster.wanted)
+                self._placement.update_hosts(fleet_roster.hosts)
+            if fleet_roster.map_entries() != entries:
+                entries = fleet_roster.map_entries()
+                self._limits.entry_links.update(fleet_roster.hosts)
+                self._claims.keep(self._owners.update(fleet_roster.hosts))
             self._fleet.drop_idle(now)
             self.done.wait(pause)
 
