--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -26,6 +26,8 @@
     'Listeners',
 ]
 
+# Bodies of frames that update the state of an agent or answer an order; all
+# others belong to requests.
 _CONTROL_BODIES = frozenset(('hello', 'load', 'leaving', 'order_reply'))
 # An on-demand link, to an agent outside this entry's subset, is closed when
 # it has been unused for this long.
--- a/packages/daemon/src/dunlintide_daemon/entry/leader.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/leader.py
@@ -34,6 +34,7 @@
 # A candidate reads the leader's key again after a random fraction of the
 # lease within these bounds.
 _MIN_RETRY_FRACTION, _MAX_RETRY_FRACTION = 0.4, 0.8
+# Reasons of an agent to refuse an order after which the leader resigns.
 _TERM_ENDING_REFUSALS = (
     placement.Refusal.OLD_FENCE,
     placement.Refusal.NOT_LEADER,
--- a/packages/daemon/src/dunlintide_daemon/entry/placement.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/placement.py
@@ -44,7 +44,11 @@
         fleet_view: fleet.Fleet,
         holder: configuration.Holder,
     ) -> None:
-        """Initialize without actors."""
+        """Initialize without actors.
+
+        :param keys: leader keys in the store
+        :param holder: holds the configuration, which lists the models
+        """
         self._settings = settings
         self._keys = keys
         self._fleet = fleet_view
--- a/packages/daemon/src/dunlintide_daemon/entry/planning.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/planning.py
@@ -22,6 +22,7 @@
 ]
 
 REFRESH_SECONDS = 0.2
+# Bound on cache updates kept for each agent that is not in a plan yet.
 _MAX_EARLY_UPDATES = 8
 
 _ModelVersion = tuple[str, str]
--- a/packages/daemon/src/dunlintide_daemon/entry/readiness.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/readiness.py
@@ -12,8 +12,8 @@
     'list_reasons',
 ]
 
-# Bound on opening the links to all agents at start, with the connection
-# timeout of an unresponsive agent. Agents without a link by then count as
+# Bound on opening the links to all agents at start, including the timeout
+# of an agent that does not respond. Agents without a link by then count as
 # down.
 STARTUP_SECONDS = 5.0
 
--- a/packages/daemon/src/dunlintide_daemon/entry/threads.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/threads.py
@@ -1,7 +1,7 @@
 """Handling of unexpected errors in long-lived threads.
 
-Periodic work reads the current state in each round, so after an error it
-is logged and restarted. An error in a thread whose state can't be trusted
+Periodic work reads the current state in each round, so an error is logged
+and the work restarted. An error in a thread whose state can't be trusted
 afterwards stops the process, which is replaced like any lost host.
 """
 
