--- a/packages/daemon/src/dunlintide_daemon/entry/dump.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dump.py
@@ -1,4 +1,7 @@
-"""State of an entry for operators, without content or keys."""
+"""State dump of an entry for operators.
+
+It contains no request content and no bearer keys.
+"""
 
 from typing import Any
 
@@ -16,11 +19,11 @@
 def describe(
     holder: configuration.Holder,
     fleet_view: fleet.Fleet,
-    running: sessions.Sessions,
+    request_sessions: sessions.Sessions,
     retries: budget.RetryBudget,
     outcomes: history.History,
 ) -> dict[str, Any]:
-    """Return the state, fit for JSON."""
+    """Return the state as JSON-compatible values."""
     snapshot = holder.snapshot
     rules = [] if snapshot is None else snapshot.config.rules
     return {
@@ -29,7 +32,7 @@
             'rules': [rule.name for rule in rules],
         },
         'fleet': fleet_view.describe(),
-        'requests': running.describe(),
+        'requests': request_sessions.describe(),
         'retries': {
             'tokens': round(retries.tokens, 3),
             'spent': retries.spent,
--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -1,8 +1,9 @@
-"""Agents as this entry sees them: listed, linked, loaded or leaving.
+"""Links to agents, and the last reported state of each agent.
 
-A view behind a lock rather than an actor: link readers write to it and
-request threads read from it, and neither may wait for a mailbox. Readers
-get immutable records, so they never hold the lock while they decide.
+The state is guarded by a lock rather than owned by an actor: link readers
+write it and request threads read it, and neither may wait for a mailbox.
+Readers get immutable records, so they don't hold the lock while they
+choose an agent.
 """
 
 import threading
@@ -25,17 +26,20 @@
     'Listeners',
 ]
 
-_CONTROL = frozenset(('hello', 'load', 'leaving', 'order_reply'))
-# Links outside the subset stay open for so long after their last use.
+# Bodies of frames that update the state of an agent or answer an order; all
+# others belong to requests.
+_CONTROL_BODIES = frozenset(('hello', 'load', 'leaving', 'order_reply'))
+# An on-demand link, to an agent outside this entry's subset, is closed when
+# it has been unused for this long.
 IDLE_SECONDS = 60.0
-# Beyond so many of them the longest unused one makes room.
-MAX_SPARE = 32
-# Bound on opening a link that one request needs.
-REACH_SECONDS = 1.0
+# At this many on-demand links, a new one replaces the least recently used.
+MAX_ON_DEMAND_LINKS = 32
+# Bound on the wait of a request for an on-demand link to open.
+CONNECT_SECONDS = 1.0
 
 
 class Host(Protocol):
-    """One process of the fleet, as far as it matters here."""
+    """Fields of a fleet member that links depend on."""
 
     name: str
     role: str
@@ -45,33 +49,34 @@
 
 @attrs.frozen(eq=False)
 class Agent:
-    """One agent in one life of it, at one moment.
+    """Immutable state of one incarnation of a linked agent.
 
-    :ivar link: the open link to it
-    :ivar load: its last report
-    :ivar heard: monotonic time of that report, in seconds
-    :ivar outstanding: work of this entry that it has not finished
-    :ivar leaving: whether it takes no new work
+    :ivar link: open link to the agent
+    :ivar load: last load report
+    :ivar reported_at: monotonic time of the last load report, in seconds
+    :ivar outstanding: number of unfinished requests of this entry
+    :ivar leaving: whether the agent takes no new work
     """
 
     peer: fleet.Peer
     link: links.Link
     load: fleet.LoadReport = fleet.LoadReport()
-    heard: float = 0.0
+    reported_at: float = 0.0
     outstanding: int = 0
     leaving: bool = False
 
 
 @attrs.frozen
 class Listeners:
-    """What the rest of the entry wants to hear of links.
+    """Callbacks for frames and link events.
 
     :ivar frames: called with frames that belong to requests
-    :ivar down: called with a link that was lost
-    :ivar load: called with an agent that has just told its load
-    :ivar reply: called with an agent's answer to an order
-    :ivar cache: called with an agent's name and news of its engine's cache
-    :ivar up: called with a link to an agent that has just opened
+    :ivar down: called with a lost link
+    :ivar load: called with an agent after each of its load reports
+    :ivar reply: called with an agent's answer to a placement order
+    :ivar up: called with a newly opened link to an agent
+    :ivar cache: called with an agent's name and a prefix cache update of
+        its engine
     """
 
     frames: Callable[[links.Link, list[link_pb2.Frame]], None]
@@ -85,7 +90,7 @@
 
 
 class Fleet:
-    """Keeps a link to each listed agent and tells which are usable."""
+    """Keeps links to the agents of the subset and lists usable agents."""
 
     def __init__(
         self,
@@ -94,9 +99,10 @@
         timing: links.LinkTiming = links.LinkTiming(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Begin with no agents.
+        """Initialize without agents.
 
-        :param hello: builds what this entry says of itself
+        :param hello: builds the hello message of this entry
+        :param listeners: callbacks for frames and link events
         """
         self._hello = hello
         self._listeners = listeners
@@ -107,9 +113,9 @@
         self._agents: dict[str, Agent] = {}
         self._listed: dict[str, Host] = {}
         self._listed_leaving: frozenset[str] = frozenset()
-        # Links outside the subset: address to the time of the last use.
-        self._spare: dict[str, float] = {}
-        self._changed = threading.Condition(self._lock)
+        # On-demand links: address to the monotonic time of the last use.
+        self._on_demand: dict[str, float] = {}
+        self._agent_linked = threading.Condition(self._lock)
         self._stopped = False
 
     def update(
@@ -117,11 +123,12 @@
         hosts: Iterable[Host],
         wanted: Collection[str] | None = None,
     ) -> None:
-        """Take in the fleet: dial new agents, drop the gone ones.
+        """Apply a new member list: dial new agents, drop unlisted ones.
 
-        What is known of it lags, so an agent that is gone by it stays
-        while its link is open.
+        The list lags behind, so an unlisted agent is kept while its link
+        is open.
 
+        :param hosts: all members of the fleet
         :param wanted: names of the agents to keep links to, None for all
         """
         listed = {
@@ -139,96 +146,105 @@
         with self._lock:
             self._listed = listed
             self._listed_leaving = leaving
-            known = {host.address for host in listed.values()}
-            for address in known & self._dialers.keys() - addresses:
-                self._spare.setdefault(address, now)
-            for address in addresses & self._spare.keys():
-                del self._spare[address]
-            started = self._add(addresses)
-            dropped = self._drop(addresses | self._spare.keys())
+            listed_addresses = {host.address for host in listed.values()}
+            for address in listed_addresses & self._dialers.keys() - addresses:
+                self._on_demand.setdefault(address, now)
+            for address in addresses & self._on_demand.keys():
+                del self._on_demand[address]
+            started = self._add_dialers(addresses)
+            dropped = self._remove_unlisted(addresses | self._on_demand.keys())
         for dialer in started:
             dialer.start()
         for dialer in dropped:
             dialer.stop()
 
     def drop_idle(self, now: float) -> None:
-        """Close links outside the subset that nothing has used for long.
+        """Close on-demand links that have been idle for too long.
 
         :param now: monotonic time in seconds
         """
         with self._lock:
-            self._note_busy(now)
+            self._touch_busy(now)
             idle = [
                 address
-                for address, used in self._spare.items()
+                for address, used in self._on_demand.items()
                 if now - used > IDLE_SECONDS
             ]
-            dropped = self._take_spare(idle)
+            dropped = self._remove_on_demand(idle)
         for dialer in dropped:
             dialer.stop()
 
-    def _note_busy(self, now: float) -> None:
+    def _touch_busy(self, now: float) -> None:
         busy = {
             agent.link for agent in self._agents.values() if agent.outstanding
         }
-        for address in self._spare:
+        for address in self._on_demand:
             if self._dialers[address].link in busy:
-                self._spare[address] = now
+                self._on_demand[address] = now
 
-    def _take_spare(self, addresses: Iterable[str]) -> list[links.Dialer]:
-        taken = []
+    def _remove_on_demand(
+        self, addresses: Iterable[str]
+    ) -> list[links.Dialer]:
+        removed = []
         for address in addresses:
-            del self._spare[address]
-            taken.append(self._dialers.pop(address))
-        return taken
-
-    def _make_room(self, now: float) -> list[links.Dialer]:
-        """Give up the longest unused link when there are many."""
-        self._note_busy(now)
-        free = [address for address, used in self._spare.items() if used < now]
-        if len(self._spare) < MAX_SPARE or not free:
+            del self._on_demand[address]
+            removed.append(self._dialers.pop(address))
+        return removed
+
+    def _evict_least_recent(self, now: float) -> list[links.Dialer]:
+        """Remove the least recently used on-demand link if at the limit."""
+        self._touch_busy(now)
+        free = [
+            address for address, used in self._on_demand.items() if used < now
+        ]
+        if len(self._on_demand) < MAX_ON_DEMAND_LINKS or not free:
             return []
-        return self._take_spare([min(free, key=self._spare.__getitem__)])
+        return self._remove_on_demand(
+            [min(free, key=self._on_demand.__getitem__)]
+        )
 
-    def reach(self, name: str, incarnation: int | None) -> Agent | None:
-        """Return an agent, dialling it when it is outside the subset.
+    def connect(self, name: str, incarnation: int | None) -> Agent | None:
+        """Return an agent, dialling it if it is outside the subset.
 
-        :param incarnation: the life of it that is meant, None for any
-        :returns: None when that life of it is not reached in time
+        :param incarnation: required incarnation, None for any
+        :returns: None if that incarnation is not linked within
+            ``CONNECT_SECONDS``
         """
         now = time.monotonic()
-        end = now + REACH_SECONDS
-        with self._changed:
+        end = now + CONNECT_SECONDS
+        with self._agent_linked:
             host = self._listed.get(name)
             if host is None or name in self._agents:
                 return self._find(name, incarnation)
             if host.address not in self._dialers:
-                self._open_spare(host.address, now)
-            # One of the subset without a link is being dialled anyway.
-            if host.address in self._spare:
-                self._changed.wait_for(
+                self._open_on_demand(host.address, now)
+            # An unlinked agent of the subset is redialled in the background;
+            # the request does not wait for it.
+            if host.address in self._on_demand:
+                self._agent_linked.wait_for(
                     lambda: name in self._agents, end - time.monotonic()
                 )
             return self._find(name, incarnation)
 
-    def _open_spare(self, address: str, now: float) -> None:
-        for dialer in self._make_room(now):
+    def _open_on_demand(self, address: str, now: float) -> None:
+        for dialer in self._evict_least_recent(now):
             dialer.stop()
-        for dialer in self._add({address}):
-            self._spare[address] = now + REACH_SECONDS
+        for dialer in self._add_dialers({address}):
+            # A time ahead protects the link from eviction while it opens.
+            self._on_demand[address] = now + CONNECT_SECONDS
             dialer.start()
 
     def touch(self, names: Iterable[str]) -> None:
-        """Count agents as used now, so that their links stay open."""
+        """Mark on-demand links as used now, so that they stay open."""
         now = time.monotonic()
         with self._lock:
             for name in names:
                 host = self._listed.get(name)
-                if host is not None and host.address in self._spare:
-                    self._spare[host.address] = now
+                if host is not None and host.address in self._on_demand:
+                    self._on_demand[host.address] = now
 
-    def list_unreached(self) -> frozenset[str]:
-        """Return the names of listed agents that are dialled in vain."""
+    def list_unconnected(self) -> frozenset[str]:
+        """Return names of listed agents that are dialled but not linked."""
         with self._lock:
             return frozenset(
                 name
@@ -236,11 +252,11 @@
                 if name not in self._agents and host.address in self._dialers
             )
 
-    def _add(self, addresses: set[str]) -> list[links.Dialer]:
+    def _add_dialers(self, addresses: set[str]) -> list[links.Dialer]:
         if self._stopped:
             return []
-        take = threads.guard_frames(self._take)
-        handlers = links.Handlers(self._greet, take, self._down)
+        handle = threads.guard_frames(self._handle_frames)
+        handlers = links.Handlers(self._handle_open, handle, self._handle_loss)
         added = []
         for address in addresses - self._dialers.keys():
             dialer = links.Dialer(
@@ -255,35 +271,38 @@
             added.append(dialer)
         return added
 
-    def _drop(self, addresses: set[str]) -> list[links.Dialer]:
-        gone = [
+    def _remove_unlisted(self, addresses: set[str]) -> list[links.Dialer]:
+        unlisted = [
             address
             for address, dialer in self._dialers.items()
             if address not in addresses and dialer.link is None
         ]
-        return [self._dialers.pop(address) for address in gone]
+        return [self._dialers.pop(address) for address in unlisted]
 
-    def _greet(self, link: links.Link) -> None:
-        self._up(link)
+    def _handle_open(self, link: links.Link) -> None:
+        self._record_agent(link)
         self._listeners.up(link)
 
-    def _up(self, link: links.Link) -> None:
+    def _record_agent(self, link: links.Link) -> None:
         peer = hellos.read_peer(link.peer)
         if peer is None:
             return
         with self._lock:
-            known = self._agents.get(peer.name)
-            if known is None or known.peer.incarnation != peer.incarnation:
+            previous = self._agents.get(peer.name)
+            if (
+                previous is None
+                or previous.peer.incarnation != peer.incarnation
+            ):
                 agent = Agent(peer, link, leaving=peer.leaving)
             else:
-                leaving = known.leaving or peer.leaving
+                leaving = previous.leaving or peer.leaving
                 agent = attrs.evolve(
-                    known, peer=peer, link=link, leaving=leaving
+                    previous, peer=peer, link=link, leaving=leaving
                 )
             self._agents[peer.name] = agent
-            self._changed.notify_all()
+            self._agent_linked.notify_all()
 
-    def _down(self, link: links.Link, reason: str) -> None:
+    def _handle_loss(self, link: links.Link, reason: str) -> None:
         with self._lock:
             name = link.peer.name
             agent = self._agents.get(name)
@@ -291,20 +310,22 @@
                 del self._agents[name]
         self._listeners.down(link)
 
-    def _take(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
-        rest = []
+    def _handle_frames(
+        self, link: links.Link, frames: list[link_pb2.Frame]
+    ) -> None:
+        request_frames = []
         for frame in frames:
-            if frame.WhichOneof('body') in _CONTROL:
-                self._apply(link, frame)
+            if frame.WhichOneof('body') in _CONTROL_BODIES:
+                self._handle_control(link, frame)
             else:
-                rest.append(frame)
-        if rest:
-            self._listeners.frames(link, rest)
+                request_frames.append(frame)
+        if request_frames:
+            self._listeners.frames(link, request_frames)
 
-    def _apply(self, link: links.Link, frame: link_pb2.Frame) -> None:
+    def _handle_control(self, link: links.Link, frame: link_pb2.Frame) -> None:
         body = frame.WhichOneof('body')
         if body == 'hello':
-            self._up(link)
+            self._record_agent(link)
             return
         if body == 'order_reply':
             self._listeners.reply(link, frame.order_reply)
@@ -317,7 +338,9 @@
                 agent = attrs.evolve(agent, leaving=True)
             else:
                 load = hellos.read_load(frame.load)
-                agent = attrs.evolve(agent, load=load, heard=time.monotonic())
+                agent = attrs.evolve(
+                    agent, load=load, reported_at=time.monotonic()
+                )
             self._agents[link.peer.name] = agent
         if body == 'load':
             self._listeners.load(agent)
@@ -330,7 +353,7 @@
             return list(self._agents.values())
 
     def list_usable(self) -> list[Agent]:
-        """Return the agents that may get new work."""
+        """Return linked agents that may get new work."""
         with self._lock:
             return [
                 agent
@@ -341,7 +364,7 @@
             ]
 
     def list_engines(self, model: str, version: str) -> list[Agent]:
-        """Return usable agents that hold layers of a model version."""
+        """Return usable agents that serve layers of a model version."""
         return [
             agent
             for agent in self.list_usable()
@@ -361,7 +384,7 @@
         ]
 
     def find(self, name: str, incarnation: int) -> Agent | None:
-        """Return an agent, leaving or not, in that life of it."""
+        """Return one incarnation of a linked agent, even if it is leaving."""
         with self._lock:
             return self._find(name, incarnation)
 
@@ -369,8 +392,8 @@
         agent = self._agents.get(name)
         if agent is None:
             return None
-        same = incarnation in (None, agent.peer.incarnation)
-        return agent if same else None
+        is_match = incarnation in (None, agent.peer.incarnation)
+        return agent if is_match else None
 
     def pick_usable(self, names: Iterable[str]) -> tuple[Agent, ...] | None:
         """Return the named agents, or None unless all are usable."""
@@ -379,7 +402,10 @@
         return None if None in picked else tuple(picked)
 
     def add_work(self, names: Iterable[str], amount: int) -> None:
-        """Add to the outstanding work of agents; negative when it ends."""
+        """Add to the outstanding requests of agents.
+
+        :param amount: 1 when a request starts, -1 when it ends
+        """
         with self._lock:
             for name in names:
                 agent = self._agents.get(name)
@@ -391,12 +417,12 @@
                 )
 
     def announce(self, hello: link_pb2.Hello) -> None:
-        """Tell all agents anew what this entry is."""
+        """Send an updated hello to all agents."""
         for agent in self.list_agents():
             agent.link.send(link_pb2.Frame(hello=hello))
 
     def describe(self) -> Mapping[str, object]:
-        """Return the state for a dump."""
+        """Return the state for a dump as JSON-compatible values."""
         now = time.monotonic()
         agents = [
             {
@@ -409,7 +435,7 @@
                 'outstanding': agent.outstanding,
                 'running': agent.load.running,
                 'queued': agent.load.queued,
-                'load_age': round(now - agent.heard, 3),
+                'load_age': round(now - agent.reported_at, 3),
             }
             for agent in self.list_agents()
         ]
@@ -418,11 +444,11 @@
         return {'agents': agents, 'dialled': dialled}
 
     def stop(self) -> None:
-        """Close all links."""
+        """Close all links and dial no more."""
         with self._lock:
             self._stopped = True
             dialers = list(self._dialers.values())
             self._dialers.clear()
-            self._spare.clear()
+            self._on_demand.clear()
         for dialer in dialers:
             dialer.stop()
--- a/packages/daemon/src/dunlintide_daemon/entry/owners.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/owners.py
@@ -1,50 +1,55 @@
-"""Which entry commits the claims of each bucket."""
+"""Assignment of claim buckets to the entries that commit their claims."""
 
 from typing import Iterable, Protocol
 
 from dunlintide_core import claims
 from dunlintide_core import fleet
 
-__all__ = ['Host', 'Owners']
+__all__ = ['BucketOwners', 'Host']
 
 
 class Host(Protocol):
-    """One host of the platform's list, as far as it matters here."""
+    """Fields of a fleet member that the assignment depends on."""
 
     name: str
     role: str
     address: str
 
 
-class Owners:
-    """Owners of the buckets, by the entries that are listed.
+class BucketOwners:
+    """Maps each bucket to its owner among the listed entries.
 
-    The list lags, and entries may see different ones for a while; then a
-    bucket has two writers, which costs conflicts and nothing else.
+    The list lags behind, and entries may see different lists for a while.
+    A bucket then has two writers, which only causes write conflicts in the
+    store.
     """
 
     def __init__(self, name: str) -> None:
-        """Begin with this entry alone.
+        """Initialize with this entry as the owner of all buckets.
 
-        :param name: this entry's name
+        :param name: name of this entry
         """
         self._name = name
-        self._table: tuple[str | None, ...] = (None,) * claims.BUCKETS
+        self._addresses: tuple[str | None, ...] = (None,) * claims.BUCKETS
 
     def update(self, hosts: Iterable[Host]) -> set[str]:
-        """Take in the host list and return the owners' addresses."""
+        """Assign the buckets anew.
+
+        :param hosts: all members of the fleet
+        :returns: addresses of the other entries that own buckets
+        """
         listed: dict[str, str | None] = {
             host.name: host.address
             for host in hosts
             if host.role == fleet.Role.ENTRY
         }
         listed[self._name] = None
-        self._table = tuple(
+        self._addresses = tuple(
             listed[claims.choose_owner(bucket, listed)]
             for bucket in range(claims.BUCKETS)
         )
-        return {address for address in self._table if address is not None}
+        return {address for address in self._addresses if address is not None}
 
     def find(self, bucket: int) -> str | None:
         """Return the address of a bucket's owner, None for this entry."""
-        return self._table[bucket]
+        return self._addresses[bucket]
--- a/packages/daemon/src/dunlintide_daemon/entry/placement.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/placement.py
@@ -1,4 +1,4 @@
-"""The models whose placement this entry leads or may come to lead."""
+"""Leader actors of the models for which this entry is a candidate."""
 
 import collections
 import contextlib
@@ -16,9 +16,9 @@
 from dunlintide_core import placement
 from dunlintide_core import settings as settings_module
 from dunlintide_daemon.entry import configuration
+from dunlintide_daemon.entry import engineview
 from dunlintide_daemon.entry import fleet
 from dunlintide_daemon.entry import leader
-from dunlintide_daemon.entry import sightings
 
 __all__ = [
     'Placement',
@@ -28,14 +28,14 @@
 _RESIGN_SECONDS = 3.0
 
 
-def _tell(actor: pykka.ActorRef, message: Any) -> None:
-    # One that failed is replaced at the next tick.
+def _send_message(actor: pykka.ActorRef, message: Any) -> None:
+    # A dead actor is replaced at the next tick.
     with contextlib.suppress(pykka.ActorDeadError):
         actor.tell(message)
 
 
 class Placement:
-    """Keeps a leader actor for each model that has this candidate."""
+    """Runs a leader actor for each model that has this entry as candidate."""
 
     def __init__(
         self,
@@ -44,24 +44,31 @@
         fleet_view: fleet.Fleet,
         holder: configuration.Holder,
     ) -> None:
-        """Begin without models."""
+        """Initialize without actors.
+
+        :param keys: leader keys in the store
+        :param holder: holds the configuration, which lists the models
+        """
         self._settings = settings
         self._keys = keys
         self._fleet = fleet_view
         self._holder = holder
         self._entries: tuple[leadership.Candidate, ...] = ()
-        self._sightings = sightings.Sightings(
+        self._engine_view = engineview.EngineView(
             settings.name, settings.failure_domain, fleet_view
         )
-        # Each change of these is one assignment, by one thread.
+        # Replaced rather than mutated, so that readers need no lock. A status
+        # lost between two actors is published again at the next tick.
         self._actors: dict[str, pykka.ActorRef] = {}
         self._status: dict[str, leader.Status] = {}
-        self._view = leader.View(self._sightings.look, self._send)
+        self._fleet_access = leader.FleetAccess(
+            self._engine_view.take_snapshot, self._send
+        )
 
-    def note_hosts(self, hosts: Iterable[sightings.Host]) -> None:
-        """Take in the fleet as it is known now."""
+    def update_hosts(self, hosts: Iterable[engineview.Host]) -> None:
+        """Apply a new member list: engines and candidate entries."""
         hosts = list(hosts)
-        self._sightings.note_hosts(hosts)
+        self._engine_view.update_hosts(hosts)
         self._entries = tuple(
             leadership.Candidate(host.name, host.failure_domain)
             for host in hosts
@@ -69,17 +76,20 @@
         )
 
     def _send(self, name: str, order: link_pb2.Order) -> bool:
-        """Send an order, for which a link may have to be opened."""
-        # What it must hold when the order comes is in the order.
-        agent = self._fleet.reach(name, None)
+        """Send an order, over an on-demand link if necessary."""
+        # Any incarnation will do: the order itself names the layers that
+        # the agent must hold when it arrives.
+        agent = self._fleet.connect(name, None)
         if agent is None or agent.leaving:
             return False
         return agent.link.send(link_pb2.Frame(order=order))
 
-    def take_reply(self, link: links.Link, reply: link_pb2.OrderReply) -> None:
-        """Hand an agent's answer to the leaders; one knows the order."""
+    def handle_reply(
+        self, link: links.Link, reply: link_pb2.OrderReply
+    ) -> None:
+        """Pass an agent's answer to all leaders; only one knows the order."""
         for actor in self._actors.values():
-            _tell(actor, leader.Reply(reply))
+            _send_message(actor, leader.Reply(reply))
 
     def run(self, done: threading.Event) -> None:
         """Tick the leaders until the event is set."""
@@ -87,7 +97,8 @@
             snapshot = self._holder.snapshot
             if snapshot is not None:
                 self._tick(snapshot)
-            # An agent answers an order when it is done, minutes later.
+            # An agent answers an order after executing it, which may take
+            # minutes; its link must stay open until then.
             self._fleet.touch(
                 order.agent
                 for status in self._status.values()
@@ -101,10 +112,10 @@
                 model.name, model.version, model.layers, model.replicas
             )
             targets[model.name].append(target)
-        for name, wanted in targets.items():
-            self._tick_model(name, tuple(wanted))
+        for name, versions in targets.items():
+            self._tick_model(name, tuple(versions))
         for name in self._actors.keys() - targets.keys():
-            _tell(self._actors[name], leader.Resign())
+            _send_message(self._actors[name], leader.Resign())
 
     def _tick_model(
         self, name: str, targets: tuple[placement.Target, ...]
@@ -112,15 +123,16 @@
         candidates = leadership.pick_candidates(
             name, self._entries, self._settings.placement.candidates
         )
-        candidate = self._settings.name in candidates
+        is_candidate = self._settings.name in candidates
         actor = self._actors.get(name)
         if actor is None or not actor.is_alive():
-            if not candidate:
+            if not is_candidate:
                 return
             actor = self._start(name)
-        # One tick at a time: a slow store must not fill the mailbox.
+        # At most one tick is queued, so that the mailbox does not grow
+        # while the store is slow.
         if actor.actor_inbox.empty():
-            _tell(actor, leader.Tick(targets, candidate))
+            _send_message(actor, leader.Tick(targets, is_candidate))
 
     def _start(self, name: str) -> pykka.ActorRef:
         def publish(status: leader.Status) -> None:
@@ -130,7 +142,7 @@
             name,
             self._settings.name,
             self._keys,
-            self._view,
+            self._fleet_access,
             self._settings.placement,
             publish,
         )
@@ -138,23 +150,23 @@
         return actor
 
     def stop(self) -> None:
-        """Give up all leaderships; call it once ``run`` has ended."""
-        asked = [
+        """Resign all leaderships and stop the actors, after ``run`` ended."""
+        resignations = [
             actor.ask(leader.Resign(), block=False)
             for actor in self._actors.values()
             if actor.is_alive()
         ]
-        for future in asked:
+        for future in resignations:
             try:
                 future.get(timeout=_RESIGN_SECONDS)
             except (pykka.Timeout, pykka.ActorDeadError):
-                # The lease lapses by itself.
+                # The lease expires on its own.
                 continue
         for actor in self._actors.values():
             actor.stop(block=False)
 
     def describe(self) -> dict[str, Any]:
-        """Return the state for a dump: status by model."""
+        """Return the status of each model for a dump."""
         return {
             name: attrs.asdict(status) for name, status in self._status.items()
         }
--- a/packages/daemon/src/dunlintide_daemon/entry/readiness.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an entry can serve what the configuration offers."""
+"""Readiness of an entry: reasons why it should get no callers."""
 
 from typing import Iterator
 
@@ -8,13 +8,14 @@
 from dunlintide_daemon.entry import fleet
 
 __all__ = [
-    'SETTLE_SECONDS',
+    'STARTUP_SECONDS',
     'list_reasons',
 ]
 
-# A start takes this long at most to link to agents, one silent one
-# included; whatever is still missing then is taken to be down.
-SETTLE_SECONDS = 5.0
+# Bound on opening the links to all agents at start, including the timeout
+# of an agent that does not respond. Agents without a link by then count as
+# down.
+STARTUP_SECONDS = 5.0
 
 
 def _check_model(
@@ -38,7 +39,7 @@
 def _list_unserved(
     snapshot: configuration.Snapshot, fleet_view: fleet.Fleet
 ) -> list[str]:
-    """Name the models and services that no chain or agent serves."""
+    """List a reason for each model and service that can't be served."""
     unserved = []
     for model in snapshot.models.values():
         unserved += _check_model(model, fleet_view)
@@ -55,17 +56,19 @@
     unready: str,
     snapshot: configuration.Snapshot | None,
     fleet_view: fleet.Fleet,
-    settling: bool = False,
+    is_starting: bool = False,
 ) -> list[str]:
-    """List reasons not to send callers here.
+    """List the reasons why the entry is not ready.
 
-    An entry that has just started waits until it can serve all that is
-    offered. Later one model that is down must not take the entry from
-    the others, so any that is served will do.
+    While starting, an entry is ready only when it can serve all configured
+    models and services. Later it is ready when it can serve any of them,
+    so that one model that is down does not make the others unavailable.
 
-    :param unready: why the fleet's state is not ready, empty when it is
-    :param settling: whether the entry is still linking to agents
-    :returns: empty when the entry is ready
+    :param leaving: whether the entry is draining
+    :param unready: why the fleet's state is not ready, empty if it is
+    :param snapshot: configuration in force, None before the first
+    :param is_starting: whether the entry is still linking to agents
+    :returns: empty if the entry is ready
     """
     reasons = ['leaving'] if leaving else []
     if unready:
@@ -74,6 +77,6 @@
         return [*reasons, 'no configuration yet']
     unserved = _list_unserved(snapshot, fleet_view)
     offered = len(snapshot.models) + len(snapshot.services)
-    if settling or len(unserved) == offered:
+    if is_starting or len(unserved) == offered:
         reasons += unserved
     return reasons
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -1,4 +1,4 @@
-"""The entry role: wires callers, routing, agents and the platform."""
+"""The entry role: connects HTTP callers, routing, agents and platform."""
 
 import contextlib
 import functools
@@ -29,6 +29,7 @@
 from dunlintide_daemon.entry import dump
 from dunlintide_daemon.entry import entrylinks
 from dunlintide_daemon.entry import fleet
+from dunlintide_daemon.entry import fleetstate
 from dunlintide_daemon.entry import hellos
 from dunlintide_daemon.entry import history
 from dunlintide_daemon.entry import jobs
@@ -46,7 +47,6 @@
 from dunlintide_daemon.entry import router
 from dunlintide_daemon.entry import sessions
 from dunlintide_daemon.entry import sources
-from dunlintide_daemon.entry import states
 from dunlintide_daemon.entry import threads
 from dunlintide_daemon import suspicion
 from dunlintide_daemon import watching
@@ -55,46 +55,50 @@
     'Entry',
 ]
 
-# Time for the balancer to see that this entry is not ready any more.
+# Time for the load balancer to notice that this entry is not ready any
+# more, before its port closes.
 LAME_DUCK_SECONDS = 1.0
 _JOIN_SECONDS = 1.0
-# Pause between two looks at the membership, which cost no message.
-FLEET_SECONDS = 0.5
+# Interval of reads of the membership, which send no message.
+MEMBERSHIP_POLL_SECONDS = 0.5
 
 
 class Entry:
-    """One entry process; a context manager that runs it.
+    """All components of one entry; a context manager that runs them.
 
     :ivar done: set when the process should stop
+    :ivar leaving: whether the entry is draining
     """
 
     def __init__(
         self,
         settings: settings_module.Settings,
-        outside: sources.Sources,
+        platform: sources.Sources,
         lame_duck: float = LAME_DUCK_SECONDS,
-        shared: watching.Outside | None = None,
+        fleet_sources: watching.Outside | None = None,
     ) -> None:
-        """Bind the ports; entering the context begins to serve.
+        """Bind the ports; entering the context starts serving.
 
-        :param lame_duck: seconds between not ready and closing the port
-        :param shared: what the fleet's state is drawn from; without it
-            the configuration comes from ``outside`` alone
+        :param platform: clients of the store and the host list
+        :param lame_duck: seconds between turning unready and closing the
+            port
+        :param fleet_sources: sources of the fleet state; without them the
+            configuration is read through ``platform`` only
         :raises OSError: when a port is taken
         """
         self.settings = settings
         self.done = threading.Event()
         self.leaving = False
-        self._outside = outside
+        self._platform = platform
         self._lame_duck = lame_duck
         self._rng = random.Random()
-        # The wall clock only orders the lives of one name.
+        # The wall clock only orders the incarnations of this entry.
         self._incarnation = time.time_ns()
         self._registry = prometheus_client.CollectorRegistry()
         self._metrics = metrics.Metrics.from_registry(
             self._registry, core_fleet.Role.ENTRY
         )
-        self._room = memorybudget.MemoryBudget()
+        self._answer_memory = memorybudget.MemoryBudget()
         self._transport = transports.build(settings)
         self._registry.register(transports.Collector(self._transport))
         self._meter = meter.Meter(self._metrics)
@@ -103,19 +107,23 @@
         self._holder = configuration.Holder()
         self._retries = budget.RetryBudget(settings.limits.retry_ratio)
         self._suspicion = suspicion.Suspicion(
-            lambda *told: crashes.spread(self._fleet, *told),
+            lambda *report: crashes.broadcast(self._fleet, *report),
             poison.Limits(seconds=settings.timing.quarantine),
         )
         timing = settings.timing
         self._fleet = fleet.Fleet(
             self._build_hello,
             fleet.Listeners(
-                crashes.hear(self._suspicion.take, self._sessions.route),
-                self._lose_link,
-                lambda agent: self._planner.report(agent),
-                lambda link, reply: self._placement.take_reply(link, reply),
+                crashes.route_suspects_first(
+                    self._suspicion.take, self._sessions.route
+                ),
+                self._handle_link_loss,
+                lambda agent: self._planner.record_load(agent),
+                lambda link, reply: self._placement.handle_reply(link, reply),
                 lambda link: self._suspicion.welcome(link.send),
-                lambda name, news: self._planner.take_news(name, news),
+                lambda name, news: self._planner.record_cache_update(
+                    name, news
+                ),
             ),
             links.LinkTiming(timing.ping, timing.silence, timing.redial),
             self._transport,
@@ -125,8 +133,8 @@
             self._rng,
             settings.routing is settings_module.Routing.ROUND_ROBIN,
         )
-        counter = prefixmetrics.Collector(self._planner.count_prompts)
-        counter.register(self._registry)
+        prefix_collector = prefixmetrics.Collector(self._planner.count_prompts)
+        prefix_collector.register(self._registry)
         self._limits = limits.Limiter(
             lambda take: entrylinks.EntryLinks(
                 settings.name,
@@ -136,12 +144,12 @@
                 self._transport,
             )
         )
-        self._owners = owners.Owners(settings.name)
+        self._owners = owners.BucketOwners(settings.name)
         self._claims = claimroutes.RoutedWriter(
-            outside.writer, self._owners.find, transport=self._transport
+            platform.writer, self._owners.find, transport=self._transport
         )
         claimroutes.add_service(
-            self._limits.entry_links.server, outside.writer, self._transport
+            self._limits.entry_links.server, platform.writer, self._transport
         )
         self._http = self._build_server()
         self._admin = admin.AdminServer.from_config(
@@ -152,32 +160,32 @@
             self._registry,
             tlschecks.build_server(settings.admin_tls),
         )
-        self._state = states.build(
+        self._state = fleetstate.build(
             settings,
             self._incarnation,
             self._limits.entry_links,
-            shared,
+            fleet_sources,
             self._transport,
         )
         self._placement = placement.Placement(
-            settings, outside.leaders, self._fleet, self._holder
+            settings, platform.leaders, self._fleet, self._holder
         )
         self._meter.register_gauges(
             lambda: len(self._sessions.list()),
             lambda: len(self._fleet.list_agents()),
             lambda: self._holder.revision,
         )
-        self._keeper = threads.Keeper(self.done)
-        self._settled = math.inf
+        self._supervisor = threads.Supervisor(self.done)
+        self._startup_end = math.inf
         self._stack = contextlib.ExitStack()
 
     @property
     def port(self) -> int:
-        """Port for callers."""
+        """HTTP port for callers."""
         return self._http.port
 
     def _build_hello(self) -> link_pb2.Hello:
-        return hellos.build_own(
+        return hellos.build_hello(
             self.settings,
             self._incarnation,
             self._holder.revision,
@@ -202,11 +210,11 @@
             self._sessions,
             self._retries,
             count_retry=self._meter.count_retry,
-            answer_memory=self._room,
+            answer_memory=self._answer_memory,
             keeps_stage_state=settings.recovery
             is settings_module.Recovery.REPLAY,
         )
-        parts = application.Dependencies(
+        dependencies = application.Dependencies(
             context,
             self._holder,
             route,
@@ -217,7 +225,7 @@
             settings.timing.heartbeat,
         )
         return httpserver.HttpServer.from_config(
-            application.Application(parts),
+            application.Application(dependencies),
             settings.listen,
             settings.limits.threads,
             settings.limits.max_body_bytes,
@@ -230,7 +238,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of the process, fit for JSON."""
+        """Return the state of the entry as JSON-compatible values."""
         state = dump.describe(
             self._holder,
             self._fleet,
@@ -242,7 +250,7 @@
         state['limits'] = self._limits.describe()
         state['plans'] = self._planner.describe()
         state['placement'] = self._placement.describe()
-        state['thread_errors'] = self._keeper.describe()
+        state['thread_errors'] = self._supervisor.describe()
         if self._state is not None:
             state['state'] = self._state.dump()
         state['poison'] = self._suspicion.describe()
@@ -252,48 +260,50 @@
         return masking.mask_state(own | state)
 
     def check_readiness(self) -> admin.Readiness:
-        """Tell whether callers should be sent here."""
+        """Return whether the entry is ready for callers, and why not."""
         unready = self._state.why_not_ready() if self._state else ''
         reasons = readiness.list_reasons(
             self.leaving,
             unready,
             self._holder.snapshot,
             self._fleet,
-            settling=time.monotonic() < self._settled,
+            is_starting=time.monotonic() < self._startup_end,
         )
         return admin.Readiness(tuple(reasons))
 
-    def _lose_link(self, link: links.Link) -> None:
+    def _handle_link_loss(self, link: links.Link) -> None:
         self._sessions.report_link_loss(link)
         if self._state is not None:
-            # Whoever places layers waits for others that miss it too.
+            # Probed at once, as a leader waits for several witnesses before
+            # it counts an agent as gone, and a failed probe makes this entry
+            # one of them.
             self._state.probe(link.peer.name)
 
-    def _follow_fleet(self) -> None:
+    def _watch_fleet(self) -> None:
         if self._state is None:
-            source = roster.follow_list(self._outside.read_hosts)
+            source = roster.poll_host_list(self._platform.read_hosts)
             pause = self.settings.timing.host_list_poll
         else:
-            source = roster.heed_list(
-                roster.follow_members(self._state.list_present),
-                self._outside.read_hosts,
+            source = roster.mark_leaving_hosts(
+                roster.poll_membership(self._state.list_present),
+                self._platform.read_hosts,
             )
-            pause = FLEET_SECONDS
-        known = roster.Roster(self.settings.name, source)
+            pause = MEMBERSHIP_POLL_SECONDS
+        fleet_roster = roster.Roster(self.settings.name, source)
         entries = None
         while not self.done.is_set():
             now = time.monotonic()
-            if known.refresh(now):
-                self._fleet.update(known.hosts, known.wanted)
-                self._placement.note_hosts(known.hosts)
-            if known.map_entries() != entries:
-                entries = known.map_entries()
-                self._limits.entry_links.update(known.hosts)
-                self._claims.keep(self._owners.update(known.hosts))
+            if fleet_roster.refresh(now):
+                self._fleet.update(fleet_roster.hosts, fleet_roster.wanted)
+                self._placement.update_hosts(fleet_roster.hosts)
+            if fleet_roster.map_entries() != entries:
+                entries = fleet_roster.map_entries()
+                self._limits.entry_links.update(fleet_roster.hosts)
+                self._claims.keep(self._owners.update(fleet_roster.hosts))
             self._fleet.drop_idle(now)
             self.done.wait(pause)
 
-    def _plan(self) -> None:
+    def _run_planner(self) -> None:
         while not self.done.wait(planning.REFRESH_SECONDS):
             self._suspicion.tick()
             snapshot = self._holder.snapshot
@@ -302,24 +312,33 @@
 
     def _start_configuration(self) -> None:
         if self._state is None:
-            follow = self._outside.follow_configuration
-            self._start('configuration', follow, self._holder.adopt, self.done)
+            watch = self._platform.watch_configuration
+            self._start_thread(
+                'configuration', watch, self._holder.adopt, self.done
+            )
             return
-        take_up = functools.partial(sources.take_up, self._holder.adopt)
-        self._state.on_snapshot(take_up)
+        adopt_snapshot = functools.partial(
+            sources.adopt_document, self._holder.adopt
+        )
+        self._state.on_snapshot(adopt_snapshot)
         self._stack.enter_context(self._state)
 
-    def _start(self, name: str, work: Callable[..., None], *arguments) -> None:
-        thread = self._keeper.start(name, functools.partial(work, *arguments))
-        # The configuration's follower sleeps through a stop for as long
-        # as it pauses between two reads; it holds nothing that needs it.
+    def _start_thread(
+        self, name: str, work: Callable[..., None], *arguments
+    ) -> None:
+        thread = self._supervisor.start(
+            name, functools.partial(work, *arguments)
+        )
+        # The join is bounded, since the configuration watch notices a stop
+        # only after the interval between two reads. It holds no resource
+        # that it would have to release.
         self._stack.callback(thread.join, _JOIN_SECONDS)
 
     def __enter__(self) -> 'Entry':
-        self._settled = time.monotonic() + readiness.SETTLE_SECONDS
+        self._startup_end = time.monotonic() + readiness.STARTUP_SECONDS
         with self._stack as stack:
-            masking.watch_keys(self._holder)
-            stack.callback(self._outside.close)
+            masking.mask_log_keys(self._holder)
+            stack.callback(self._platform.close)
             stack.callback(self._claims.close)
             stack.callback(self._fleet.stop)
             self._start_configuration()
@@ -327,21 +346,22 @@
             stack.callback(self._limits.entry_links.stop)
             self._admin.start()
             stack.callback(self._admin.stop)
-            self._start('hosts', self._follow_fleet)
-            self._start('planner', self._plan)
-            if self._outside.leaders is not None:
+            self._start_thread('hosts', self._watch_fleet)
+            self._start_thread('planner', self._run_planner)
+            if self._platform.leaders is not None:
                 stack.callback(self._placement.stop)
-                self._start('placement', self._placement.run, self.done)
-            self._start('limits', self._limits.run_renewals, self.done)
+                self._start_thread('placement', self._placement.run, self.done)
+            self._start_thread('limits', self._limits.run_renewals, self.done)
             stack.callback(self.done.set)
             self._http.start()
-            # Runs first: what is in flight still needs all the rest.
-            stack.callback(self._leave)
+            # The last callback runs first: requests in flight need all
+            # other components until they end.
+            stack.callback(self._drain)
             self._stack = stack.pop_all()
         return self
 
-    def _leave(self) -> None:
-        """Take no new requests and finish those in flight."""
+    def _drain(self) -> None:
+        """Turn unready, then finish the requests in flight."""
         self.leaving = True
         if self._state is not None:
             self._state.depart()
--- a/packages/daemon/src/dunlintide_daemon/entry/roster.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/roster.py
@@ -1,8 +1,8 @@
-"""The fleet's processes as an entry knows them, and which it connects to.
+"""Processes of the fleet, and the agents that an entry keeps links to.
 
-The processes come from the fleet's membership, or from the host list
-where an entry takes no part in that. Beyond a size an entry keeps links
-to its subset of the agents only.
+The processes are read from the gossip membership, or from the platform's
+host list if the entry does not take part in gossip. In a large fleet an
+entry keeps links to a subset of the agents only.
 """
 
 import time
@@ -21,29 +21,30 @@
     'Host',
     'Roster',
     'Source',
-    'follow_list',
-    'follow_members',
-    'heed_list',
+    'mark_leaving_hosts',
+    'poll_host_list',
+    'poll_membership',
 ]
 
-# The platform's list is read by each entry, since only the platform knows
-# which hosts it means to stop; so many reads a second by all together.
+# Every entry reads the platform's host list, since only the platform knows
+# which hosts it is about to stop. All entries together stay below this
+# rate, and each one keeps the minimum interval.
 LIST_READS_PER_SECOND = 50.0
-LIST_SECONDS = 2.0
+MIN_LIST_INTERVAL_SECONDS = 2.0
 
-# Least pause between two computations of the subset, as a multiple of the
-# processor time that the last one took: at most a hundredth of a core.
-_PAUSE_RATIO = 100.0
+# Minimum interval of computing the subset, as a multiple of the processor
+# time of the last computation, which limits it to 1 % of a core.
+_INTERVAL_TO_CPU_TIME = 100.0
 
 
 @attrs.frozen
 class Host:
     """One process of the fleet.
 
-    :ivar state: what the membership says, or ``live`` or ``leaving``
-        where it comes from the host list
-    :ivar peer: None where it comes from the host list
-    :ivar witnesses: names of those who could not reach it
+    :ivar state: state in the membership, or ``live`` or ``leaving`` if the
+        host list is the source
+    :ivar peer: None if the host list is the source
+    :ivar witnesses: names of processes that reported it unreachable
     """
 
     name: str
@@ -56,23 +57,25 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it takes no new work."""
+        """Whether the process takes no new work."""
         return self.state == records.State.LEAVING
 
 
-# Returns all processes, or None when they are as they were.
+# Returns all processes, or None if nothing changed since the last call.
 Source = Callable[[], list[Host] | None]
 
 
-def follow_list(
+def poll_host_list(
     read: Callable[[], result.Result[Iterable[object], object]],
 ) -> Source:
-    """Build a source that reads the platform's list each time."""
+    """Build a source that reads the platform's host list at each call."""
 
-    def take() -> list[Host] | None:
+    def poll() -> list[Host] | None:
         listed = read()
         if isinstance(listed, result.Err):
-            logging.warning('host list not read: %s', listed.err_value)
+            logging.warning(
+                'failed to read the host list: %s', listed.err_value
+            )
             return None
         return [
             Host(
@@ -85,24 +88,24 @@
             for each in listed.ok_value
         ]
 
-    return take
+    return poll
 
 
-def follow_members(
+def poll_membership(
     list_present: Callable[[int], tuple[int, list[records.Record]] | None],
 ) -> Source:
-    """Build a source that reads the membership.
+    """Build a source that reads the gossip membership.
 
-    :param list_present: as ``FleetState`` has it
+    :param list_present: ``FleetState.list_present``
     """
-    seen = -1
+    version = -1
 
-    def take() -> list[Host] | None:
-        nonlocal seen
-        changed = list_present(seen)
+    def poll() -> list[Host] | None:
+        nonlocal version
+        changed = list_present(version)
         if changed is None:
             return None
-        seen, present = changed
+        version, present = changed
         return [
             Host(
                 each.peer.name,
@@ -116,28 +119,34 @@
             for each in present
         ]
 
-    return take
+    return poll
 
 
-def heed_list(
+def mark_leaving_hosts(
     source: Source,
     read: Callable[[], result.Result[Iterable[hostlist.Host], object]],
     clock: Callable[[], float] = time.monotonic,
 ) -> Source:
-    """Add to a source which hosts the platform's list says are leaving.
+    """Wrap a source to mark hosts that the platform is about to stop.
+
+    The mark is local and lasts as long as the host list says so. It is not
+    gossiped, since the list lags behind and may refer to an earlier
+    incarnation of the host.
 
-    That word is not passed on to other processes: the list lags, and may
-    speak of a life of the host that has ended; it counts while it stands.
+    :param source: source to wrap
+    :param read: reads the platform's host list
     :param clock: monotonic time in seconds
     """
     hosts: list[Host] = []
     leaving: frozenset[str] = frozenset()
-    due = float('-inf')
+    next_read = float('-inf')
 
     def read_leaving() -> frozenset[str]:
-        nonlocal due
+        nonlocal next_read
         entries = sum(host.role == fleet.Role.ENTRY for host in hosts)
-        due = clock() + max(LIST_SECONDS, entries / LIST_READS_PER_SECOND)
+        next_read = clock() + max(
+            MIN_LIST_INTERVAL_SECONDS, entries / LIST_READS_PER_SECOND
+        )
         listed = read()
         if isinstance(listed, result.Err):
             return leaving
@@ -152,24 +161,24 @@
             return attrs.evolve(host, state=records.State.LEAVING)
         return host
 
-    def take() -> list[Host] | None:
+    def poll() -> list[Host] | None:
         nonlocal hosts, leaving
         changed = source()
         if changed is not None:
             hosts = changed
-        told = read_leaving() if clock() >= due else leaving
-        if changed is None and told == leaving:
+        listed_leaving = read_leaving() if clock() >= next_read else leaving
+        if changed is None and listed_leaving == leaving:
             return None
-        leaving = told
+        leaving = listed_leaving
         return [mark(host) for host in hosts]
 
-    return take
+    return poll
 
 
 class Roster:
-    """Processes of the fleet, and the agents to keep links to.
+    """Current processes of the fleet, and the subset of agents to link to.
 
-    :ivar hosts: all processes that are not known to be gone
+    :ivar hosts: all processes that the source lists
     :ivar wanted: names of the agents to keep links to, None for all
     """
 
@@ -180,12 +189,13 @@
         full_mesh: int = subset.FULL_MESH_AGENTS,
         target: int = subset.DEFAULT_AGENTS,
     ) -> None:
-        """Begin with nobody.
+        """Initialize without processes.
 
         :param name: name of this entry
-        :param full_mesh: most agents with which this entry connects to
-            all of them
-        :param target: agents to connect to beyond that
+        :param source: returns the processes of the fleet
+        :param full_mesh: maximum number of agents up to which the entry
+            links to all of them
+        :param target: number of agents to link to in a larger fleet
         """
         self.hosts: tuple[Host, ...] = ()
         self.wanted: frozenset[str] | None = None
@@ -194,7 +204,7 @@
         self._full_mesh = full_mesh
         self._target = target
         self._stale = False
-        self._due = 0.0
+        self._next_computation = 0.0
 
     def map_entries(self) -> dict[str, str]:
         """Return the address of each entry by name."""
@@ -205,9 +215,10 @@
         }
 
     def refresh(self, now: float) -> bool:
-        """Look for changes; True when there are any.
+        """Read the source and compute the subset anew if necessary.
 
         :param now: monotonic time in seconds
+        :returns: whether ``hosts`` or ``wanted`` may have changed
         """
         hosts = self._source()
         if hosts is not None:
@@ -215,11 +226,11 @@
             self._stale = True
         if not self._stale:
             return False
-        if now >= self._due:
-            self._choose(now)
+        if now >= self._next_computation:
+            self._choose_subset(now)
         return hosts is not None or not self._stale
 
-    def _choose(self, now: float) -> None:
+    def _choose_subset(self, now: float) -> None:
         self._stale = False
         peers = [host.peer for host in self.hosts if host.peer is not None]
         entries = [each for each in peers if each.role is fleet.Role.ENTRY]
@@ -230,12 +241,14 @@
             and host.peer is not None
             and host.state == records.State.ALIVE
         ]
-        known = any(each.name == self._name for each in entries)
-        if not known or len(agents) <= self._full_mesh:
+        is_member = any(each.name == self._name for each in entries)
+        if not is_member or len(agents) <= self._full_mesh:
             self.wanted = None
             return
         start = time.thread_time()
-        chosen = subset.assign(entries, agents, self._target)
-        self._due = now + (time.thread_time() - start) * _PAUSE_RATIO
-        mine = chosen[self._name]
-        self.wanted = frozenset(agent.name for agent in mine)
+        assigned = subset.assign(entries, agents, self._target)
+        self._next_computation = (
+            now + (time.thread_time() - start) * _INTERVAL_TO_CPU_TIME
+        )
+        own_agents = assigned[self._name]
+        self.wanted = frozenset(agent.name for agent in own_agents)
