--- a/packages/daemon/src/dunlintide_daemon/entry/engineview.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/engineview.py
@@ -115,12 +115,12 @@
         }
         self._reachable = frozenset(
             name
-            for name, reachability in assessed.items()
-            if reachability is reachability.Reachability.PRESENT
+            for name, state in assessed.items()
+            if state is reachability.Reachability.PRESENT
         )
         self._engines = {}
-        for name, reachability in assessed.items():
-            self._update_engine(self._engines, name, reachability)
+        for name, state in assessed.items():
+            self._update_engine(self._engines, name, state)
 
     def _assess(
         self, host: Host, witnesses: Iterable[str]
@@ -134,21 +134,23 @@
             witness: self._domains.get(witness, witness)
             for witness in witnesses
         }
-        return reachability.assess(host.state, unreached_by, self._required_domains)
+        return reachability.assess(
+            host.state, unreached_by, self._required_domains
+        )
 
     def _update_engine(
         self,
         engines: dict[str, placement.Engine],
         name: str,
-        reachability: reachability.Reachability,
+        state: reachability.Reachability,
     ) -> None:
         """Add or remove an engine according to its reachability."""
         engines.pop(name, None)
         peer = self._agents[name].peer
-        if reachability is reachability.Reachability.GONE or not _is_engine(peer):
+        if state is reachability.Reachability.GONE or not _is_engine(peer):
             return
         if not peer.endpoint.away:
-            suspected = reachability is reachability.Reachability.SUSPECT
+            suspected = state is reachability.Reachability.SUSPECT
             engines[name] = _build_engine(peer, suspected=suspected)
 
     def take_snapshot(self) -> EngineSnapshot:
@@ -156,8 +158,8 @@
         engines, reachable = dict(self._engines), set(self._reachable)
         for name in self._fleet.list_unconnected() & self._agents.keys():
             host = self._agents[name]
-            reachability = self._assess(host, (*host.witnesses, self._name))
-            self._update_engine(engines, name, reachability)
+            state = self._assess(host, (*host.witnesses, self._name))
+            self._update_engine(engines, name, state)
             reachable.discard(name)
         for agent in self._fleet.list_agents():
             engines.pop(agent.peer.name, None)
--- a/packages/trials/src/dunlintide_trials/cases/leader.py
+++ b/packages/trials/src/dunlintide_trials/cases/leader.py
@@ -53,7 +53,9 @@
     start = time.thread_time()
     for tick in range(_TICKS):
         sight = seen.take_snapshot()
-        if not sight.has_sufficient_view or placer.make_orders(tick, sight.engines):
+        if not sight.has_sufficient_view or placer.make_orders(
+            tick, sight.engines
+        ):
             raise AssertionError('a whole fleet was not seen as such')
     return (time.thread_time() - start) / _TICKS
 
