--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -6,10 +6,10 @@
 import behave
 from dunlintide_core.pipeline import chaincosts
 from dunlintide_core.pipeline import chaintable
+from dunlintide_core.pipeline import endpointhealth
 from dunlintide_core.pipeline import endpoints
 from dunlintide_core.pipeline import occupancy
 from dunlintide_core.pipeline import regions
-from dunlintide_core.pipeline import soundness
 from dunlintide_trials import engineload
 from hypothesis import strategies
 import pipeline_scene
@@ -310,7 +310,7 @@
 
 @behave.given('the beliefs of an entry that uses {count:d} engines')
 def make_beliefs(context, count):
-    context.belief = soundness.Soundness()
+    context.belief = endpointhealth.Soundness()
     context.names = [f'e{index}' for index in range(count)]
     context.belief.report_progress(context.names, 0.0)
 
--- a/features/steps/doubts.py
+++ b/features/steps/doubts.py
@@ -1,22 +1,22 @@
 """Steps about what silence and refusals of endpoints show."""
 
 import behave
-from dunlintide_core.pipeline import rescues
-from dunlintide_core.pipeline import resends
-from dunlintide_core.pipeline import soundness
+from dunlintide_core.pipeline import endpointhealth
+from dunlintide_core.pipeline import failover
+from dunlintide_core.pipeline import retrybudget
 
 
 @behave.given('a run that may be silent for {target:f} s')
 def allow_silence(context, target):
-    context.limits = rescues.choose_limits(target, None)
+    context.limits = failover.choose_limits(target, None)
 
 
 @behave.then(
     'after {silence:f} s of silence it is judged again at {limit:f} s'
 )
 def check_judged_again(context, silence, limit):
-    unclear = rescues.Evidence.UNCLEAR
-    judgement = rescues.judge(silence, context.limits, unclear)
+    unclear = failover.Evidence.UNCLEAR
+    judgement = failover.judge(silence, context.limits, unclear)
     assert not judgement.moves
     assert abs(judgement.limit - limit) < 1e-9, judgement
 
@@ -26,8 +26,8 @@
     ' moved'
 )
 def check_moved_early(context, silence):
-    suspects = rescues.Evidence.SUSPECTS
-    judgement = rescues.judge(silence, context.limits, suspects)
+    suspects = failover.Evidence.SUSPECTS
+    judgement = failover.judge(silence, context.limits, suspects)
     assert judgement.moves
     assert judgement.limit > silence
 
@@ -36,13 +36,13 @@
     'after {silence:f} s of silence it is moved, whatever is suspected'
 )
 def check_moved(context, silence):
-    for evidence in rescues.Evidence:
-        assert rescues.judge(silence, context.limits, evidence).moves
+    for evidence in failover.Evidence:
+        assert failover.judge(silence, context.limits, evidence).moves
 
 
 def believe(context):
     if not hasattr(context, 'belief'):
-        context.belief = soundness.Soundness()
+        context.belief = endpointhealth.Soundness()
     return context.belief
 
 
@@ -130,8 +130,8 @@
     'second sends of {count:d} in a window, all of which may be used'
 )
 def make_budget(context, count):
-    context.budget = resends.ResendBudget(
-        0.0, count / resends.SLACK_PART, 10.0
+    context.budget = retrybudget.ResendBudget(
+        0.0, count / retrybudget.SLACK_PART, 10.0
     )
 
 
@@ -157,7 +157,9 @@
 def check_said(context):
     # A wait that ends while nothing can be spent would spin for ever.
     for under_way in (True, False):
-        budget = resends.ResendBudget(0.0, 10 / resends.SLACK_PART, 10.0)
+        budget = retrybudget.ResendBudget(
+            0.0, 10 / retrybudget.SLACK_PART, 10.0
+        )
         for _ in range(11):
             said = budget.can_spend(1.0, under_way)
             assert budget.spend(1.0, under_way) is said
--- a/features/steps/flows.py
+++ b/features/steps/flows.py
@@ -3,8 +3,8 @@
 import random
 
 import behave
-from dunlintide_core.pipeline import rescues
-from dunlintide_core.pipeline import soundness
+from dunlintide_core.pipeline import endpointhealth
+from dunlintide_core.pipeline import failover
 from dunlintide_daemon.gateway import gossipmessages
 import msgspec
 
@@ -35,7 +35,7 @@
 
     def __init__(self, streams, draw):
         self.streams = streams
-        self.belief = soundness.Soundness()
+        self.belief = endpointhealth.Soundness()
         self.next_message = DEATH - 1.0 + draw.uniform(0.0, MESSAGES)
         self.left_out = set()
 
@@ -47,7 +47,7 @@
                 now >= DEATH and dead in stream.names
             ):
                 self.move(stream, now)
-            limits = rescues.choose_limits(TARGET, TARGET)
+            limits = failover.choose_limits(TARGET, TARGET)
             if now - stream.moved >= limits.named:
                 self.judge(stream, limits, now)
 
@@ -60,13 +60,13 @@
 
     def judge(self, stream, limits, now):
         belief = self.belief
-        since = rescues.choose_since(stream.moved, now)
+        since = failover.choose_since(stream.moved, now)
         suspects = belief.find_left_out(
             stream.names, now
         ) or belief.find_suspects(stream.names, since, now, stream.flows)
         still = belief.find_still(stream.names, since)
-        evidence = rescues.weigh(suspects, still)
-        if not rescues.judge(now - stream.moved, limits, evidence).moves:
+        evidence = failover.weigh(suspects, still)
+        if not failover.judge(now - stream.moved, limits, evidence).moves:
             return
         stream.left = now
         belief.end(stream.names, stream.flows)
@@ -186,7 +186,7 @@
 
 @behave.given('an entry with one stream that waits through engine "x"')
 def make_one(context):
-    context.belief = soundness.Soundness()
+    context.belief = endpointhealth.Soundness()
     context.belief.report_progress('abcd', 9.0)
 
 
@@ -204,7 +204,7 @@
     now = start
     while now < end:
         for silence in (0.36, 0.5):
-            since = rescues.choose_since(now - silence, now)
+            since = failover.choose_since(now - silence, now)
             found = context.belief.find_suspects('abcdx', since, now, False)
             assert not found, (found, now)
         now += TICK
--- a/features/steps/layoutload.py
+++ b/features/steps/layoutload.py
@@ -5,7 +5,7 @@
 import attrs
 import behave
 import chaintables
-from dunlintide_core.pipeline import demands
+from dunlintide_core.pipeline import demandpeaks
 from dunlintide_core.pipeline import layout
 from dunlintide_core.pipeline import profiles
 from dunlintide_trials import engineload
@@ -194,7 +194,7 @@
 
 def find_known(context, now):
     """Give what is known at a time, looking five times a second."""
-    known = demands.Demands()
+    known = demandpeaks.Demands()
     tokens = 0
     for step in range(int(now * 5) + 1):
         tokens = context.tokens.get(step / 5, tokens)
--- a/features/steps/lostengines.py
+++ b/features/steps/lostengines.py
@@ -1,9 +1,9 @@
 """Steps about streams whose engine dies."""
 
 import behave
-from dunlintide_core.pipeline import pauses
-from dunlintide_core.pipeline import rescues
-from dunlintide_core.pipeline import soundness
+from dunlintide_core.pipeline import durations
+from dunlintide_core.pipeline import endpointhealth
+from dunlintide_core.pipeline import failover
 
 TARGET = 0.2
 DEATH = 10.0
@@ -33,7 +33,7 @@
         Run(names, 9.0 + period * index / count, period)
         for index in range(count)
     ]
-    context.belief = soundness.Soundness()
+    context.belief = endpointhealth.Soundness()
 
 
 @behave.given('{count:d} streams that share all of them but engine {dead:d}')
@@ -48,15 +48,15 @@
 
 @behave.given('the longest pause of a usual stream is {seconds:f} s')
 def set_usual(context, seconds):
-    seen = pauses.Pauses()
-    for _ in range(pauses.KEPT):
+    seen = durations.Pauses()
+    for _ in range(durations.KEPT):
         seen.note(seconds)
     context.usual = seen.usual
 
 
 def play(context, dies, end):
     """Play until a time; ``dies`` tells whether a run stands still then."""
-    limits = rescues.choose_limits(TARGET, context.usual)
+    limits = failover.choose_limits(TARGET, context.usual)
     now = 9.0
     while now < end:
         for run in context.runs:
@@ -75,13 +75,13 @@
 
 
 def judge(context, run, silence, limits, now):
-    since = rescues.choose_since(run.moved, now)
+    since = failover.choose_since(run.moved, now)
     suspects = context.belief.find_left_out(
         run.names, now
     ) or context.belief.find_suspects(run.names, since, now, run.flows)
     still = context.belief.find_still(run.names, since)
-    evidence = rescues.weigh(suspects, still)
-    if rescues.judge(silence, limits, evidence).moves:
+    evidence = failover.weigh(suspects, still)
+    if failover.judge(silence, limits, evidence).moves:
         run.left = now
         context.belief.end(run.names, run.flows)
         for name in suspects:
@@ -144,6 +144,6 @@
     ' few engines are suspected, and after {unnamed:f} s in any case'
 )
 def check_limits(context, target, named, unnamed):
-    limits = rescues.choose_limits(target, context.usual)
+    limits = failover.choose_limits(target, context.usual)
     assert abs(limits.named - named) < 1e-9, limits
     assert abs(limits.unnamed - unnamed) < 1e-9, limits
--- a/features/steps/overload.py
+++ b/features/steps/overload.py
@@ -1,14 +1,14 @@
 """Steps that replay load on decisions about layouts and chains."""
 
 import behave
+from dunlintide_core.pipeline import bottlenecks
 from dunlintide_core.pipeline import chains
 from dunlintide_core.pipeline import chaintable
+from dunlintide_core.pipeline import endpointhealth
 from dunlintide_core.pipeline import endpoints
 from dunlintide_core.pipeline import layout
 from dunlintide_core.pipeline import occupancy
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import scarcity
-from dunlintide_core.pipeline import soundness
 from dunlintide_core.pipeline import waits
 
 LAYERS = 80
@@ -220,7 +220,7 @@
 
 @behave.given('a chain of {count:d} engines that stands still since {at:f}')
 def make_still(context, count, at):
-    context.belief = soundness.Soundness()
+    context.belief = endpointhealth.Soundness()
     context.names = [f'e{index}' for index in range(count)]
     context.since = at
     # The run that is judged and two others flow through each engine.
@@ -277,7 +277,9 @@
         if name not in widen
     }
     table = chaintable.ChainTable.from_engines(PROFILE, context.engines)
-    return scarcity.find_scarce(table, table.everywhere, make_demand(), usages)
+    return bottlenecks.find_scarce(
+        table, table.everywhere, make_demand(), usages
+    )
 
 
 def list_holders(context, scarce):
@@ -315,8 +317,8 @@
     table = chaintable.ChainTable.from_engines(PROFILE, context.engines)
     region = table.make_region(domain)
     usages = context.occupancy.usages
-    found = scarcity.find_scarce(table, region, make_demand(domain), usages)
-    assert found == [scarcity.Scarce(start, end, ())], found
-    assert not scarcity.find_scarce(
+    found = bottlenecks.find_scarce(table, region, make_demand(domain), usages)
+    assert found == [bottlenecks.Scarce(start, end, ())], found
+    assert not bottlenecks.find_scarce(
         table, table.everywhere, make_demand(domain), usages
     )
--- a/features/steps/pipeline.py
+++ b/features/steps/pipeline.py
@@ -6,11 +6,11 @@
 import behave
 from dunlintide_core.pipeline import backlog
 from dunlintide_core.pipeline import chains
-from dunlintide_core.pipeline import crashers
+from dunlintide_core.pipeline import endpointhealth
 from dunlintide_core.pipeline import endpoints
 from dunlintide_core.pipeline import occupancy
-from dunlintide_core.pipeline import resends
-from dunlintide_core.pipeline import soundness
+from dunlintide_core.pipeline import poisonrequests
+from dunlintide_core.pipeline import retrybudget
 from hypothesis import strategies
 import pipeline_scene
 
@@ -193,7 +193,7 @@
     'a chain through "x", "y" and "z" that stands still since {since:f}'
 )
 def make_still(context, since):
-    context.belief = soundness.Soundness()
+    context.belief = endpointhealth.Soundness()
     context.belief.report_progress('xyz', since)
     context.since = since
 
@@ -255,7 +255,7 @@
 
     def make_budgets():
         return [
-            resends.ResendBudget(ratio, slack, window, entries)
+            retrybudget.ResendBudget(ratio, slack, window, entries)
             for _ in range(entries)
         ]
 
@@ -282,7 +282,7 @@
 
 @behave.when('runs of a request broke at 2 endpoints')
 def break_two(context):
-    context.crashers = crashers.Crashers()
+    context.crashers = poisonrequests.Crashers()
     context.crashers.report('r', 'one', 10.0)
     context.crashers.report('r', 'two', 11.0)
 
@@ -316,7 +316,7 @@
 
 @behave.when('runs of a request broke at 3 endpoints of one entry')
 def break_at_one(context):
-    context.entries = [crashers.Crashers(), crashers.Crashers()]
+    context.entries = [poisonrequests.Crashers(), poisonrequests.Crashers()]
     for name in ('one', 'two', 'three'):
         context.entries[0].report('r', name, 0.0)
 
--- a/features/steps/scarceengine.py
+++ b/features/steps/scarceengine.py
@@ -3,7 +3,7 @@
 import random
 
 import behave
-from dunlintide_core.pipeline import soundness
+from dunlintide_core.pipeline import endpointhealth
 from dunlintide_daemon.gateway import gossip
 
 # How long a stream holds its place, and how long news take, in seconds.
@@ -16,7 +16,7 @@
     '{count:d} entries that all need one engine with room for {room:d} streams'
 )
 def make_entries(context, count, room):
-    context.beliefs = [soundness.Soundness() for _ in range(count)]
+    context.beliefs = [endpointhealth.Soundness() for _ in range(count)]
     context.room = room
 
 
@@ -25,7 +25,7 @@
     context.could = context.room * seconds / STREAM_SECONDS
     play(context, rate, seconds, tells=False)
     context.untold = context.refused
-    context.beliefs = [soundness.Soundness() for _ in context.beliefs]
+    context.beliefs = [endpointhealth.Soundness() for _ in context.beliefs]
     play(context, rate, seconds, tells=True)
 
 
--- a/packages/core/src/dunlintide_core/pipeline/coverage.py
+++ b/packages/core/src/dunlintide_core/pipeline/coverage.py
@@ -7,8 +7,8 @@
 import itertools
 from typing import Sequence
 
+from dunlintide_core.pipeline import cacheplans
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import rooms
 
 __all__ = ['Coverage']
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         profile: profiles.EngineProfile,
-        plan: rooms.RoomPlan,
+        plan: cacheplans.RoomPlan,
         elsewhere: Sequence[int],
     ) -> None:
         """Begin without holders.
--- a/packages/core/src/dunlintide_core/pipeline/soundness.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
@@ -10,7 +10,7 @@
 
 from typing import Iterable, Sequence
 
-from dunlintide_core.pipeline import records
+from dunlintide_core.pipeline import healthrecords
 
 __all__ = ['Soundness']
 
@@ -40,18 +40,18 @@
     """Belief in each endpoint of an entry."""
 
     def __init__(self) -> None:
-        self._records: dict[str, records.Record] = {}
+        self._records: dict[str, healthrecords.Record] = {}
         # Endpoints of which something bad is known, so that a choice among
         # hundreds looks at these alone.
         self._troubled: set[str] = set()
 
-    def _get(self, name: str) -> records.Record:
+    def _get(self, name: str) -> healthrecords.Record:
         record = self._records.get(name)
         if record is None:
-            record = self._records[name] = records.Record()
+            record = self._records[name] = healthrecords.Record()
         return record
 
-    def _get_troubled(self, name: str) -> records.Record:
+    def _get_troubled(self, name: str) -> healthrecords.Record:
         """Give the record of an endpoint of which something bad is told."""
         self._troubled.add(name)
         return self._get(name)
@@ -168,7 +168,7 @@
         if not record.refusals:
             record.refusing_since = now
         record.roomy = roomy
-        pause = min(LONGEST_REFUSING, records.FULL * 2**record.refusals)
+        pause = min(LONGEST_REFUSING, healthrecords.FULL * 2**record.refusals)
         record.refusals += 1
         record.doubt(now)
         record.refused = now
@@ -180,7 +180,7 @@
         record = self._records.get(name)
         if record is None:
             return False
-        just_refused = now < record.refused + records.FULL
+        just_refused = now < record.refused + healthrecords.FULL
         return (
             just_refused
             or now < record.told_full_until
@@ -206,7 +206,7 @@
             that they do not return together
         """
         record = self._get_troubled(name)
-        record.told_full_until = now + records.FULL * part
+        record.told_full_until = now + healthrecords.FULL * part
 
     def list_full(self, now: float) -> list[str]:
         """List the endpoints that just refused a request of this entry."""
@@ -214,7 +214,7 @@
             name
             for name in self._troubled
             if name in self._records
-            and now < self._records[name].refused + records.FULL
+            and now < self._records[name].refused + healthrecords.FULL
         ]
 
     def hear_refusal(self, name: str, now: float) -> None:
@@ -249,7 +249,7 @@
     def measure_doubt(self, name: str, now: float) -> float:
         """Tell for how long nothing but bad signs came, in seconds."""
         record = self._records.get(name)
-        if record is None or now - record.doubted > records.FORGET_DOUBT:
+        if record is None or now - record.doubted > healthrecords.FORGET_DOUBT:
             return 0.0
         if record.has_moved_since(record.doubted_since):
             return 0.0
--- a/packages/core/src/dunlintide_core/pipeline/layout.py
+++ b/packages/core/src/dunlintide_core/pipeline/layout.py
@@ -10,10 +10,10 @@
 
 import attrs
 
+from dunlintide_core.pipeline import cacheplans
 from dunlintide_core.pipeline import coverage
 from dunlintide_core.pipeline import endpoints as endpoints_module
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import rooms
 
 __all__ = [
     'Placement',
@@ -62,7 +62,7 @@
     :ivar cover: holders of its layers
     """
 
-    plan: rooms.RoomPlan
+    plan: cacheplans.RoomPlan
     cover: coverage.Coverage
 
 
@@ -96,9 +96,9 @@
     kinds = [each.endpoint.kind for each in own]
     kinds += [each.kind for each in empty]
     # A domain also takes the streams of others that lose their chains.
-    estimate = rooms.estimate_demand(profile, kinds)
+    estimate = cacheplans.estimate_demand(profile, kinds)
     demand = max(estimate, demands.get(name, 0.0))
-    plan = rooms.plan_room(profile, kinds, demand)
+    plan = cacheplans.plan_room(profile, kinds, demand)
     elsewhere = _count_elsewhere(profile, holding, name)
     cover = coverage.Coverage(profile, plan, elsewhere)
     for each in own:
@@ -142,7 +142,7 @@
     cover = domain.cover
     placed = []
     for engine in sorted(empty, key=_make_order(profile)):
-        size = rooms.count_layers(profile, engine.kind, domain.plan.room)
+        size = cacheplans.count_layers(profile, engine.kind, domain.plan.room)
         start, _ = cover.choose_start(engine.kind, size)
         cover.change(engine.kind, start, start + size)
         placed.append(Placement(engine, start, start + size))
@@ -260,7 +260,7 @@
     profile: profiles.EngineProfile, domain: _Domain, before: Placement
 ) -> _Move:
     cover, kind = domain.cover, before.endpoint.kind
-    size = rooms.count_layers(profile, kind, domain.plan.room)
+    size = cacheplans.count_layers(profile, kind, domain.plan.room)
     cost = cover.cost
     cover.change(kind, before.start, before.end, -1)
     alone = cover.cost
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -6,12 +6,12 @@
 import attrs
 
 from dunlintide_core.pipeline import backlog
+from dunlintide_core.pipeline import bottlenecks
 from dunlintide_core.pipeline import chains
 from dunlintide_core.pipeline import chaintable
 from dunlintide_core.pipeline import endpoints as endpoints_module
 from dunlintide_core.pipeline import mechanisms
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import scarcity
 from dunlintide_core.pipeline import waits
 from dunlintide_daemon.gateway import exchange as exchange_module
 from dunlintide_daemon.gateway import state as state_module
@@ -124,7 +124,7 @@
         demand = self.estimate(stream)
         unusable = self._list_unusable(stream)
         for where, region in (('', table.everywhere), (f' in {domain}', own)):
-            scarce = scarcity.find_scarce(
+            scarce = bottlenecks.find_scarce(
                 table,
                 region,
                 demand,
--- a/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
@@ -6,7 +6,7 @@
 
 from dunlintide_adapters import callermessages
 from dunlintide_core import configuration
-from dunlintide_core.pipeline import asks
+from dunlintide_core.pipeline import callerrequests
 from dunlintide_core.pipeline import profiles
 from dunlintide_daemon.gateway import events
 
@@ -58,7 +58,7 @@
 
     request: callermessages.Request
     reply: callermessages.Reply
-    ask: asks.Ask
+    ask: callerrequests.Ask
     rule: configuration.Rule
     service: str
     deadline: float
--- a/packages/daemon/src/dunlintide_daemon/gateway/front.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/front.py
@@ -8,10 +8,10 @@
 from dunlintide_adapters import callermessages
 from dunlintide_core import configuration
 from dunlintide_core import matching
-from dunlintide_core.pipeline import asks
+from dunlintide_core.pipeline import callerrequests
 from dunlintide_core.pipeline import deployments
 from dunlintide_core.pipeline import mechanisms
-from dunlintide_core.pipeline import returns
+from dunlintide_core.pipeline import refusalhistory
 from dunlintide_daemon.gateway import calls
 from dunlintide_daemon.gateway import exchange as exchange_module
 from dunlintide_daemon.gateway import state as state_module
@@ -112,7 +112,7 @@
         self,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: asks.Ask,
+        ask: callerrequests.Ask,
     ) -> exchange_module.Exchange | None:
         """Find the terms of a request, or refuse it at once."""
         deployment = self._state.deployment
@@ -149,12 +149,12 @@
         self, exchange: exchange_module.Exchange, now: float
     ) -> float:
         state = self._state
-        pause = returns.choose_stopping_pause(
+        pause = refusalhistory.choose_stopping_pause(
             len(state.others),
             state.stopping_at + state.settings.grace - now,
         )
         # Callers honour no longer one.
-        return min(pause, (exchange.deadline - now) * returns.LEFT_PART)
+        return min(pause, (exchange.deadline - now) * refusalhistory.LEFT_PART)
 
     def _is_too_late(
         self, exchange: exchange_module.Exchange, now: float
@@ -171,7 +171,7 @@
     def _find_rule(
         self,
         deployment: deployments.Deployment,
-        ask: asks.Ask,
+        ask: callerrequests.Ask,
         owner: configuration.Team | None,
     ) -> configuration.Rule | None:
         query = matching.Query(
@@ -193,7 +193,7 @@
         deployment: deployments.Deployment,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: asks.Ask,
+        ask: callerrequests.Ask,
         rule: configuration.Rule,
         owner: configuration.Team | None,
     ) -> exchange_module.Exchange:
@@ -229,7 +229,7 @@
     def _deny(
         self,
         reply: callermessages.Reply,
-        ask: asks.Ask,
+        ask: callerrequests.Ask,
         status: int,
         reason: str,
         retry_after: float | None = None,
@@ -251,7 +251,9 @@
         exchange_module.refuse(reply, status, retry_after)
 
 
-def _make_fingerprint(request: callermessages.Request, ask: asks.Ask) -> str:
+def _make_fingerprint(
+    request: callermessages.Request, ask: callerrequests.Ask
+) -> str:
     """Name a request by what stays when its caller sends it again."""
     digest = hashlib.blake2b(digest_size=9)
     for part in (ask.host, request.target, ask.key_digest):
@@ -261,7 +263,7 @@
     return digest.hexdigest()
 
 
-def _make_digest(fingerprint: str, ask: asks.Ask) -> int:
+def _make_digest(fingerprint: str, ask: callerrequests.Ask) -> int:
     """Tell a request from others with the same path, caller and body."""
     text = f'{fingerprint} {ask.prompt} {ask.answer} {ask.prefix}'
     return zlib.crc32(text.encode('latin-1'))
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from dunlintide_core.pipeline import demands as demands_module
+from dunlintide_core.pipeline import demandpeaks as demandpeaks_module
 from dunlintide_core.pipeline import endpoints as endpoints_module
 from dunlintide_core.pipeline import layout
 from dunlintide_core.pipeline import mechanisms
@@ -80,7 +80,7 @@
         self._state = state
         self._leadership = leadership
         self._losses = collections.defaultdict(lambda: losses.Losses(state))
-        self._demands = collections.defaultdict(demands_module.Demands)
+        self._demands = collections.defaultdict(demandpeaks_module.Demands)
         self._open: dict[str, _Order] = {}
         self._seen: set[str] = set()
         self._settled_at = float('inf')
--- a/packages/daemon/src/dunlintide_daemon/gateway/silences.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/silences.py
@@ -2,8 +2,8 @@
 
 import attrs
 
+from dunlintide_core.pipeline import failover
 from dunlintide_core.pipeline import mechanisms
-from dunlintide_core.pipeline import rescues
 from dunlintide_daemon.gateway import chainfinder
 from dunlintide_daemon.gateway import exchange as exchange_module
 from dunlintide_daemon.gateway import runends
@@ -42,7 +42,7 @@
 
     def choose_limits(
         self, target: float | None, has_events: bool
-    ) -> rescues.Limits:
+    ) -> failover.Limits:
         """Tell how long a run may stand still.
 
         :param target: silence that the rule allows, in seconds, None for
@@ -54,10 +54,12 @@
         if state.has(mechanisms.Mechanism.USUAL_PAUSES):
             seen = state.pauses if has_events else state.first_events
             usual = seen.usual
-        return rescues.choose_limits(target or chainfinder.USUAL_TARGET, usual)
+        return failover.choose_limits(
+            target or chainfinder.USUAL_TARGET, usual
+        )
 
     def judge(
-        self, stream: Stream, silence: Silence, limits: rescues.Limits
+        self, stream: Stream, silence: Silence, limits: failover.Limits
     ) -> float:
         """Decide whether a still run is moved to another chain.
 
@@ -79,7 +81,7 @@
         state.suspect_slow(silence.names)
         suspects = self._find_suspects(silence, now)
         evidence = self._weigh(silence, suspects, now)
-        judgement = rescues.judge(seconds, limits, evidence)
+        judgement = failover.judge(seconds, limits, evidence)
         if not judgement.moves:
             return judgement.limit
         state.accuse(suspects, 'still', exchange.ask.name)
@@ -96,11 +98,11 @@
 
     def _weigh(
         self, silence: Silence, suspects: list[str], now: float
-    ) -> rescues.Evidence:
+    ) -> failover.Evidence:
         """Tell what is known of the endpoints of a still run."""
-        since = rescues.choose_since(silence.moved, now)
+        since = failover.choose_since(silence.moved, now)
         still = self._state.soundness.find_still(silence.names, since)
-        return rescues.weigh(suspects, still)
+        return failover.weigh(suspects, still)
 
     def _find_suspects(self, silence: Silence, now: float) -> list[str]:
         """List the endpoints that seem to hold up a still run."""
@@ -108,7 +110,7 @@
         known = []
         if self._state.has(mechanisms.Mechanism.LEFT_OUT_NAMES):
             known = soundness.find_left_out(silence.names, now)
-        since = rescues.choose_since(silence.moved, now)
+        since = failover.choose_since(silence.moved, now)
         return known or soundness.find_suspects(
             silence.names, since, now, silence.flows
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -11,20 +11,20 @@
 from dunlintide_adapters import decisionlog
 from dunlintide_adapters import endpointhttp
 from dunlintide_core.pipeline import backlog as backlog_module
-from dunlintide_core.pipeline import crashers as crashers_module
 from dunlintide_core.pipeline import deployments
+from dunlintide_core.pipeline import durations as durations_module
+from dunlintide_core.pipeline import endpointhealth as endpointhealth_module
 from dunlintide_core.pipeline import endpoints as endpoints_module
 from dunlintide_core.pipeline import mechanisms
 from dunlintide_core.pipeline import occupancy as occupancy_module
 from dunlintide_core.pipeline import paces as paces_module
-from dunlintide_core.pipeline import pauses as pauses_module
 from dunlintide_core.pipeline import permits as permits_module
+from dunlintide_core.pipeline import poisonrequests as poisonrequests_module
 from dunlintide_core.pipeline import profiles
 from dunlintide_core.pipeline import ratelimits as ratelimits_module
-from dunlintide_core.pipeline import resends
-from dunlintide_core.pipeline import returns as returns_module
+from dunlintide_core.pipeline import refusalhistory as refusalhistory_module
+from dunlintide_core.pipeline import retrybudget
 from dunlintide_core.pipeline import settings as settings_module
-from dunlintide_core.pipeline import soundness as soundness_module
 from dunlintide_daemon.gateway import counters as counters_module
 
 __all__ = ['State']
@@ -83,15 +83,17 @@
     occupancy: occupancy_module.Occupancy = attrs.field(
         factory=occupancy_module.Occupancy
     )
-    soundness: soundness_module.Soundness = attrs.field(
-        factory=soundness_module.Soundness
+    soundness: endpointhealth_module.Soundness = attrs.field(
+        factory=endpointhealth_module.Soundness
     )
-    first_events: pauses_module.Pauses = attrs.field(
-        factory=pauses_module.Pauses
+    first_events: durations_module.Pauses = attrs.field(
+        factory=durations_module.Pauses
     )
-    pauses: pauses_module.Pauses = attrs.field(factory=pauses_module.Pauses)
-    event_times: pauses_module.Pauses = attrs.field(
-        factory=pauses_module.Pauses
+    pauses: durations_module.Pauses = attrs.field(
+        factory=durations_module.Pauses
+    )
+    event_times: durations_module.Pauses = attrs.field(
+        factory=durations_module.Pauses
     )
     paces: paces_module.Paces = attrs.field(factory=paces_module.Paces)
     rate_limits: ratelimits_module.RateLimits = attrs.field(
@@ -102,11 +104,11 @@
     slow_suspects: set[str] = attrs.field(factory=set)
     slow_suspected: asyncio.Event = attrs.field(factory=asyncio.Event)
     alarmed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    crashers: crashers_module.Crashers = attrs.field(
-        factory=crashers_module.Crashers
+    crashers: poisonrequests_module.Crashers = attrs.field(
+        factory=poisonrequests_module.Crashers
     )
-    returns: returns_module.Returns = attrs.field(
-        factory=returns_module.Returns
+    returns: refusalhistory_module.Returns = attrs.field(
+        factory=refusalhistory_module.Returns
     )
     random: random_module.Random = attrs.field(factory=random_module.Random)
     deployment: deployments.Deployment | None = None
@@ -124,7 +126,7 @@
     entries: set[str] = attrs.field(factory=set)
     others: set[str] = attrs.field(factory=set)
     backlogs: dict[str, backlog_module.Backlog] = attrs.field(factory=dict)
-    budgets: dict[str, resends.ResendBudget] = attrs.field(factory=dict)
+    budgets: dict[str, retrybudget.ResendBudget] = attrs.field(factory=dict)
     waking: set[str] = attrs.field(factory=set)
     stopping: bool = False
     stopping_at: float = 0.0
@@ -337,12 +339,12 @@
         """Give the queue of a service."""
         return self.backlogs.setdefault(service, backlog_module.Backlog())
 
-    def get_budget(self, service: str) -> resends.ResendBudget:
+    def get_budget(self, service: str) -> retrybudget.ResendBudget:
         """Give the budget of second sends for a service."""
         budget = self.budgets.get(service)
         if budget is None:
             retries = self.settings.retries
-            budget = resends.ResendBudget(
+            budget = retrybudget.ResendBudget(
                 retries.ratio, retries.slack, retries.window
             )
             self.budgets[service] = budget
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -7,7 +7,7 @@
 
 from dunlintide_core.pipeline import chains
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import returns
+from dunlintide_core.pipeline import refusalhistory
 from dunlintide_daemon.gateway import chainfinder
 from dunlintide_daemon.gateway import events
 from dunlintide_daemon.gateway import exchange as exchange_module
@@ -180,4 +180,4 @@
         pause = self._state.returns.choose_pause(now)
         pause *= self._state.random.uniform(*JITTER)
         left = max(0.1, exchange.deadline - now)
-        return min(pause, left * returns.LEFT_PART)
+        return min(pause, left * refusalhistory.LEFT_PART)
