--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -51,7 +51,7 @@
         self.engines = [each for each in engines if each.end > each.start]
         self.usages = usages
         self.demand = demand
-        self.crossing = chaincosts.make_crossing(
+        self.crossing = chaincosts.make_handoff_cost(
             PROFILE, demand, usages, avoids_pipes
         )
         cuts = {0, LAYERS}
@@ -70,14 +70,17 @@
         steps = self.demand.answer * step * card.step_factor
         read = self.demand.prompt / PROFILE.read_per_second * 1000.0
         busy = 1.0 + running / chaincosts.SEQUENCES_TO_DOUBLE
-        free = max(regions.LEAST_FREE, self.count_free(engine))
-        scarce = max(1.0, regions.AMPLE_PART / free)
+        free = max(regions.MIN_FREE, self.count_free(engine))
+        scarce = max(1.0, regions.AMPLE_FREE / free)
         whole = (steps + read * card.read_factor) * busy * scarce
         return whole / LAYERS * (end - begin)
 
     def count_given(self, engine):
         held = engine.end - engine.start
-        return PROFILE.count_cache(engine.kind, held) * chaincosts.ROOM_PART
+        return (
+            PROFILE.get_cache_capacity(engine.kind, held)
+            * chaincosts.MEMORY_FRACTION
+        )
 
     def count_free(self, engine):
         """Part of an engine's memory that is free; all if it has none."""
@@ -94,11 +97,11 @@
     def enter(self, engine, before):
         if before is not None:
             return self.crossing(before.domain, engine.domain)
-        slots = PROFILE.slots * chaincosts.SLOT_PART
+        slots = PROFILE.slots * chaincosts.SLOT_FRACTION
         if self.get_use(engine).started >= slots:
             return math.inf
         same = engine.domain == self.demand.domain
-        return 0.0 if same else chaincosts.ENTRY_CROSSING_MS
+        return 0.0 if same else chaincosts.REMOTE_ENTRY_PENALTY_MS
 
     def measure(self, hops):
         cost, before = 0.0, None
@@ -310,7 +313,7 @@
 
 @behave.given('the beliefs of an entry that uses {count:d} engines')
 def make_beliefs(context, count):
-    context.belief = endpointhealth.Soundness()
+    context.belief = endpointhealth.EndpointHealth()
     context.names = [f'e{index}' for index in range(count)]
     context.belief.report_progress(context.names, 0.0)
 
@@ -319,9 +322,9 @@
 def trouble(context, out, full):
     context.troubled = set(context.names[: out + full])
     for name in context.names[:out]:
-        context.belief.accuse(name, 1.0)
+        context.belief.eject(name, 1.0)
     for name in context.names[out : out + full]:
-        context.belief.refuse(name, 1.0)
+        context.belief.record_refusal(name, 1.0)
 
 
 @behave.then(
@@ -330,11 +333,11 @@
 def check_troubled(context, count):
     found = context.belief.list_unusable(1.1)
     assert found == context.troubled, found
-    assert len(context.belief._troubled) == count
+    assert len(context.belief._flagged) == count
 
 
 @behave.then('none is once their times are over')
 def check_recovered(context):
     context.belief.report_progress(context.names, 5.0)
     assert not context.belief.list_unusable(5.0)
-    assert not context.belief._troubled
+    assert not context.belief._flagged
--- a/features/steps/domains.py
+++ b/features/steps/domains.py
@@ -17,7 +17,7 @@
 
 
 def count_room(engine):
-    return PROFILE.count_cache(engine.kind, engine.end - engine.start)
+    return PROFILE.get_cache_capacity(engine.kind, engine.end - engine.start)
 
 
 class Entry:
--- a/features/steps/doubts.py
+++ b/features/steps/doubts.py
@@ -16,8 +16,8 @@
 )
 def check_judged_again(context, silence, limit):
     unclear = failover.Evidence.UNCLEAR
-    judgement = failover.judge(silence, context.limits, unclear)
-    assert not judgement.moves
+    judgement = failover.decide(silence, context.limits, unclear)
+    assert not judgement.should_move
     assert abs(judgement.limit - limit) < 1e-9, judgement
 
 
@@ -27,8 +27,8 @@
 )
 def check_moved_early(context, silence):
     suspects = failover.Evidence.SUSPECTS
-    judgement = failover.judge(silence, context.limits, suspects)
-    assert judgement.moves
+    judgement = failover.decide(silence, context.limits, suspects)
+    assert judgement.should_move
     assert judgement.limit > silence
 
 
@@ -37,18 +37,18 @@
 )
 def check_moved(context, silence):
     for evidence in failover.Evidence:
-        assert failover.judge(silence, context.limits, evidence).moves
+        assert failover.decide(silence, context.limits, evidence).should_move
 
 
 def believe(context):
     if not hasattr(context, 'belief'):
-        context.belief = endpointhealth.Soundness()
+        context.belief = endpointhealth.EndpointHealth()
     return context.belief
 
 
 @behave.when('engine "x" refuses a request at {at:f}')
 def refuse(context, at):
-    believe(context).refuse('x', at)
+    believe(context).record_refusal('x', at)
 
 
 @behave.when('work moves through it at {at:f}')
@@ -60,50 +60,50 @@
     'another entry tells of doubts about "x" at {first:f} and at {second:f}'
 )
 def tell(context, first, second):
-    believe(context).hear('x', first)
-    believe(context).hear('x', second)
+    believe(context).receive_ejection('x', first)
+    believe(context).receive_ejection('x', second)
 
 
 @behave.then('it is expected to refuse at {at:f}')
 def check_refusing(context, at):
-    assert context.belief.is_full('x', at)
+    assert context.belief.expects_refusal('x', at)
 
 
 @behave.then('it is not expected to refuse at {at:f}')
 def check_accepting(context, at):
-    assert not context.belief.is_full('x', at)
+    assert not context.belief.expects_refusal('x', at)
 
 
 @behave.then('it is left out at {at:f}')
 def check_left_out(context, at):
-    assert not context.belief.is_open('x', at)
+    assert not context.belief.is_usable('x', at)
 
 
 @behave.then('it is in use at {at:f}')
 def check_in_use(context, at):
-    assert context.belief.is_open('x', at)
+    assert context.belief.is_usable('x', at)
 
 
 @behave.then('other entries are told of it at {first:f}, and not at {then:f}')
 def check_told(context, first, then):
-    assert context.belief.list_doubted(first) == ['x']
-    assert context.belief.list_doubted(then) == []
+    assert context.belief.list_ejected(first) == ['x']
+    assert context.belief.list_ejected(then) == []
 
 
 @behave.then('other entries are not told of it at {at:f}')
 def check_not_told(context, at):
-    assert context.belief.list_doubted(at) == []
+    assert context.belief.list_ejected(at) == []
 
 
 @behave.when('engine "{name}", far from full, refuses a request at {now:f}')
 def refuse_roomy(context, name, now):
     context.name = name
-    believe(context).refuse(name, now, True)
+    believe(context).record_refusal(name, now, True)
 
 
 @behave.when('a request sent to it at {sent:f} runs')
 def accept(context, sent):
-    context.belief.accept([context.name], sent)
+    context.belief.record_accepted([context.name], sent)
 
 
 @behave.when(
@@ -113,7 +113,7 @@
 def hear_refusals(context, first, second, name):
     context.name = name
     for now in (first, second):
-        believe(context).hear_refusal(name, now)
+        believe(context).receive_refusing(name, now)
 
 
 @behave.then('other entries are told at {now:f} that it goes on refusing')
@@ -130,8 +130,8 @@
     'second sends of {count:d} in a window, all of which may be used'
 )
 def make_budget(context, count):
-    context.budget = retrybudget.ResendBudget(
-        0.0, count / retrybudget.SLACK_PART, 10.0
+    context.budget = retrybudget.RetryBudget(
+        0.0, count / retrybudget.SLACK_FRACTION, 10.0
     )
 
 
@@ -149,7 +149,7 @@
 
 @behave.then('it has taken nothing for {seconds:f} s at {now:f}')
 def check_measured(context, seconds, now):
-    measured = context.belief.measure_refusing(context.name, now)
+    measured = context.belief.get_refusing_seconds(context.name, now)
     assert abs(measured - seconds) < 1e-9, measured
 
 
@@ -157,8 +157,8 @@
 def check_said(context):
     # A wait that ends while nothing can be spent would spin for ever.
     for under_way in (True, False):
-        budget = retrybudget.ResendBudget(
-            0.0, 10 / retrybudget.SLACK_PART, 10.0
+        budget = retrybudget.RetryBudget(
+            0.0, 10 / retrybudget.SLACK_FRACTION, 10.0
         )
         for _ in range(11):
             said = budget.can_spend(1.0, under_way)
--- a/features/steps/flows.py
+++ b/features/steps/flows.py
@@ -35,7 +35,7 @@
 
     def __init__(self, streams, draw):
         self.streams = streams
-        self.belief = endpointhealth.Soundness()
+        self.belief = endpointhealth.EndpointHealth()
         self.next_message = DEATH - 1.0 + draw.uniform(0.0, MESSAGES)
         self.left_out = set()
 
@@ -48,44 +48,46 @@
             ):
                 self.move(stream, now)
             limits = failover.choose_limits(TARGET, TARGET)
-            if now - stream.moved >= limits.named:
+            if now - stream.moved >= limits.suspected:
                 self.judge(stream, limits, now)
 
     def move(self, stream, now):
         stream.moved, stream.next = now, now + stream.period
         if not stream.flows:
             stream.flows = True
-            self.belief.accept(stream.names, now)
+            self.belief.record_accepted(stream.names, now)
         self.belief.report_progress(stream.names, now)
 
     def judge(self, stream, limits, now):
         belief = self.belief
-        since = failover.choose_since(stream.moved, now)
-        suspects = belief.find_left_out(
+        since = failover.choose_stall_start(stream.moved, now)
+        suspects = belief.find_ejected(
             stream.names, now
         ) or belief.find_suspects(stream.names, since, now, stream.flows)
-        still = belief.find_still(stream.names, since)
-        evidence = failover.weigh(suspects, still)
-        if not failover.judge(now - stream.moved, limits, evidence).moves:
+        still = belief.find_stalled(stream.names, since)
+        evidence = failover.classify_evidence(suspects, still)
+        if not failover.decide(
+            now - stream.moved, limits, evidence
+        ).should_move:
             return
         stream.left = now
-        belief.end(stream.names, stream.flows)
+        belief.record_finished(stream.names, stream.flows)
         for name in suspects:
-            belief.accuse(name, now)
+            belief.eject(name, now)
             self.left_out.add(name)
 
     def tell(self, others, now):
         if now < self.next_message:
             return
         self.next_message += MESSAGES
-        flows = self.belief.list_flows(now)
+        flows = self.belief.list_progress_ages(now)
         for other in others:
             if other is self:
                 continue
             for name, age in flows.items():
-                other.belief.hear_flow(name, now - age, now)
-            for name in self.belief.list_doubted(now):
-                other.belief.hear(name, now)
+                other.belief.receive_progress(name, now - age, now)
+            for name in self.belief.list_ejected(now):
+                other.belief.receive_ejection(name, now)
 
 
 def choose_names(draw, engines):
@@ -186,7 +188,7 @@
 
 @behave.given('an entry with one stream that waits through engine "x"')
 def make_one(context):
-    context.belief = endpointhealth.Soundness()
+    context.belief = endpointhealth.EndpointHealth()
     context.belief.report_progress('abcd', 9.0)
 
 
@@ -196,7 +198,7 @@
 def flow(context, end):
     for count in range(4):
         told = end - count * MESSAGES
-        context.belief.hear_flow('x', told - max(PERIODS), told)
+        context.belief.receive_progress('x', told - max(PERIODS), told)
 
 
 @behave.then('nothing is suspected from {start:f} to {end:f}')
@@ -204,7 +206,7 @@
     now = start
     while now < end:
         for silence in (0.36, 0.5):
-            since = failover.choose_since(now - silence, now)
+            since = failover.choose_stall_start(now - silence, now)
             found = context.belief.find_suspects('abcdx', since, now, False)
             assert not found, (found, now)
         now += TICK
--- a/features/steps/layoutload.py
+++ b/features/steps/layoutload.py
@@ -84,7 +84,9 @@
 
     def measure(layer):
         return sum(
-            context.profile.count_cache(each.kind, each.end - each.start)
+            context.profile.get_cache_capacity(
+                each.kind, each.end - each.start
+            )
             / (each.end - each.start)
             for each in engines
             if each.start <= layer < each.end
@@ -122,7 +124,7 @@
         make_placements(context.engines),
         names,
         lambda name: 0.0,
-        steady=steady,
+        is_stable=steady,
     )
 
 
@@ -194,12 +196,12 @@
 
 def find_known(context, now):
     """Give what is known at a time, looking five times a second."""
-    known = demandpeaks.Demands()
+    known = demandpeaks.DemandPeaks()
     tokens = 0
     for step in range(int(now * 5) + 1):
         tokens = context.tokens.get(step / 5, tokens)
         known.observe('a', tokens, step / 5)
-    return known.list_known().get('a')
+    return known.list_peaks().get('a')
 
 
 @behave.then('nothing is known of their demand at {now:f} s')
--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -194,8 +194,8 @@
     (endpoint,) = beliefs.list_endpoints('llm')
     context.life = endpoint.name
     beliefs.accuse([endpoint.name], 'still', 's-1')
-    beliefs.soundness.refuse(endpoint.name, beliefs.now)
-    beliefs.crashers.report('request', endpoint.name, beliefs.now)
+    beliefs.soundness.record_refusal(endpoint.name, beliefs.now)
+    beliefs.crashers.record_broken_run('request', endpoint.name, beliefs.now)
     beliefs.mark_leaving(endpoint.name, 'two')
     context.ended = []
     beliefs.life_listeners.append(context.ended.append)
@@ -210,10 +210,14 @@
     assert endpoint.identity == name
     assert endpoint.start == endpoint.end == 0
     assert not endpoint.draining
-    assert not beliefs.soundness.is_full(endpoint.name, beliefs.now)
-    assert not beliefs.soundness.measure_doubt(endpoint.name, beliefs.now)
+    assert not beliefs.soundness.expects_refusal(endpoint.name, beliefs.now)
+    assert not beliefs.soundness.get_suspicion_seconds(
+        endpoint.name, beliefs.now
+    )
     # A break at the new life is another one than that at the old.
-    count = beliefs.crashers.report('request', endpoint.name, beliefs.now)
+    count = beliefs.crashers.record_broken_run(
+        'request', endpoint.name, beliefs.now
+    )
     assert count == 2, count
 
 
@@ -282,7 +286,7 @@
         for text in (found.service, found.domain):
             assert isinstance(text, str) and text
         assert isinstance(found.kind, str)
-        assert found.name == endpoints.name_life('i-1', found.born)
+        assert found.name == endpoints.name_incarnation('i-1', found.born)
 
     values = strategies.binary(max_size=64) | spoil_rows(SOUND)
     check_all(values | JSON.map(lambda row: json.dumps(row).encode()), check)
--- a/features/steps/lostengines.py
+++ b/features/steps/lostengines.py
@@ -33,7 +33,7 @@
         Run(names, 9.0 + period * index / count, period)
         for index in range(count)
     ]
-    context.belief = endpointhealth.Soundness()
+    context.belief = endpointhealth.EndpointHealth()
 
 
 @behave.given('{count:d} streams that share all of them but engine {dead:d}')
@@ -48,10 +48,10 @@
 
 @behave.given('the longest pause of a usual stream is {seconds:f} s')
 def set_usual(context, seconds):
-    seen = durations.Pauses()
-    for _ in range(durations.KEPT):
-        seen.note(seconds)
-    context.usual = seen.usual
+    seen = durations.DurationWindow()
+    for _ in range(durations.MAX_DURATIONS):
+        seen.record(seconds)
+    context.usual = seen.typical
 
 
 def play(context, dies, end):
@@ -65,27 +65,27 @@
             if now >= run.next and not dies(run, now):
                 run.moved, run.next = now, now + run.period
                 if not run.flows:
-                    context.belief.accept(run.names, now)
+                    context.belief.record_accepted(run.names, now)
                     run.flows = True
                 context.belief.report_progress(run.names, now)
             silence = now - run.moved
-            if silence >= limits.named:
+            if silence >= limits.suspected:
                 judge(context, run, silence, limits, now)
         now += TICK
 
 
 def judge(context, run, silence, limits, now):
-    since = failover.choose_since(run.moved, now)
-    suspects = context.belief.find_left_out(
+    since = failover.choose_stall_start(run.moved, now)
+    suspects = context.belief.find_ejected(
         run.names, now
     ) or context.belief.find_suspects(run.names, since, now, run.flows)
-    still = context.belief.find_still(run.names, since)
-    evidence = failover.weigh(suspects, still)
-    if failover.judge(silence, limits, evidence).moves:
+    still = context.belief.find_stalled(run.names, since)
+    evidence = failover.classify_evidence(suspects, still)
+    if failover.decide(silence, limits, evidence).should_move:
         run.left = now
-        context.belief.end(run.names, run.flows)
+        context.belief.record_finished(run.names, run.flows)
         for name in suspects:
-            context.belief.accuse(name, now)
+            context.belief.eject(name, now)
 
 
 @behave.when('the engine {dead:d} dies')
@@ -131,12 +131,12 @@
 
 @behave.then('no sound engine is left out')
 def check_none(context):
-    assert set(context.belief.list_doubted(DEATH + 0.5)) <= {'e4'}
+    assert set(context.belief.list_ejected(DEATH + 0.5)) <= {'e4'}
 
 
 @behave.then('engine {dead:d} alone is left out')
 def check_dead(context, dead):
-    assert context.belief.list_doubted(DEATH + 0.5) == [f'e{dead}']
+    assert context.belief.list_ejected(DEATH + 0.5) == [f'e{dead}']
 
 
 @behave.then(
@@ -145,5 +145,5 @@
 )
 def check_limits(context, target, named, unnamed):
     limits = failover.choose_limits(target, context.usual)
-    assert abs(limits.named - named) < 1e-9, limits
-    assert abs(limits.unnamed - unnamed) < 1e-9, limits
+    assert abs(limits.suspected - named) < 1e-9, limits
+    assert abs(limits.unclear - unnamed) < 1e-9, limits
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -56,7 +56,7 @@
 @behave.when('it leaves out an engine of domain "{domain}"')
 def leave_out(context, domain):
     name = find_name(context, domain)
-    context.state.soundness.accuse(name, context.state.now)
+    context.state.soundness.eject(name, context.state.now)
     tell_alarm(context)
 
 
@@ -96,7 +96,7 @@
     for endpoint in list(context.state.endpoints.values()):
         context.state.soundness.forget(endpoint.name)
     name = find_name(context, domain)
-    context.state.soundness.refuse(name, context.state.now)
+    context.state.soundness.record_refusal(name, context.state.now)
     tell_alarm(context)
 
 
--- a/features/steps/overload.py
+++ b/features/steps/overload.py
@@ -77,7 +77,7 @@
 
 
 def count_room(engine):
-    return PROFILE.count_cache(engine.kind, engine.end - engine.start)
+    return PROFILE.get_cache_capacity(engine.kind, engine.end - engine.start)
 
 
 def make_demand(domain='a'):
@@ -220,12 +220,12 @@
 
 @behave.given('a chain of {count:d} engines that stands still since {at:f}')
 def make_still(context, count, at):
-    context.belief = endpointhealth.Soundness()
+    context.belief = endpointhealth.EndpointHealth()
     context.names = [f'e{index}' for index in range(count)]
     context.since = at
     # The run that is judged and two others flow through each engine.
     for _ in range(3):
-        context.belief.accept(context.names, at)
+        context.belief.record_accepted(context.names, at)
     context.belief.report_progress(context.names, at)
 
 
@@ -260,7 +260,7 @@
 
 @behave.when('it loses its chain at {now:f}')
 def lose_chain(context, now):
-    context.place = waits.choose_place(
+    context.place = waits.choose_wait(
         now - 3.0, now, context.target, context.pause, True, False
     )
 
@@ -277,8 +277,8 @@
         if name not in widen
     }
     table = chaintable.ChainTable.from_engines(PROFILE, context.engines)
-    return bottlenecks.find_scarce(
-        table, table.everywhere, make_demand(), usages
+    return bottlenecks.find_bottlenecks(
+        table, table.all_domains, make_demand(), usages
     )
 
 
@@ -317,8 +317,10 @@
     table = chaintable.ChainTable.from_engines(PROFILE, context.engines)
     region = table.make_region(domain)
     usages = context.occupancy.usages
-    found = bottlenecks.find_scarce(table, region, make_demand(domain), usages)
-    assert found == [bottlenecks.Scarce(start, end, ())], found
-    assert not bottlenecks.find_scarce(
-        table, table.everywhere, make_demand(domain), usages
+    found = bottlenecks.find_bottlenecks(
+        table, region, make_demand(domain), usages
+    )
+    assert found == [bottlenecks.Bottleneck(start, end, ())], found
+    assert not bottlenecks.find_bottlenecks(
+        table, table.all_domains, make_demand(domain), usages
     )
--- a/features/steps/pipeline.py
+++ b/features/steps/pipeline.py
@@ -193,7 +193,7 @@
     'a chain through "x", "y" and "z" that stands still since {since:f}'
 )
 def make_still(context, since):
-    context.belief = endpointhealth.Soundness()
+    context.belief = endpointhealth.EndpointHealth()
     context.belief.report_progress('xyz', since)
     context.since = since
 
@@ -205,11 +205,11 @@
 
 @behave.then('only "y" is accused at {now:f}')
 def check_accused(context, now):
-    assert context.belief.find_still('xyz', context.since) == ['y']
-    assert context.belief.accuse('y', now)
-    assert not context.belief.accuse('y', now)
-    assert not context.belief.is_open('y', now)
-    assert context.belief.is_open('x', now)
+    assert context.belief.find_stalled('xyz', context.since) == ['y']
+    assert context.belief.eject('y', now)
+    assert not context.belief.eject('y', now)
+    assert not context.belief.is_usable('y', now)
+    assert context.belief.is_usable('x', now)
     context.accused = now
 
 
@@ -218,21 +218,21 @@
 )
 def check_trial(context):
     belief, now = context.belief, context.accused
-    assert not belief.is_open('y', now + 0.9)
-    assert belief.is_open('y', now + 1.1)
-    belief.begin('y')
-    assert not belief.is_open('y', now + 1.2)
+    assert not belief.is_usable('y', now + 0.9)
+    assert belief.is_usable('y', now + 1.1)
+    belief.record_sent('y')
+    assert not belief.is_usable('y', now + 1.2)
     belief.report_progress('y', now + 1.3)
-    assert belief.is_open('y', now + 1.4)
+    assert belief.is_usable('y', now + 1.4)
 
 
 @behave.then('a second failure leaves "y" out for 2 seconds')
 def check_second(context):
     belief, now = context.belief, context.accused + 1.5
-    belief.accuse('y', now)
-    belief.accuse('y', now + 1.1)
-    assert not belief.is_open('y', now + 1.1 + 1.9)
-    assert belief.is_open('y', now + 1.1 + 2.1)
+    belief.eject('y', now)
+    belief.eject('y', now + 1.1)
+    assert not belief.is_usable('y', now + 1.1 + 1.9)
+    assert belief.is_usable('y', now + 1.1 + 2.1)
 
 
 @behave.then(
@@ -255,7 +255,7 @@
 
     def make_budgets():
         return [
-            retrybudget.ResendBudget(ratio, slack, window, entries)
+            retrybudget.RetryBudget(ratio, slack, window, entries)
             for _ in range(entries)
         ]
 
@@ -269,7 +269,7 @@
         budget = draw.choice(budgets)
         # A storm from second 20 to 30, and little before and after.
         if 20 < now < 30 or draw.random() < 0.1:
-            budget.earn(now)
+            budget.record_request(now)
             asked.append(now)
         if budget.spend(now):
             sent.append(now)
@@ -282,43 +282,46 @@
 
 @behave.when('runs of a request broke at 2 endpoints')
 def break_two(context):
-    context.crashers = poisonrequests.Crashers()
-    context.crashers.report('r', 'one', 10.0)
-    context.crashers.report('r', 'two', 11.0)
+    context.crashers = poisonrequests.PoisonRequests()
+    context.crashers.record_broken_run('r', 'one', 10.0)
+    context.crashers.record_broken_run('r', 'two', 11.0)
 
 
 @behave.when('one more run of it broke at the first endpoint')
 def break_again(context):
-    context.crashers.report('r', 'one', 12.0)
+    context.crashers.record_broken_run('r', 'one', 12.0)
 
 
 @behave.when('a run of it broke at a third endpoint')
 def break_third(context):
-    context.crashers.report('r', 'three', 13.0)
+    context.crashers.record_broken_run('r', 'three', 13.0)
 
 
 @behave.then('it is not refused yet')
 def check_not_refused(context):
-    assert not context.crashers.is_refused('r', 12.5)
+    assert not context.crashers.is_poison('r', 12.5)
 
 
 @behave.then('it is refused, until 60 seconds have passed')
 def check_refused(context):
-    assert context.crashers.is_refused('r', 13.5)
-    assert not context.crashers.is_refused('other', 13.5)
-    assert not context.crashers.is_refused('r', 73.5)
+    assert context.crashers.is_poison('r', 13.5)
+    assert not context.crashers.is_poison('other', 13.5)
+    assert not context.crashers.is_poison('r', 73.5)
     answered = copy.deepcopy(context.crashers)
     assert answered.clear('r')
-    assert not answered.is_refused('r', 13.5)
-    answered.hear('r', 'one', 13.6)
-    assert not answered.is_refused('r', 13.7)
+    assert not answered.is_poison('r', 13.5)
+    answered.receive_broken_run('r', 'one', 13.6)
+    assert not answered.is_poison('r', 13.7)
 
 
 @behave.when('runs of a request broke at 3 endpoints of one entry')
 def break_at_one(context):
-    context.entries = [poisonrequests.Crashers(), poisonrequests.Crashers()]
+    context.entries = [
+        poisonrequests.PoisonRequests(),
+        poisonrequests.PoisonRequests(),
+    ]
     for name in ('one', 'two', 'three'):
-        context.entries[0].report('r', name, 0.0)
+        context.entries[0].record_broken_run('r', name, 0.0)
 
 
 @behave.when('two entries tell each other every 0.15 s for 64 s')
@@ -328,15 +331,15 @@
         now = turn * 0.15
         for teller, hearer in ((one, other), (other, one)):
             for pair in teller.list_recent(now - 3.0):
-                hearer.hear(*pair, now)
+                hearer.receive_broken_run(*pair, now)
         if turn == 1:
-            assert one.is_refused('r', now)
-            assert other.is_refused('r', now)
+            assert one.is_poison('r', now)
+            assert other.is_poison('r', now)
 
 
 @behave.then('neither of them refuses the request')
 def check_none_refuse(context):
-    assert not any(each.is_refused('r', 64.0) for each in context.entries)
+    assert not any(each.is_poison('r', 64.0) for each in context.entries)
 
 
 @behave.then('neither has anything left to tell')
@@ -347,17 +350,17 @@
 @behave.when('the first endpoint answers a request sent {when} its break')
 def answer_one(context, when):
     sent = {'before': 9.5, 'after': 13.0}[when]
-    context.crashers.clear_endpoint('one', sent)
+    context.crashers.clear_endpoint_runs('one', sent)
 
 
 @behave.when('the break at the first endpoint is told again')
 def tell_again(context):
-    context.crashers.hear('r', 'one', 13.4)
+    context.crashers.receive_broken_run('r', 'one', 13.4)
 
 
 @behave.then('it is not refused any more')
 def check_refused_no_more(context):
-    assert not context.crashers.is_refused('r', 13.5)
+    assert not context.crashers.is_poison('r', 13.5)
 
 
 @behave.then('any order of arrivals leaves by priority, standing and arrival')
@@ -365,13 +368,13 @@
     def check(ranks):
         queue = backlog.Backlog()
         waiters = []
-        for priority, standing in ranks:
-            ahead = queue.count_ahead(priority, standing)
-            waiter = queue.add(priority, standing, 1.0, lambda: None)
+        for priority, queue_class in ranks:
+            ahead = queue.count_ahead(priority, queue_class)
+            waiter = queue.add(priority, queue_class, 1.0, lambda: None)
             assert list(queue)[ahead] is waiter
             waiters.append(waiter)
         expected = sorted(
-            waiters, key=lambda w: (w.priority, w.standing, w.order)
+            waiters, key=lambda w: (w.priority, w.queue_class, w.arrival)
         )
         assert list(queue) == expected
         for waiter in waiters:
@@ -379,7 +382,7 @@
         assert not len(queue)
 
     ranks = strategies.tuples(
-        strategies.integers(0, 3), strategies.sampled_from(backlog.Standing)
+        strategies.integers(0, 3), strategies.sampled_from(backlog.QueueClass)
     )
     pipeline_scene.repeat(check, strategies.lists(ranks, max_size=10))
 
@@ -388,17 +391,17 @@
 def make_queue(context, count):
     context.queue = backlog.Backlog()
     for number in range(2 * count):
-        context.queue.note_served(8.0 + number / count)
+        context.queue.record_served(8.0 + number / count)
 
 
-def is_hopeless(
-    context, ahead, wait, now=9.95, standing=backlog.Standing.ON_TIME
+def exceeds_wait(
+    context, ahead, wait, now=9.95, queue_class=backlog.QueueClass.FRESH
 ):
     waiters = [
-        context.queue.add(1, standing, 20.0, lambda: None)
+        context.queue.add(1, queue_class, 20.0, lambda: None)
         for _ in range(ahead)
     ]
-    found = context.queue.is_hopeless(1, standing, now, now + wait)
+    found = context.queue.exceeds_wait(1, queue_class, now, now + wait)
     for waiter in waiters:
         context.queue.remove(waiter)
     return found
@@ -406,12 +409,12 @@
 
 @behave.then('a request with {ahead:d} ahead waits for {wait:f} seconds')
 def check_waits(context, ahead, wait):
-    assert not is_hopeless(context, ahead, wait)
+    assert not exceeds_wait(context, ahead, wait)
 
 
 @behave.then('a request with {ahead:d} ahead is refused at once')
 def check_refused_at_once(context, ahead):
-    assert is_hopeless(context, ahead, 0.3)
+    assert exceeds_wait(context, ahead, 0.3)
 
 
 @behave.then(
@@ -419,10 +422,10 @@
     ' while'
 )
 def check_first_waits(context, ahead):
-    assert not is_hopeless(context, ahead, 0.3, 30.0)
+    assert not exceeds_wait(context, ahead, 0.3, 30.0)
 
 
 @behave.then('a stream under way with {ahead:d} of its kind ahead waits')
 def check_under_way_waits(context, ahead):
-    standing = backlog.Standing.UNDER_WAY
-    assert not is_hopeless(context, ahead, 0.3, standing=standing)
+    queue_class = backlog.QueueClass.UNDER_WAY
+    assert not exceeds_wait(context, ahead, 0.3, queue_class=queue_class)
--- a/features/steps/pipeline_scene.py
+++ b/features/steps/pipeline_scene.py
@@ -69,7 +69,10 @@
 def make_use(engine, running, room):
     """Make a use of an engine that leaves so much memory."""
     held = engine.end - engine.start
-    given = PROFILE.count_cache(engine.kind, held) * chaincosts.ROOM_PART
+    given = (
+        PROFILE.get_cache_capacity(engine.kind, held)
+        * chaincosts.MEMORY_FRACTION
+    )
     return occupancy.Usage(running, 0, given - room)
 
 
--- a/features/steps/scarceengine.py
+++ b/features/steps/scarceengine.py
@@ -16,7 +16,7 @@
     '{count:d} entries that all need one engine with room for {room:d} streams'
 )
 def make_entries(context, count, room):
-    context.beliefs = [endpointhealth.Soundness() for _ in range(count)]
+    context.beliefs = [endpointhealth.EndpointHealth() for _ in range(count)]
     context.room = room
 
 
@@ -25,7 +25,9 @@
     context.could = context.room * seconds / STREAM_SECONDS
     play(context, rate, seconds, tells=False)
     context.untold = context.refused
-    context.beliefs = [endpointhealth.Soundness() for _ in context.beliefs]
+    context.beliefs = [
+        endpointhealth.EndpointHealth() for _ in context.beliefs
+    ]
     play(context, rate, seconds, tells=True)
 
 
@@ -40,7 +42,7 @@
         news = [told for told in news if told > now]
         for belief in context.beliefs if due and tells else ():
             part = draw.uniform(*gossip.FULL_PARTS)
-            belief.hear_full('x', now, part)
+            belief.receive_full('x', now, part)
         if draw.random() < rate * TICK:
             send(context, draw.choice(context.beliefs), ends, news, now)
         now += TICK
@@ -56,7 +58,7 @@
         ends.append(now + STREAM_SECONDS)
         return
     context.refused += 1
-    belief.refuse('x', now)
+    belief.record_refusal('x', now)
     news.append(now + NEWS_SECONDS)
 
 
--- a/packages/core/src/dunlintide_core/pipeline/availability.py
+++ b/packages/core/src/dunlintide_core/pipeline/availability.py
@@ -9,15 +9,18 @@
 import math
 from typing import Sequence
 
-__all__ = ['refused_share', 'tabulate']
+__all__ = [
+    'estimate_refused_share',
+    'tabulate_refused_shares',
+]
 
 # Share of the time for which an engine is out of use.
-OUTAGE = 0.1
+OUTAGE_FRACTION = 0.1
 # Demand against its estimate, at times of equal length. Bursts exceed it.
 DEMAND_SPREAD = (0.7, 1.0, 1.5)
 
 
-def refused_share(load: float) -> float:
+def estimate_refused_share(load: float) -> float:
     """Tell which share of streams finds no room.
 
     :param load: estimated demand against what there is room for; infinite
@@ -27,23 +30,29 @@
     return sum(shares) / len(shares)
 
 
-def _outage_odds(holders: int, working: int) -> float:
+def _get_working_probability(holders: int, working: int) -> float:
     ways = math.comb(holders, working)
-    return ways * (1 - OUTAGE) ** working * OUTAGE ** (holders - working)
+    return (
+        ways
+        * (1 - OUTAGE_FRACTION) ** working
+        * OUTAGE_FRACTION ** (holders - working)
+    )
 
 
 @functools.lru_cache(maxsize=4096)
-def tabulate(load: float, most: int) -> Sequence[float]:
+def tabulate_refused_shares(load: float, most: int) -> Sequence[float]:
     """List the expected share of refused streams by number of holders.
 
     :param load: demand against what one holder has room for
     :param most: holders up to which the list goes, from none
     """
     by_working = [1.0]
-    by_working += [refused_share(load / n) for n in range(1, most + 1)]
+    by_working += [
+        estimate_refused_share(load / n) for n in range(1, most + 1)
+    ]
     return [
         sum(
-            _outage_odds(holders, working) * by_working[working]
+            _get_working_probability(holders, working) * by_working[working]
             for working in range(holders + 1)
         )
         for holders in range(most + 1)
--- a/packages/core/src/dunlintide_core/pipeline/backlog.py
+++ b/packages/core/src/dunlintide_core/pipeline/backlog.py
@@ -16,17 +16,17 @@
 
 __all__ = [
     'Backlog',
-    'Standing',
+    'QueueClass',
     'Waiter',
 ]
 
 
-class Standing(enum.IntEnum):
+class QueueClass(enum.IntEnum):
     """What is at stake for a request; less goes first."""
 
     UNDER_WAY = 0
-    ON_TIME = 1
-    RETURNED = 2
+    FRESH = 1
+    RETRIED = 2
 
 
 @attrs.define(eq=False)
@@ -41,20 +41,20 @@
     """
 
     priority: int
-    standing: Standing
-    order: int
+    queue_class: QueueClass
+    arrival: int
     expires: float
     wake: Callable[[], None]
 
 
 def _rank(waiter: Waiter) -> tuple[int, int, int]:
-    return (waiter.priority, waiter.standing, waiter.order)
+    return (waiter.priority, waiter.queue_class, waiter.arrival)
 
 
 # Time over which the pace of the queue is measured, in seconds.
-PACE_SECONDS = 1.0
+RATE_WINDOW_SECONDS = 1.0
 # Requests that wait in any case: fewer tell nothing of the pace.
-LEAST_WAITERS = 2
+MIN_WAITERS = 2
 
 
 class Backlog:
@@ -62,7 +62,7 @@
 
     def __init__(self) -> None:
         self._waiters: list[Waiter] = []
-        self._order = 0
+        self._arrivals = 0
         self._served: collections.deque[float] = collections.deque()
 
     def __len__(self) -> int:
@@ -74,13 +74,13 @@
     def add(
         self,
         priority: int,
-        standing: Standing,
+        queue_class: QueueClass,
         expires: float,
         wake: Callable[[], None],
     ) -> Waiter:
         """Queue a request behind those of its rank."""
-        self._order += 1
-        waiter = Waiter(priority, standing, self._order, expires, wake)
+        self._arrivals += 1
+        waiter = Waiter(priority, queue_class, self._arrivals, expires, wake)
         bisect.insort(self._waiters, waiter, key=_rank)
         return waiter
 
@@ -89,17 +89,21 @@
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def note_served(self, now: float) -> None:
+    def record_served(self, now: float) -> None:
         """Take note that a request found its place.
 
         :param now: monotonic time in seconds
         """
         self._served.append(now)
-        while self._served[0] <= now - PACE_SECONDS:
+        while self._served[0] <= now - RATE_WINDOW_SECONDS:
             self._served.popleft()
 
-    def is_hopeless(
-        self, priority: int, standing: Standing, now: float, expires: float
+    def exceeds_wait(
+        self,
+        priority: int,
+        queue_class: QueueClass,
+        now: float,
+        expires: float,
     ) -> bool:
         """Tell whether those ahead take longer than a request may wait.
 
@@ -109,15 +113,17 @@
 
         :param expires: monotonic time until which it would wait
         """
-        if standing is Standing.UNDER_WAY:
+        if queue_class is QueueClass.UNDER_WAY:
             return False
-        ahead = self.count_ahead(priority, standing)
-        if ahead < LEAST_WAITERS:
+        ahead = self.count_ahead(priority, queue_class)
+        if ahead < MIN_WAITERS:
             return False
-        served = sum(1 for at in self._served if at > now - PACE_SECONDS)
-        return ahead * PACE_SECONDS > served * max(0.0, expires - now)
+        served = sum(
+            1 for at in self._served if at > now - RATE_WINDOW_SECONDS
+        )
+        return ahead * RATE_WINDOW_SECONDS > served * max(0.0, expires - now)
 
-    def count_ahead(self, priority: int, standing: Standing) -> int:
+    def count_ahead(self, priority: int, queue_class: QueueClass) -> int:
         """Count those that go before a new request."""
-        rank = (priority, standing, self._order + 1)
+        rank = (priority, queue_class, self._arrivals + 1)
         return sum(1 for each in self._waiters if _rank(each) < rank)
--- a/packages/core/src/dunlintide_core/pipeline/balance.py
+++ b/packages/core/src/dunlintide_core/pipeline/balance.py
@@ -10,10 +10,10 @@
 # Calls beyond its slots that an endpoint gets: with others' sums a little
 # old, fewer would leave slots empty, more would wait where they can't be
 # taken back.
-AHEAD = 1
+EXTRA_CALLS = 1
 # An endpoint in another failure domain must be this much emptier, as a
 # part of its slots.
-AWAY = 0.34
+REMOTE_PENALTY = 0.34
 
 
 def choose(
@@ -32,13 +32,13 @@
     best_cost = float('inf')
     for each in candidates:
         running = count(each.name)
-        if running >= each.slots + AHEAD:
+        if running >= each.slots + EXTRA_CALLS:
             continue
         cost = (running + random.random() * 0.1) / max(1, each.slots)
         if each.domain != domain:
-            cost += AWAY
+            cost += REMOTE_PENALTY
         if each.cold_ms > 0:
-            cost += AWAY
+            cost += REMOTE_PENALTY
         if cost < best_cost:
             best, best_cost = each, cost
     return best
--- a/packages/core/src/dunlintide_core/pipeline/bottlenecks.py
+++ b/packages/core/src/dunlintide_core/pipeline/bottlenecks.py
@@ -11,13 +11,13 @@
 from dunlintide_core.pipeline import regions
 
 __all__ = [
-    'Scarce',
-    'find_scarce',
+    'Bottleneck',
+    'find_bottlenecks',
 ]
 
 
 @attrs.frozen
-class Scarce:
+class Bottleneck:
     """Layers that no endpoint takes now.
 
     :ivar start: first layer
@@ -33,13 +33,13 @@
         return f'{self.start}-{self.end} of {len(self.holders)} holders'
 
 
-def find_scarce(
+def find_bottlenecks(
     table: chaintable.ChainTable,
     region: regions.Region,
     demand: chains.Demand,
     usages: Mapping[str, occupancy.Usage],
     unusable: AbstractSet[str] = frozenset(),
-) -> list[Scarce]:
+) -> list[Bottleneck]:
     """List the layers that no endpoint has room for.
 
     :param region: endpoints of the table that are looked at
@@ -55,5 +55,5 @@
             continue
         names = (region.engines[index].name for index in holders)
         usable = tuple(name for name in names if name not in unusable)
-        found.append(Scarce(start, end, usable))
+        found.append(Bottleneck(start, end, usable))
     return found
--- a/packages/core/src/dunlintide_core/pipeline/callerrequests.py
+++ b/packages/core/src/dunlintide_core/pipeline/callerrequests.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-__all__ = ['Ask']
+__all__ = ['CallerRequest']
 
 
 @attrs.frozen
-class Ask:
+class CallerRequest:
     """A request as the decisions see it.
 
     :ivar name: the caller's id of this attempt
--- a/packages/core/src/dunlintide_core/pipeline/chainsearch.py
+++ b/packages/core/src/dunlintide_core/pipeline/chainsearch.py
@@ -37,19 +37,19 @@
 # Best way to the end of a segment: its cost, the index of the engine that
 # runs the segment, the first layer of that engine's part and the way to that
 # layer. Ways and parts are plain tuples, as a choice makes hundreds of them.
-_Way = tuple[float, int, int, '_Way | None']
+_Route = tuple[float, int, int, '_Route | None']
 # A part that an engine has begun: the cost of the way to it less that of all
 # layers before it, so that the cost at any layer is this and the engine's
 # rate times it; its first layer; and the way to that layer.
-_Part = tuple[float, int, '_Way | None']
+_OpenHop = tuple[float, int, '_Route | None']
 # Ways to the end of a segment by index of the failure domain, the two
 # cheapest of each: an engine can't follow upon itself.
-_Ends = list[list[_Way]]
+_DomainRoutes = list[list[_Route]]
 # Engines that are not to run a segment, by segment.
-_Closed = Mapping[int, frozenset[int]]
-_NEVER: _Part = (math.inf, 0, None)
-_CALLER = -1
-_NO_ONE: frozenset[int] = frozenset()
+_Exclusions = Mapping[int, frozenset[int]]
+_NO_HOP: _OpenHop = (math.inf, 0, None)
+_NO_ENGINE = -1
+_NO_ENGINES: frozenset[int] = frozenset()
 
 
 class _Search:
@@ -60,8 +60,8 @@
         region: regions.Region,
         weights: regions.Weights,
         crossings: list[list[float]],
-        rest: list[float],
-        closed: _Closed,
+        remaining_costs: list[float],
+        excluded: _Exclusions,
     ) -> None:
         """Begin a search.
 
@@ -70,165 +70,167 @@
         :param closed: uses of engines that are ruled out
         """
         self._region = region
-        self._rest = rest
+        self._remaining_costs = remaining_costs
         self._weights = weights
         self._crossings = crossings
-        self._closed = closed
-        self._parts = [_NEVER] * len(region.engines)
+        self._excluded = excluded
+        self._open_hops = [_NO_HOP] * len(region.engines)
         # Parts begun by engines whose memory is short for all their layers,
         # of increasing begin and base: a later one counts once memory is
         # too short for those before it.
-        self._short: dict[int, list[_Part]] = {}
+        self._limited_hops: dict[int, list[_OpenHop]] = {}
 
-    def find(self, entries: list[float], bound: float) -> _Way | None:
+    def find(self, entry_costs: list[float], bound: float) -> _Route | None:
         """Find the cheapest way through all layers.
 
         :param entries: cost of beginning in a domain, by its index
         :param bound: cost from which on a way is of no use
         """
-        arrivals: list[_Way | None] = [
-            (cost, _CALLER, 0, None) for cost in entries
+        arrivals: list[_Route | None] = [
+            (cost, _NO_ENGINE, 0, None) for cost in entry_costs
         ]
-        ends = self._extend(0, arrivals, self._weights.full, [])
+        routes = self._extend(0, arrivals, self._weights.full, [])
         for segment in range(1, len(self._region.holders)):
-            least = min(
-                [ways[0][0] for ways in ends if ways], default=math.inf
+            min_cost = min(
+                [pair[0][0] for pair in routes if pair], default=math.inf
             )
-            if least + self._rest[segment] >= bound:
+            if min_cost + self._remaining_costs[segment] >= bound:
                 return None
-            arrivals = self._arrive_at(ends)
-            ends = self._extend(segment, arrivals, _NO_ONE, ends)
-        best = min((ways[0] for ways in ends if ways), default=None)
+            arrivals = self._find_arrivals(routes)
+            routes = self._extend(segment, arrivals, _NO_ENGINES, routes)
+        best = min((pair[0] for pair in routes if pair), default=None)
         return best if best is not None and best[0] < bound else None
 
-    def _arrive_at(self, ends: _Ends) -> list[_Way | None]:
+    def _find_arrivals(self, routes: _DomainRoutes) -> list[_Route | None]:
         """Give the cheapest way to each domain, passing on included."""
-        firsts = [
-            (source, ways[0]) for source, ways in enumerate(ends) if ways
+        best_routes = [
+            (source, pair[0]) for source, pair in enumerate(routes) if pair
         ]
-        if not firsts:
-            return [None] * len(ends)
-        arrivals: list[_Way | None] = []
-        for domain in range(len(ends)):
+        if not best_routes:
+            return [None] * len(routes)
+        arrivals: list[_Route | None] = []
+        for domain in range(len(routes)):
             cost, source = min(
-                (way[0] + self._crossings[source][domain], source)
-                for source, way in firsts
+                (route[0] + self._crossings[source][domain], source)
+                for source, route in best_routes
             )
-            way = ends[source][0] if cost < math.inf else None
-            arrivals.append((cost, *way[1:]) if way else None)
+            route = routes[source][0] if cost < math.inf else None
+            arrivals.append((cost, *route[1:]) if route else None)
         return arrivals
 
-    def _arrive_but(self, ends: _Ends, domain: int, but: int) -> _Way | None:
+    def _find_arrival_without(
+        self, routes: _DomainRoutes, domain: int, excluded_engine: int
+    ) -> _Route | None:
         """Give the cheapest way to a domain on which an engine is not last.
 
         :param but: index of the engine
         """
-        least, best = math.inf, None
-        for source, ways in enumerate(ends):
-            for way in ways:
-                if way[1] != but:
-                    cost = way[0] + self._crossings[source][domain]
-                    if cost < least:
-                        least, best = cost, way
+        min_cost, best = math.inf, None
+        for source, pair in enumerate(routes):
+            for route in pair:
+                if route[1] != excluded_engine:
+                    cost = route[0] + self._crossings[source][domain]
+                    if cost < min_cost:
+                        min_cost, best = cost, route
                     break
-        return (least, *best[1:]) if best else None
+        return (min_cost, *best[1:]) if best else None
 
     def _extend(
         self,
         segment: int,
-        arrivals: list[_Way | None],
+        arrivals: list[_Route | None],
         full: AbstractSet[int],
-        ends: _Ends,
-    ) -> _Ends:
+        routes: _DomainRoutes,
+    ) -> _DomainRoutes:
         """Extend the best ways by one segment.
 
         :param arrivals: cheapest way to its begin, by domain
         :param full: engines at which no chain may begin
         :param ends: ways to its begin
         """
-        region, parts = self._region, self._parts
+        region, parts = self._region, self._open_hops
         rates, rooms = self._weights.rates, self._weights.rooms
         begin, end = region.cuts[segment], region.cuts[segment + 1]
         length = end - begin
-        closed = self._closed.get(segment, _NO_ONE) | full
-        found: _Ends = [[] for _ in arrivals]
-        for holder in region.holders[segment]:
-            room = rooms[holder]
-            if room < length or holder in closed:
-                parts[holder] = _NEVER
-                self._short.pop(holder, None)
+        excluded = self._excluded.get(segment, _NO_ENGINES) | full
+        found: _DomainRoutes = [[] for _ in arrivals]
+        for engine in region.holders[segment]:
+            room = rooms[engine]
+            if room < length or engine in excluded:
+                parts[engine] = _NO_HOP
+                self._limited_hops.pop(engine, None)
                 continue
-            domain, rate = region.places[holder], rates[holder]
-            way = arrivals[domain]
-            if way is not None and way[1] == holder:
-                way = self._arrive_but(ends, domain, holder)
-            part = parts[holder]
-            if room < region.lengths[holder]:
-                part = self._choose_short(holder, way, begin, end)
-            elif way is not None and way[0] - rate * begin < part[0]:
-                before = way if segment else None
-                part = parts[holder] = (way[0] - rate * begin, begin, before)
+            domain, rate = region.domain_indices[engine], rates[engine]
+            route = arrivals[domain]
+            if route is not None and route[1] == engine:
+                route = self._find_arrival_without(routes, domain, engine)
+            part = parts[engine]
+            if room < region.lengths[engine]:
+                part = self._choose_limited_hop(engine, route, begin, end)
+            elif route is not None and route[0] - rate * begin < part[0]:
+                prior = route if segment else None
+                part = parts[engine] = (route[0] - rate * begin, begin, prior)
             cost = part[0] + rate * end
             best = found[domain]
             if cost < math.inf and (len(best) < 2 or cost < best[1][0]):
-                _insert(best, (cost, holder, part[1], part[2]))
+                _insert_route(best, (cost, engine, part[1], part[2]))
         return found
 
-    def _choose_short(
-        self, holder: int, way: _Way | None, begin: int, end: int
-    ) -> _Part:
+    def _choose_limited_hop(
+        self, engine: int, route: _Route | None, begin: int, end: int
+    ) -> _OpenHop:
         """Find the best part to go on with where memory is short.
 
         :param way: cheapest way to the begin of the segment, if any
         """
-        begun = self._short.setdefault(holder, [])
-        if way is not None:
-            base = way[0] - self._weights.rates[holder] * begin
-            while begun and begun[-1][0] > base:
-                del begun[-1]
-            begun.append((base, begin, way if begin else None))
-        room = self._weights.rooms[holder]
-        while begun and end - begun[0][1] > room:
-            del begun[0]
-        return begun[0] if begun else _NEVER
-
-
-def _insert(best: list[_Way], way: _Way) -> None:
+        open_hops = self._limited_hops.setdefault(engine, [])
+        if route is not None:
+            base = route[0] - self._weights.rates[engine] * begin
+            while open_hops and open_hops[-1][0] > base:
+                del open_hops[-1]
+            open_hops.append((base, begin, route if begin else None))
+        room = self._weights.rooms[engine]
+        while open_hops and end - open_hops[0][1] > room:
+            del open_hops[0]
+        return open_hops[0] if open_hops else _NO_HOP
+
+
+def _insert_route(best: list[_Route], route: _Route) -> None:
     """Take in a way that is one of the two cheapest."""
-    if best and way[0] >= best[0][0]:
-        best[1:] = [way]
+    if best and route[0] >= best[0][0]:
+        best[1:] = [route]
     else:
-        best[:] = [way, *best[:1]]
+        best[:] = [route, *best[:1]]
 
 
-def _trace(way: _Way, layers: int) -> list[tuple[int, int, int]]:
+def _list_parts(route: _Route, layers: int) -> list[tuple[int, int, int]]:
     """List index, first layer and end of each part of a way."""
     parts = []
-    current: _Way | None = way
+    current: _Route | None = route
     end = layers
     while current is not None:
-        _, holder, begin, current = current
-        parts.append((holder, begin, end))
+        _, engine, begin, current = current
+        parts.append((engine, begin, end))
         end = begin
     parts.reverse()
     return parts
 
 
-def _find_repeat(
+def _find_repeated_engine(
     parts: list[tuple[int, int, int]],
 ) -> tuple[int, int, int] | None:
     """Find an engine with two parts: its index, the first begin, the end."""
     seen: dict[int, int] = {}
-    for holder, begin, end in parts:
-        if holder in seen:
-            return holder, seen[holder], end
-        seen[holder] = begin
+    for engine, begin, end in parts:
+        if engine in seen:
+            return engine, seen[engine], end
+        seen[engine] = begin
     return None
 
 
-def _close_ways(
+def _exclude_repeat(
     region: regions.Region, repeat: tuple[int, int, int]
-) -> list[_Closed]:
+) -> list[_Exclusions]:
     """List what to rule out so that an engine is used in one piece.
 
     It is left out where its first part begins, or where its last one ends,
@@ -236,21 +238,21 @@
 
     :param repeat: engine, begin of its first part, end of its last one
     """
-    holder, begin, end = repeat
+    engine, begin, end = repeat
     first = region.cuts.index(begin)
     last = region.cuts.index(end) - 1
-    one = frozenset({holder})
+    only = frozenset({engine})
     alone = {
-        segment: frozenset(region.holders[segment]) - one
+        segment: frozenset(region.holders[segment]) - only
         for segment in range(first, last + 1)
     }
-    return [{first: one}, {last: one}, alone]
+    return [{first: only}, {last: only}, alone]
 
 
-def _merge(closed: _Closed, more: _Closed) -> _Closed:
-    merged = dict(closed)
+def _merge_exclusions(excluded: _Exclusions, more: _Exclusions) -> _Exclusions:
+    merged = dict(excluded)
     for segment, holders in more.items():
-        merged[segment] = merged.get(segment, _NO_ONE) | holders
+        merged[segment] = merged.get(segment, _NO_ENGINES) | holders
     return merged
 
 
@@ -258,8 +260,8 @@
     region: regions.Region, cost: float, parts: list[tuple[int, int, int]]
 ) -> Path:
     hops = tuple(
-        endpoints_module.Hop(region.engines[holder], begin, end)
-        for holder, begin, end in parts
+        endpoints_module.Hop(region.engines[engine], begin, end)
+        for engine, begin, end in parts
     )
     return Path(cost, hops)
 
@@ -267,7 +269,7 @@
 def find_path(
     region: regions.Region,
     weights: regions.Weights,
-    crossing: chaincosts.Crossing,
+    crossing: chaincosts.HandoffCost,
     entry: str,
     bound: float = math.inf,
 ) -> Path | None:
@@ -279,30 +281,34 @@
     :param entry: failure domain in which a chain begins without a surcharge
     :param bound: cost from which on a chain is of no use, in ms
     """
-    names = region.domains
-    entries = [
-        0.0 if name == entry else chaincosts.ENTRY_CROSSING_MS
-        for name in names
+    domains = region.domains
+    entry_costs = [
+        0.0 if name == entry else chaincosts.REMOTE_ENTRY_PENALTY_MS
+        for name in domains
     ]
-    crossings = [[crossing(one, other) for other in names] for one in names]
-    rest = region.bound(weights, min(map(min, crossings)))
-    if min(entries) + rest[0] >= bound:
+    crossings = [
+        [crossing(source, domain) for domain in domains] for source in domains
+    ]
+    remaining_costs = region.bound(weights, min(map(min, crossings)))
+    if min(entry_costs) + remaining_costs[0] >= bound:
         return None
-    waiting: list[_Closed] = [{}]
+    pending: list[_Exclusions] = [{}]
     best: Path | None = None
     for _ in range(MAX_SEARCHES):
-        if not waiting:
+        if not pending:
             break
-        closed = waiting.pop()
-        search = _Search(region, weights, crossings, rest, closed)
-        way = search.find(entries, best.cost if best else bound)
-        if way is None:
+        excluded = pending.pop()
+        search = _Search(region, weights, crossings, remaining_costs, excluded)
+        route = search.find(entry_costs, best.cost if best else bound)
+        if route is None:
             continue
-        parts = _trace(way, region.cuts[-1])
-        repeat = _find_repeat(parts)
+        parts = _list_parts(route, region.cuts[-1])
+        repeat = _find_repeated_engine(parts)
         if repeat is not None:
-            ruled_out = _close_ways(region, repeat)
-            waiting += [_merge(closed, more) for more in ruled_out]
+            exclusions = _exclude_repeat(region, repeat)
+            pending += [
+                _merge_exclusions(excluded, more) for more in exclusions
+            ]
         elif len(parts) <= chains.MAX_HOPS:
-            best = _make_path(region, way[0], parts)
+            best = _make_path(region, route[0], parts)
     return best
--- a/packages/core/src/dunlintide_core/pipeline/chaintable.py
+++ b/packages/core/src/dunlintide_core/pipeline/chaintable.py
@@ -39,8 +39,8 @@
     profile: profiles.EngineProfile
     engines: regions.EngineSet
     domains: Mapping[str, regions.Region]
-    floors: Mapping[str, regions.Floor]
-    everywhere: regions.Region
+    min_times: Mapping[str, regions.MinTimes]
+    all_domains: regions.Region
 
     @classmethod
     def from_engines(
@@ -58,12 +58,14 @@
             regions.Region.from_domains, chosen.engines, layers=profile.layers
         )
         built = {name: make([name]) for name in names}
-        whole = {name: each for name, each in built.items() if each.is_whole}
-        floors = {
-            name: chosen.find_floor(each.list_layer_holders())
-            for name, each in whole.items()
+        complete = {
+            name: each for name, each in built.items() if each.is_complete
         }
-        return cls(profile, chosen, whole, floors, make(names))
+        min_times = {
+            name: chosen.find_min_times(each.list_layer_holders())
+            for name, each in complete.items()
+        }
+        return cls(profile, chosen, complete, min_times, make(names))
 
     def make_region(self, domain: str) -> regions.Region:
         """Prepare the engines of one domain, whole or not."""
@@ -89,34 +91,34 @@
             that are slow, by name
         """
         times = chaincosts.LayerTimes.from_demand(self.profile, demand)
-        crossing = chaincosts.make_crossing(
+        crossing = chaincosts.make_handoff_cost(
             self.profile, demand, usages, avoids_pipes
         )
 
-        weights = self.engines.begin_weights(usages)
-        weighed: set[int] = set()
+        weights = self.engines.make_unusable_weights(usages)
+        weighed_engines: set[int] = set()
 
         def find(
-            region: regions.Region, least: float = math.inf
+            region: regions.Region, max_cost: float = math.inf
         ) -> chainsearch.Path | None:
-            members = region.members.difference(weighed)
-            weighed.update(members)
+            members = region.members.difference(weighed_engines)
+            weighed_engines.update(members)
             self.engines.weigh_members(
                 weights, members, times, demand.tokens, usages, unusable
             )
-            self.engines.slow_down(weights, members, paces)
+            self.engines.apply_paces(weights, members, paces)
             return chainsearch.find_path(
-                region, weights, crossing, demand.domain, least
+                region, weights, crossing, demand.domain, max_cost
             )
 
         best = None
         if avoids_pipes:
-            best = self._find_within(demand.domain, times, find)
-        if best is None and self.everywhere.is_whole:
-            best = find(self.everywhere)
+            best = self._find_within_domain(demand.domain, times, find)
+        if best is None and self.all_domains.is_complete:
+            best = find(self.all_domains)
         return best.hops if best else None
 
-    def _find_within(
+    def _find_within_domain(
         self,
         domain: str,
         times: chaincosts.LayerTimes,
@@ -130,15 +132,15 @@
         """
         own = self.domains.get(domain)
         best = find(own) if own else None
-        least = math.inf
+        max_cost = math.inf
         if best is not None:
-            least = best.cost / chaincosts.OTHER_DOMAIN_FACTOR
+            max_cost = best.cost / chaincosts.OTHER_DOMAIN_FACTOR
         for name, region in self.domains.items():
             # Engines of a domain that could not do better if they were idle
             # are not looked at.
-            if region is own or self.floors[name].bound(times) >= least:
+            if region is own or self.min_times[name].bound(times) >= max_cost:
                 continue
-            found = find(region, least)
+            found = find(region, max_cost)
             if found is not None:
-                best, least = found, found.cost
+                best, max_cost = found, found.cost
         return best
--- a/packages/core/src/dunlintide_core/pipeline/coverage.py
+++ b/packages/core/src/dunlintide_core/pipeline/coverage.py
@@ -20,14 +20,14 @@
 SPEED_POWER = 4.0
 # Cost of a layer that no engine of any failure domain holds, against one that
 # only this domain lacks: no stream is served at all.
-NOWHERE_COST = 10.0
+UNHELD_COST = 10.0
 # Cost of each first endpoint that a failure domain lacks.
-FIRST_COST = 0.2
+MISSING_FIRST_COST = 0.2
 # Cost of an edge at which no other range begins or ends. Where ranges join,
 # chains have fewer parts and are found sooner.
 EDGE_COST = 0.005
 # Least gain for which a range is preferred to one that begins sooner.
-_LEAST_GAIN = 1e-9
+_MIN_GAIN = 1e-9
 
 
 class Coverage:
@@ -36,7 +36,7 @@
     def __init__(
         self,
         profile: profiles.EngineProfile,
-        plan: cacheplans.RoomPlan,
+        plan: cacheplans.CachePlan,
         elsewhere: Sequence[int],
     ) -> None:
         """Begin without holders.
@@ -47,7 +47,7 @@
         self._profile = profile
         self._plan = plan
         self._elsewhere = elsewhere
-        self._most = len(plan.refused) - 1
+        self._max_holders = len(plan.refused_shares) - 1
         step = profile.usual_answer * profile.step_ms / 1000.0
         self._time_cost = LOSS_RATE * step / profile.layers
         self._counts = [0] * profile.layers
@@ -56,7 +56,8 @@
         self._edges = [0] * (profile.layers + 1)
         self._edges[0] = self._edges[-1] = 1
         self._costs = [
-            self._measure(layer, 0, 0.0) for layer in range(profile.layers)
+            self._get_layer_cost(layer, 0, 0.0)
+            for layer in range(profile.layers)
         ]
 
     @property
@@ -71,35 +72,37 @@
 
     def change(self, kind: str, start: int, end: int, sign: int = 1) -> None:
         """Add a holder of a range, or take it off with -1."""
-        speed = sign * self._weigh_speed(kind)
+        speed = sign * self._get_speed(kind)
         self._edges[start] += sign
         self._edges[end] += sign
         for layer in range(start, end):
             self._counts[layer] += sign
             self._speeds[layer] += speed
-            self._costs[layer] = self._measure(
+            self._costs[layer] = self._get_layer_cost(
                 layer, self._counts[layer], self._speeds[layer]
             )
 
-    def _weigh_speed(self, kind: str) -> float:
+    def _get_speed(self, kind: str) -> float:
         return self._profile.accelerators[kind].step_factor ** -SPEED_POWER
 
-    def _measure(self, layer: int, count: int, speed: float) -> float:
+    def _get_layer_cost(self, layer: int, count: int, speed: float) -> float:
         """Tell what a layer costs with so many holders.
 
         :param speed: sum of their weighed speeds
         """
         plan = self._plan
-        count = min(max(0, count), self._most)
+        count = min(max(0, count), self._max_holders)
         if count:
             # The layers of a part of a chain are lost together.
-            cost = plan.refused[count] / plan.part
+            cost = plan.refused_shares[count] / plan.mean_layers
             cost += self._time_cost * speed ** (-1.0 / SPEED_POWER)
         else:
-            cost = 1.0 if self._elsewhere[layer] else 1.0 + NOWHERE_COST
+            cost = 1.0 if self._elsewhere[layer] else 1.0 + UNHELD_COST
         if not layer:
-            cost += plan.refused_first[count]
-            cost += FIRST_COST * max(0, plan.least_first - count)
+            cost += plan.first_refused_shares[count]
+            cost += MISSING_FIRST_COST * max(
+                0, plan.min_first_endpoints - count
+            )
         return cost
 
     def choose_start(
@@ -111,22 +114,27 @@
         :param current: start that is kept unless another is better
         :returns: its first layer, and what it is worth
         """
-        speed = self._weigh_speed(kind)
-        counts, speeds, measure = self._counts, self._speeds, self._measure
+        speed = self._get_speed(kind)
+        counts, speeds, get_layer_cost = (
+            self._counts,
+            self._speeds,
+            self._get_layer_cost,
+        )
         gains = (
-            cost - measure(layer, counts[layer] + 1, speeds[layer] + speed)
+            cost
+            - get_layer_cost(layer, counts[layer] + 1, speeds[layer] + speed)
             for layer, cost in enumerate(self._costs)
         )
         sums = [0.0, *itertools.accumulate(gains)]
         edges = [0.0 if count else EDGE_COST for count in self._edges]
-        worth = [
+        gains_by_start = [
             after - before - begin - end
             for before, after, begin, end in zip(
                 sums, sums[size:], edges, edges[size:]
             )
         ]
         best = current
-        for start, gain in enumerate(worth):
-            if gain > worth[best] + _LEAST_GAIN:
+        for start, gain in enumerate(gains_by_start):
+            if gain > gains_by_start[best] + _MIN_GAIN:
                 best = start
-        return best, worth[best]
+        return best, gains_by_start[best]
--- a/packages/core/src/dunlintide_core/pipeline/demandpeaks.py
+++ b/packages/core/src/dunlintide_core/pipeline/demandpeaks.py
@@ -9,17 +9,17 @@
 
 import attrs
 
-__all__ = ['Demands']
+__all__ = ['DemandPeaks']
 
 # Time over which a peak that does not come again loses half of its height, in
 # seconds.
-HALF_SECONDS = 30.0
+HALF_LIFE_SECONDS = 30.0
 # Time for which streams must have been seen before anything is told, in
 # seconds: until the first ones end, there are fewer than usual.
-LEAST_SECONDS = 6.0
+MIN_OBSERVED_SECONDS = 6.0
 # Peaks are told in steps of this factor, so that a layout does not change
 # with every stream.
-STEP = 1.25
+ROUNDING_FACTOR = 1.25
 
 
 @attrs.define
@@ -35,7 +35,7 @@
     seen: float
 
 
-class Demands:
+class DemandPeaks:
     """Peaks of the tokens in flight, by failure domain."""
 
     def __init__(self) -> None:
@@ -52,16 +52,17 @@
             if tokens > 0:
                 self._peaks[domain] = _Peak(tokens, now, now)
             return
-        faded = 0.5 ** ((now - peak.seen) / HALF_SECONDS)
+        faded = 0.5 ** ((now - peak.seen) / HALF_LIFE_SECONDS)
         peak.tokens = max(tokens, peak.tokens * faded)
         peak.seen = now
 
-    def list_known(self) -> Mapping[str, float]:
+    def list_peaks(self) -> Mapping[str, float]:
         """Give the tokens in flight at the peaks, where they are known."""
         return {
-            domain: STEP ** math.ceil(math.log(peak.tokens, STEP))
+            domain: ROUNDING_FACTOR
+            ** math.ceil(math.log(peak.tokens, ROUNDING_FACTOR))
             for domain, peak in self._peaks.items()
-            if peak.seen - peak.began >= LEAST_SECONDS
+            if peak.seen - peak.began >= MIN_OBSERVED_SECONDS
         }
 
     def clear(self) -> None:
--- a/packages/core/src/dunlintide_core/pipeline/durations.py
+++ b/packages/core/src/dunlintide_core/pipeline/durations.py
@@ -5,37 +5,37 @@
 
 import attrs
 
-__all__ = ['Pauses']
+__all__ = ['DurationWindow']
 
 # Runs that are looked back on: the last seconds of an entry's streams.
-KEPT = 128
+MAX_DURATIONS = 128
 # Runs without which nothing is said.
-LEAST = 16
+MIN_DURATIONS = 16
 # Part of the runs whose pauses count as usual. An engine's loss holds up
 # every fifth run of an entry at most, and is not usual.
-USUAL_PART = 0.75
+TYPICAL_QUANTILE = 0.75
 
 
 @attrs.define
-class Pauses:
+class DurationWindow:
     """Longest pauses of the last runs."""
 
-    _kept: collections.deque[float] = attrs.field(
-        factory=lambda: collections.deque(maxlen=KEPT), init=False
+    _recent: collections.deque[float] = attrs.field(
+        factory=lambda: collections.deque(maxlen=MAX_DURATIONS), init=False
     )
-    _usual: float | None = attrs.field(default=None, init=False)
+    _typical: float | None = attrs.field(default=None, init=False)
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take note of the longest pause of a run."""
-        self._kept.append(seconds)
-        self._usual = None
+        self._recent.append(seconds)
+        self._typical = None
 
     @property
-    def usual(self) -> float | None:
+    def typical(self) -> float | None:
         """The longest pause of a usual run, in seconds, None if unknown."""
-        if len(self._kept) < LEAST:
+        if len(self._recent) < MIN_DURATIONS:
             return None
-        if self._usual is None:
-            place = math.ceil(len(self._kept) * USUAL_PART) - 1
-            self._usual = sorted(self._kept)[place]
-        return self._usual
+        if self._typical is None:
+            index = math.ceil(len(self._recent) * TYPICAL_QUANTILE) - 1
+            self._typical = sorted(self._recent)[index]
+        return self._typical
--- a/packages/core/src/dunlintide_core/pipeline/endpoints.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpoints.py
@@ -6,7 +6,7 @@
     'Endpoint',
     'Hop',
     'covers_exactly',
-    'name_life',
+    'name_incarnation',
 ]
 
 
@@ -43,7 +43,7 @@
     born: int | None = None
     reports: int = attrs.field(default=0, eq=False)
 
-    def serves_like(self, other: 'Endpoint') -> bool:
+    def accepts_same_requests(self, other: 'Endpoint') -> bool:
         """Tell whether it takes the same requests as another state of it."""
         return (
             self.draining == other.draining
@@ -53,7 +53,7 @@
             and (self.start, self.end) == (other.start, other.end)
         )
 
-    def is_older(self, other: 'Endpoint') -> bool:
+    def is_superseded_by(self, other: 'Endpoint') -> bool:
         """Tell whether another life of it began later.
 
         One that does not tell its birth is older than one that does: an
@@ -64,7 +64,7 @@
         return self.born is None or self.born < other.born
 
 
-def name_life(identity: str, born: int | None) -> str:
+def name_incarnation(identity: str, born: int | None) -> str:
     """Name one life of an endpoint, so that nothing is kept over lives.
 
     :param born: start of the life, None if it is not told
--- a/packages/core/src/dunlintide_core/pipeline/layout.py
+++ b/packages/core/src/dunlintide_core/pipeline/layout.py
@@ -29,10 +29,10 @@
 MOVE_SECONDS = 10.0
 # Least worth of a move, in seconds of a domain's streams, so that weights
 # are not loaded for a layout that is hardly better.
-LEAST_WORTH = 0.1
+MIN_WORTH_SECONDS = 0.1
 # Least worth while engines come and go, when one that returns may soon hold
 # what is scarce: that of a layer that nobody holds.
-GAP_WORTH = 5.0
+MIN_UNSTABLE_WORTH_SECONDS = 5.0
 # Time for which streams go on to use the layers that an engine gives up, in
 # seconds; new ones are loaded after it.
 RELEASE_SECONDS = 2.0
@@ -62,8 +62,8 @@
     :ivar cover: holders of its layers
     """
 
-    plan: cacheplans.RoomPlan
-    cover: coverage.Coverage
+    plan: cacheplans.CachePlan
+    coverage_state: coverage.Coverage
 
 
 def _count_elsewhere(
@@ -98,12 +98,12 @@
     # A domain also takes the streams of others that lose their chains.
     estimate = cacheplans.estimate_demand(profile, kinds)
     demand = max(estimate, demands.get(name, 0.0))
-    plan = cacheplans.plan_room(profile, kinds, demand)
+    plan = cacheplans.plan_cache(profile, kinds, demand)
     elsewhere = _count_elsewhere(profile, holding, name)
-    cover = coverage.Coverage(profile, plan, elsewhere)
+    coverage_state = coverage.Coverage(profile, plan, elsewhere)
     for each in own:
-        cover.change(each.endpoint.kind, each.start, each.end)
-    return _Domain(plan, cover)
+        coverage_state.change(each.endpoint.kind, each.start, each.end)
+    return _Domain(plan, coverage_state)
 
 
 def plan_new(
@@ -129,37 +129,41 @@
         new = [each for each in usable if each.domain == name]
         held = [*known, *placements]
         domain = _make_domain(profile, name, held, new, demands or {})
-        placements += _place(profile, domain, new)
+        placements += _place_new(profile, domain, new)
     return placements
 
 
-def _place(
+def _place_new(
     profile: profiles.EngineProfile,
     domain: _Domain,
     empty: Iterable[endpoints_module.Endpoint],
 ) -> list[Placement]:
     """Place the empty engines of a failure domain, then improve on it."""
-    cover = domain.cover
+    coverage_state = domain.coverage_state
     placed = []
     for engine in sorted(empty, key=_make_order(profile)):
-        size = cacheplans.count_layers(profile, engine.kind, domain.plan.room)
-        start, _ = cover.choose_start(engine.kind, size)
-        cover.change(engine.kind, start, start + size)
+        size = cacheplans.count_layers(
+            profile, engine.kind, domain.plan.cache_tokens
+        )
+        start, _ = coverage_state.choose_start(engine.kind, size)
+        coverage_state.change(engine.kind, start, start + size)
         placed.append(Placement(engine, start, start + size))
     for _ in range(MAX_ROUNDS):
-        again = [_place_again(cover, each) for each in placed]
+        again = [_reposition(coverage_state, each) for each in placed]
         if again == placed:
             break
         placed = again
     return placed
 
 
-def _place_again(cover: coverage.Coverage, placed: Placement) -> Placement:
+def _reposition(
+    coverage_state: coverage.Coverage, placed: Placement
+) -> Placement:
     """Move an engine to where it is worth most beside all others."""
     kind = placed.endpoint.kind
-    cover.change(kind, placed.start, placed.end, -1)
-    start, _ = cover.choose_start(kind, placed.size, placed.start)
-    cover.change(kind, start, start + placed.size)
+    coverage_state.change(kind, placed.start, placed.end, -1)
+    start, _ = coverage_state.choose_start(kind, placed.size, placed.start)
+    coverage_state.change(kind, start, start + placed.size)
     return Placement(placed.endpoint, start, start + placed.size)
 
 
@@ -179,7 +183,7 @@
 
     before: Placement
     after: Placement
-    worth: float
+    net_worth: float
 
 
 def plan_moves(
@@ -188,7 +192,7 @@
     movable: Container[str],
     count_use: Callable[[str], float],
     demands: Mapping[str, float] | None = None,
-    steady: bool = True,
+    is_stable: bool = True,
 ) -> list[Placement]:
     """Move engines to layers that their failure domain lacks.
 
@@ -210,7 +214,7 @@
         for each in holding
         if each.endpoint.kind in profile.accelerators and each.size > 0
     ]
-    least = LEAST_WORTH if steady else GAP_WORTH
+    least = MIN_WORTH_SECONDS if is_stable else MIN_UNSTABLE_WORTH_SECONDS
     moves: list[Placement] = []
     for name in sorted({each.endpoint.domain for each in known}):
         domain = _make_domain(profile, name, known, (), demands or {})
@@ -219,12 +223,16 @@
         free = [each for each in held if each.endpoint.name in movable]
         for _ in range(MAX_MOVES - opened):
             move = _find_move(profile, domain, free, count_use)
-            if move is None or move.worth < least:
+            if move is None or move.net_worth < least:
                 break
             free.remove(move.before)
             kind = move.before.endpoint.kind
-            domain.cover.change(kind, move.before.start, move.before.end, -1)
-            domain.cover.change(kind, move.after.start, move.after.end)
+            domain.coverage_state.change(
+                kind, move.before.start, move.before.end, -1
+            )
+            domain.coverage_state.change(
+                kind, move.after.start, move.after.end
+            )
             moves.append(move.after)
     return moves
 
@@ -240,36 +248,36 @@
     An engine that alone holds a layer stays: its domain would have no whole
     chain until another holds it, however much the move gives elsewhere.
     """
-    counts = domain.cover.counts
+    counts = domain.coverage_state.counts
     spare = [
         each
         for each in free
         if all(counts[layer] > 1 for layer in range(each.start, each.end))
     ]
     return max(
-        (_weigh_move(profile, domain, each) for each in spare),
+        (_evaluate_move(profile, domain, each) for each in spare),
         key=lambda move: (
-            move.worth,
+            move.net_worth,
             -count_use(move.before.endpoint.name),
         ),
         default=None,
     )
 
 
-def _weigh_move(
+def _evaluate_move(
     profile: profiles.EngineProfile, domain: _Domain, before: Placement
 ) -> _Move:
-    cover, kind = domain.cover, before.endpoint.kind
-    size = cacheplans.count_layers(profile, kind, domain.plan.room)
-    cost = cover.cost
-    cover.change(kind, before.start, before.end, -1)
-    alone = cover.cost
-    start, gain = cover.choose_start(
+    coverage_state, kind = domain.coverage_state, before.endpoint.kind
+    size = cacheplans.count_layers(profile, kind, domain.plan.cache_tokens)
+    cost = coverage_state.cost
+    coverage_state.change(kind, before.start, before.end, -1)
+    alone = coverage_state.cost
+    start, gain = coverage_state.choose_start(
         kind, size, min(before.start, profile.layers - size)
     )
-    cover.change(kind, before.start, before.end)
+    coverage_state.change(kind, before.start, before.end)
     after = Placement(before.endpoint, start, start + size)
     # Until the new layers are loaded, the engine takes no new streams.
     away = RELEASE_SECONDS + profile.load_seconds * size / profile.layers
-    worth = (cost - alone + gain) * MOVE_SECONDS - (alone - cost) * away
-    return _Move(before, after, worth)
+    net_worth = (cost - alone + gain) * MOVE_SECONDS - (alone - cost) * away
+    return _Move(before, after, net_worth)
--- a/packages/core/src/dunlintide_core/pipeline/liveness.py
+++ b/packages/core/src/dunlintide_core/pipeline/liveness.py
@@ -6,7 +6,7 @@
 
 # Messages without an answer, and the time over which, after which an entry
 # counts as silent, in seconds: single messages may be lost.
-SILENT_TRIES = 6
+SILENT_MESSAGES = 6
 SILENT_SECONDS = 0.3
 # Pause after which unanswered messages do not count any more, in seconds.
 STALE_SECONDS = 1.0
@@ -26,15 +26,16 @@
     :ivar tries: messages that it left unanswered
     """
 
-    heard: float = float('-inf')
-    since: float = 0.0
-    asked: float = float('-inf')
-    tries: int = 0
+    received_at: float = float('-inf')
+    unanswered_since: float = 0.0
+    sent_at: float = float('-inf')
+    unanswered: int = 0
 
     def is_silent(self, now: float) -> bool:
         """Tell whether it leaves all messages unanswered."""
         return (
-            self.tries >= SILENT_TRIES and now - self.since >= SILENT_SECONDS
+            self.unanswered >= SILENT_MESSAGES
+            and now - self.unanswered_since >= SILENT_SECONDS
         )
 
 
@@ -44,51 +45,52 @@
     def __init__(self) -> None:
         self._contacts: dict[str, _Contact] = {}
 
-    def ask(self, name: str, now: float) -> None:
+    def record_sent(self, name: str, now: float) -> None:
         """Record a message that an entry is to answer.
 
         :param now: monotonic time in seconds
         """
         contact = self._contacts.setdefault(name, _Contact())
-        stale = now - contact.asked > STALE_SECONDS
-        if not contact.tries or (stale and not contact.is_silent(now)):
-            contact.tries = 0
-            contact.since = now
-        contact.tries += 1
-        contact.asked = now
-
-    def hear(self, name: str, now: float) -> None:
+        stale = now - contact.sent_at > STALE_SECONDS
+        if not contact.unanswered or (stale and not contact.is_silent(now)):
+            contact.unanswered = 0
+            contact.unanswered_since = now
+        contact.unanswered += 1
+        contact.sent_at = now
+
+    def record_received(self, name: str, now: float) -> None:
         """Record a message from an entry."""
         contact = self._contacts.setdefault(name, _Contact())
-        contact.heard = now
-        contact.tries = 0
+        contact.received_at = now
+        contact.unanswered = 0
 
     def is_silent(self, name: str, now: float) -> bool:
         """Tell whether an entry leaves all messages unanswered."""
         contact = self._contacts.get(name)
         return contact is not None and contact.is_silent(now)
 
-    def measure_silence(self, name: str, now: float) -> float:
+    def get_silence_seconds(self, name: str, now: float) -> float:
         """Tell for how long an entry has left messages unanswered.
 
         :returns: seconds, 0 if it left none unanswered
         """
         contact = self._contacts.get(name)
-        if contact is None or not contact.tries:
+        if contact is None or not contact.unanswered:
             return 0.0
-        return now - contact.since
+        return now - contact.unanswered_since
 
-    def is_doubtful(self, name: str, now: float) -> bool:
+    def needs_probe(self, name: str, now: float) -> bool:
         """Tell whether an entry was not heard of lately."""
         contact = self._contacts.get(name)
-        return contact is None or now - contact.heard > FRESH_SECONDS
+        return contact is None or now - contact.received_at > FRESH_SECONDS
 
     def list_due(self, now: float) -> list[str]:
         """Name the silent entries that are to be asked again."""
         return [
             name
             for name, contact in self._contacts.items()
-            if contact.is_silent(now) and now - contact.asked >= PROBE_SECONDS
+            if contact.is_silent(now)
+            and now - contact.sent_at >= PROBE_SECONDS
         ]
 
     def forget(self, name: str) -> None:
--- a/packages/core/src/dunlintide_core/pipeline/occupancy.py
+++ b/packages/core/src/dunlintide_core/pipeline/occupancy.py
@@ -22,10 +22,10 @@
 # Entries of other failure domains speak seldom where there are many; if
 # their sums lapsed between two messages, their engines would look idle and
 # all others would send there.
-REMOTE_PAUSES = 2.0
-REMOTE_SECONDS = 2.0
+REMOTE_INTERVALS = 2.0
+MIN_REMOTE_SECONDS = 2.0
 # The longest that they count, in seconds: a dead entry's requests end soon.
-REMOTE_MOST_SECONDS = 20.0
+MAX_REMOTE_SECONDS = 20.0
 
 
 @attrs.define
@@ -68,17 +68,19 @@
     :ivar pause: time between its last two messages, in seconds
     """
 
-    heard: float
+    received_at: float
     usages: Mapping[str, Usage]
-    pause: float = 0.0
+    interval: float = 0.0
 
-    def has_lapsed(self, now: float) -> bool:
+    def has_expired(self, now: float) -> bool:
         """Tell whether its sender is silent for too long."""
-        most = max(REMOTE_SECONDS, REMOTE_PAUSES * self.pause)
-        return now - self.heard > min(most, REMOTE_MOST_SECONDS)
+        max_age = max(MIN_REMOTE_SECONDS, REMOTE_INTERVALS * self.interval)
+        return now - self.received_at > min(max_age, MAX_REMOTE_SECONDS)
 
 
-def _add(table: dict[str, Usage], name: str, part: Usage, sign: int) -> None:
+def _add_usage(
+    table: dict[str, Usage], name: str, part: Usage, sign: int
+) -> None:
     """Add a use to a table of those in use, or take it off with -1."""
     usage = table.get(name)
     if usage is None:
@@ -95,7 +97,7 @@
         self._own: dict[str, Usage] = {}
         self._remote: dict[str, _Remote] = {}
         # When each entry spoke last, also after its sums have lapsed.
-        self._heard: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
         self._sums: dict[str, Usage] = {}
 
     def reserve(
@@ -128,7 +130,7 @@
 
     def _change(self, name: str, part: Usage, sign: int) -> None:
         for table in (self._own, self._sums):
-            _add(table, name, part, sign)
+            _add_usage(table, name, part, sign)
 
     @property
     def usages(self) -> Mapping[str, Usage]:
@@ -153,9 +155,9 @@
         """
         before = self._remote.get(entry)
         freed = self._replace(before.usages if before else {}, usages)
-        pause = now - self._heard.get(entry, now)
-        self._heard[entry] = now
-        self._remote[entry] = _Remote(now, usages, pause)
+        interval = now - self._received_at.get(entry, now)
+        self._received_at[entry] = now
+        self._remote[entry] = _Remote(now, usages, interval)
         return freed
 
     def _replace(
@@ -171,24 +173,24 @@
         for name, new in after.items():
             old = before.get(name)
             if old is None:
-                _add(self._sums, name, new, 1)
+                _add_usage(self._sums, name, new, 1)
             elif old != new:
                 freed = freed or new.cache < old.cache
                 freed = freed or new.started < old.started
-                _add(self._sums, name, old, -1)
-                _add(self._sums, name, new, 1)
+                _add_usage(self._sums, name, old, -1)
+                _add_usage(self._sums, name, new, 1)
         for name, old in before.items():
             if name not in after:
-                _add(self._sums, name, old, -1)
+                _add_usage(self._sums, name, old, -1)
                 freed = True
         return freed
 
     def drop_remote(self, entry: str) -> None:
         """Forget an entry that is not listed any more."""
-        self._heard.pop(entry, None)
-        self._lapse(entry)
+        self._received_at.pop(entry, None)
+        self._discard_remote(entry)
 
-    def _lapse(self, entry: str) -> None:
+    def _discard_remote(self, entry: str) -> None:
         remote = self._remote.pop(entry, None)
         if remote is not None:
             self._replace(remote.usages, {})
@@ -200,6 +202,6 @@
         """
         count = len(self._remote)
         for entry, remote in list(self._remote.items()):
-            if remote.has_lapsed(now):
-                self._lapse(entry)
+            if remote.has_expired(now):
+                self._discard_remote(entry)
         return len(self._remote) < count
--- a/packages/core/src/dunlintide_core/pipeline/paces.py
+++ b/packages/core/src/dunlintide_core/pipeline/paces.py
@@ -15,7 +15,7 @@
 
 # Time of an engine's work against the published one from which on it counts
 # as slow; less is within what load makes of it.
-LEAST_PACE = 1.5
+MIN_SLOW_PACE = 1.5
 # Pause between two questions to an engine, in seconds.
 ASK_SECONDS = 0.6
 # Pause between two questions to one that is slow, in seconds: it may be sound
@@ -49,7 +49,7 @@
     """What an engine told of its pace, 1 for the published one."""
 
     pace: float
-    at: float
+    received_at: float
     source: _Source
 
 
@@ -75,7 +75,7 @@
         if now - self._asked.get(name, float('-inf')) < ASK_SECONDS:
             return False
         answer = self._answers.get(name)
-        return answer is None or now - answer.at >= ASK_SECONDS
+        return answer is None or now - answer.received_at >= ASK_SECONDS
 
     def list_slow_due(self, now: float) -> list[str]:
         """Choose the slow engines that this entry is to ask again."""
@@ -83,8 +83,8 @@
             name
             for name, answer in self._answers.items()
             if answer.source is _Source.OWN
-            and answer.pace >= LEAST_PACE
-            and ASK_SLOW_SECONDS <= now - answer.at < ANSWER_SECONDS
+            and answer.pace >= MIN_SLOW_PACE
+            and ASK_SLOW_SECONDS <= now - answer.received_at < ANSWER_SECONDS
         ]
         return self.list_due(slow, now)
 
@@ -96,7 +96,7 @@
         """Record what an engine told another entry."""
         known = self._answers.get(name)
         if known is not None and known.source is _Source.OWN:
-            if now - known.at < ASK_SECONDS:
+            if now - known.received_at < ASK_SECONDS:
                 return
         self._answers[name] = _Answer(pace, now, _Source.OTHER)
 
@@ -106,7 +106,7 @@
         return {
             name: answer.pace
             for name, answer in self._answers.items()
-            if answer.pace >= LEAST_PACE
+            if answer.pace >= MIN_SLOW_PACE
         }
 
     def list_own(self, now: float) -> Mapping[str, float]:
@@ -130,7 +130,7 @@
         old = [
             name
             for name, answer in self._answers.items()
-            if now - answer.at >= ANSWER_SECONDS
+            if now - answer.received_at >= ANSWER_SECONDS
         ]
         for name in old:
             del self._answers[name]
--- a/packages/core/src/dunlintide_core/pipeline/permits.py
+++ b/packages/core/src/dunlintide_core/pipeline/permits.py
@@ -19,9 +19,9 @@
 from dunlintide_core.pipeline import ratelimits
 
 __all__ = [
-    'Answer',
-    'Ask',
-    'News',
+    'LimitUpdate',
+    'PermitReply',
+    'PermitRequest',
     'Permits',
     'Ticket',
     'Verdict',
@@ -30,27 +30,27 @@
 
 # Rate at which an endpoint that takes nothing is asked, in requests a second:
 # only its answers tell that the limit has ended.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 # Unused permits that are kept, as the time in seconds in which they come up,
 # and in any case.
 BURST_SECONDS = 0.4
-LEAST_BURST = 2.0
+MIN_BURST = 2.0
 # Part of the limit that is granted in place of an entry that fell silent
 # only so many seconds ago: that one may still grant the whole of it.
-STAND_IN_PART = 0.5
-STAND_IN_SECONDS = 2.0
+TAKEOVER_FRACTION = 0.5
+TAKEOVER_SECONDS = 2.0
 # Pause of an entry before it asks again for an endpoint that has no permit
 # left, in seconds, and its spread, so that entries do not ask together.
 PAUSE_SECONDS = (0.02, 0.3)
 PAUSE_SPREAD = (1.0, 1.5)
 # The same where the asked entry does not coordinate, or none answered.
-ELSEWHERE_SECONDS = 0.1
+REDIRECT_PAUSE_SECONDS = 0.1
 # Pauses between the messages of one ask, in seconds; the last one repeats.
 RETRY_SECONDS = (0.03, 0.05, 0.07)
 # Longest time for an answer, in seconds.
-PATIENCE_SECONDS = 0.6
+REPLY_TIMEOUT_SECONDS = 0.6
 # How long an answer is kept for repeated messages of the same ask, in seconds.
-ANSWERED_SECONDS = 1.0
+REPLY_CACHE_SECONDS = 1.0
 
 
 class Verdict(enum.StrEnum):
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class Ask:
+class PermitRequest:
     """An entry asks for one permit, or, without an endpoint, for an answer.
 
     :ivar number: names the ask for its sender
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class Answer:
+class PermitReply:
     """What the asked entry answers.
 
     :ivar pause: seconds before the next ask, unless granted
@@ -96,7 +96,7 @@
 
 
 @attrs.frozen
-class News:
+class LimitUpdate:
     """Limits that an entry observed itself.
 
     :ivar limits: endpoint, requests a second, None for no limit any more,
@@ -107,14 +107,14 @@
     limits: tuple[tuple[str, float | None, float], ...]
 
 
-Message = Ask | Answer | News
+Message = PermitRequest | PermitReply | LimitUpdate
 # Receiver and message.
-Sends = list[tuple[str, Message]]
+Outgoing = list[tuple[str, Message]]
 
 
 def list_limits(message: Message) -> Sequence[tuple[str, float | None, float]]:
     """List what a message tells of limits: endpoint, limit and age."""
-    if isinstance(message, News):
+    if isinstance(message, LimitUpdate):
         return message.limits
     if not message.endpoint:
         return ()
@@ -163,7 +163,7 @@
         self.tokens += (now - self.updated) * self.rate
         self.updated = now
         self.rate = rate
-        most = max(LEAST_BURST, self.rate * BURST_SECONDS)
+        most = max(MIN_BURST, self.rate * BURST_SECONDS)
         self.tokens = min(self.tokens, most)
 
     def take(self) -> float:
@@ -177,7 +177,7 @@
         return (1.0 - self.tokens) / self.rate
 
 
-def _rank(endpoint: str, entry: str) -> bytes:
+def _score_entry(endpoint: str, entry: str) -> bytes:
     text = f'{endpoint}\0{entry}'.encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
@@ -198,12 +198,12 @@
         self._limits = limits
         self._random = random
         self._members = {name}
-        self._orders: dict[str, list[str]] = {}
+        self._rankings: dict[str, list[str]] = {}
         self.liveness = liveness.Liveness()
         self._buckets: dict[str, _Bucket] = {}
         self._tickets: dict[int, Ticket] = {}
         self._paused: dict[str, float] = {}
-        self._answered: dict[tuple[str, int], tuple[float, Answer]] = {}
+        self._replies: dict[tuple[str, int], tuple[float, PermitReply]] = {}
         # Random, so that a restarted entry does not repeat a number.
         self._number = random.getrandbits(40)
 
@@ -211,37 +211,37 @@
         """Take in another entry, which may coordinate from now on."""
         if name not in self._members:
             self._members.add(name)
-            self._orders.clear()
+            self._rankings.clear()
 
     def remove_member(self, name: str) -> None:
         """Drop another entry that is gone."""
         if name != self._name and name in self._members:
             self._members.remove(name)
-            self._orders.clear()
+            self._rankings.clear()
             self.liveness.forget(name)
 
     def choose_coordinator(self, endpoint: str, now: float) -> str:
         """Name the entry that grants the permits of an endpoint."""
-        for name in self._list_order(endpoint):
+        for name in self._rank_entries(endpoint):
             if name == self._name or not self.liveness.is_silent(name, now):
                 return name
         return self._name
 
-    def _list_order(self, endpoint: str) -> list[str]:
+    def _rank_entries(self, endpoint: str) -> list[str]:
         """List all entries in the order in which they coordinate."""
-        order = self._orders.get(endpoint)
-        if order is None:
-            order = self._orders[endpoint] = sorted(
-                self._members, key=lambda entry: _rank(endpoint, entry)
+        ranking = self._rankings.get(endpoint)
+        if ranking is None:
+            ranking = self._rankings[endpoint] = sorted(
+                self._members, key=lambda entry: _score_entry(endpoint, entry)
             )
-        return order
+        return ranking
 
-    def _is_stand_in(self, endpoint: str, now: float) -> bool:
+    def _is_taking_over(self, endpoint: str, now: float) -> bool:
         """Tell whether an entry that goes before this one just fell silent."""
-        order = self._list_order(endpoint)
-        before = order[: order.index(self._name)]
+        ranking = self._rank_entries(endpoint)
+        before = ranking[: ranking.index(self._name)]
         return any(
-            self.liveness.measure_silence(name, now) < STAND_IN_SECONDS
+            self.liveness.get_silence_seconds(name, now) < TAKEOVER_SECONDS
             for name in before
         )
 
@@ -249,7 +249,7 @@
         """Name the endpoints for which no permit is to be had now."""
         return {name for name, end in self._paused.items() if end > now}
 
-    def make_news(self, now: float) -> News | None:
+    def make_update(self, now: float) -> LimitUpdate | None:
         """Tell what this entry observed of limits lately, if anything."""
         recent = self._limits.list_recent(now)
         if not recent:
@@ -257,7 +257,7 @@
         told = (
             (name, seen.limit, now - seen.at) for name, seen in recent.items()
         )
-        return News(self._name, tuple(told))
+        return LimitUpdate(self._name, tuple(told))
 
     def open(self, endpoint: str, now: float) -> Ticket:
         """Begin to ask for a permit."""
@@ -266,7 +266,7 @@
         self._tickets[ticket.number] = ticket
         return ticket
 
-    def advance(self, ticket: Ticket, now: float) -> Sends:
+    def advance(self, ticket: Ticket, now: float) -> Outgoing:
         """Do what is due for an open ask.
 
         :returns: messages to send; unless the ticket has a verdict then, it
@@ -282,8 +282,10 @@
         if paused > 0 and not ticket.tries:
             self._close(ticket, Verdict.DENIED, self._name, paused, now)
             return []
-        if now - ticket.began >= PATIENCE_SECONDS:
-            self._close(ticket, Verdict.DENIED, '', ELSEWHERE_SECONDS, now)
+        if now - ticket.began >= REPLY_TIMEOUT_SECONDS:
+            self._close(
+                ticket, Verdict.DENIED, '', REDIRECT_PAUSE_SECONDS, now
+            )
             return []
         coordinator = self.choose_coordinator(endpoint, now)
         if coordinator == self._name:
@@ -292,19 +294,21 @@
             self._close(ticket, verdict, self._name, pause, now)
             return self._probe(now)
         age = self._limits.get_age(endpoint, now)
-        ask = Ask(self._name, ticket.number, endpoint, limit, age)
-        self.liveness.ask(coordinator, now)
+        request = PermitRequest(
+            self._name, ticket.number, endpoint, limit, age
+        )
+        self.liveness.record_sent(coordinator, now)
         retry = min(ticket.tries, len(RETRY_SECONDS) - 1)
         ticket.due = now + RETRY_SECONDS[retry]
         ticket.tries += 1
-        return [(coordinator, ask), *self._probe(now)]
+        return [(coordinator, request), *self._probe(now)]
 
-    def _probe(self, now: float) -> Sends:
+    def _probe(self, now: float) -> Outgoing:
         """Ask silent entries whether they are back."""
         due = self.liveness.list_due(now)
         for name in due:
-            self.liveness.ask(name, now)
-        return [(name, Ask(self._name, 0)) for name in due]
+            self.liveness.record_sent(name, now)
+        return [(name, PermitRequest(self._name, 0)) for name in due]
 
     def cancel(self, ticket: Ticket) -> None:
         """Drop an ask that is not waited for any more."""
@@ -330,9 +334,9 @@
 
         :returns: 0, or for how long not to ask, in seconds
         """
-        if self._is_stand_in(endpoint, now):
-            limit *= STAND_IN_PART
-        limit = max(LEAST_RATE, limit)
+        if self._is_taking_over(endpoint, now):
+            limit *= TAKEOVER_FRACTION
+        limit = max(MIN_RATE, limit)
         bucket = self._buckets.get(endpoint)
         if bucket is None:
             bucket = self._buckets[endpoint] = _Bucket(now, limit)
@@ -344,18 +348,18 @@
         spread = self._random.uniform(*PAUSE_SPREAD)
         return min(most, max(least, missing) * spread)
 
-    def receive(self, message: Message, now: float) -> Sends:
+    def receive(self, message: Message, now: float) -> Outgoing:
         """Take in a message of another entry.
 
         :returns: messages to send
         """
-        self.liveness.hear(message.sender, now)
+        self.liveness.record_received(message.sender, now)
         for endpoint, limit, age in list_limits(message):
             self._limits.receive(endpoint, limit, age, now)
-        if isinstance(message, News):
+        if isinstance(message, LimitUpdate):
             return []
-        if isinstance(message, Ask):
-            return self._receive_ask(message, now)
+        if isinstance(message, PermitRequest):
+            return self._receive_request(message, now)
         ticket = self._tickets.get(message.number)
         if ticket is not None:
             self._close(
@@ -363,36 +367,42 @@
             )
         return []
 
-    def _receive_ask(self, ask: Ask, now: float) -> Sends:
-        if not ask.endpoint:
-            return [(ask.sender, Answer(self._name, ask.number))]
-        key = (ask.sender, ask.number)
-        if key in self._answered:
-            return [(ask.sender, self._answered[key][1])]
-        coordinator = self.choose_coordinator(ask.endpoint, now)
-        limit = self._limits.get(ask.endpoint)
-        sends: Sends = []
+    def _receive_request(self, request: PermitRequest, now: float) -> Outgoing:
+        if not request.endpoint:
+            return [(request.sender, PermitReply(self._name, request.number))]
+        key = (request.sender, request.number)
+        if key in self._replies:
+            return [(request.sender, self._replies[key][1])]
+        coordinator = self.choose_coordinator(request.endpoint, now)
+        limit = self._limits.get(request.endpoint)
+        outgoing: Outgoing = []
         verdict, pause = Verdict.GRANTED, 0.0
         if limit is None:
             # A newer observation than the sender's shows that it has ended.
             pass
         elif coordinator == self._name:
-            pause = self._grant(ask.endpoint, limit, now)
+            pause = self._grant(request.endpoint, limit, now)
             verdict = Verdict.DENIED if pause else verdict
-            sends += self._probe(now)
+            outgoing += self._probe(now)
         else:
-            verdict, pause = Verdict.ELSEWHERE, ELSEWHERE_SECONDS
-            self._buckets.pop(ask.endpoint, None)
-            if self.liveness.is_doubtful(coordinator, now):
-                self.liveness.ask(coordinator, now)
-                sends.append((coordinator, Ask(self._name, 0)))
-        age = self._limits.get_age(ask.endpoint, now)
-        answer = Answer(
-            self._name, ask.number, ask.endpoint, verdict, pause, limit, age
+            verdict, pause = Verdict.ELSEWHERE, REDIRECT_PAUSE_SECONDS
+            self._buckets.pop(request.endpoint, None)
+            if self.liveness.needs_probe(coordinator, now):
+                self.liveness.record_sent(coordinator, now)
+                outgoing.append((coordinator, PermitRequest(self._name, 0)))
+        age = self._limits.get_age(request.endpoint, now)
+        reply = PermitReply(
+            self._name,
+            request.number,
+            request.endpoint,
+            verdict,
+            pause,
+            limit,
+            age,
         )
         if verdict is not Verdict.ELSEWHERE:
-            self._answered[key] = (now, answer)
-        return [(ask.sender, answer), *sends]
+            self._replies[key] = (now, reply)
+        return [(request.sender, reply), *outgoing]
 
     def expire(self, now: float, endpoints: Iterable[str]) -> None:
         """Drop what is not needed any more.
@@ -400,13 +410,13 @@
         :param endpoints: names of all that are listed
         """
         listed = set(endpoints)
-        for key, (at, _) in list(self._answered.items()):
-            if now - at > ANSWERED_SECONDS:
-                del self._answered[key]
+        for key, (at, _) in list(self._replies.items()):
+            if now - at > REPLY_CACHE_SECONDS:
+                del self._replies[key]
         for name, end in list(self._paused.items()):
             if end <= now:
                 del self._paused[name]
-        for table in (self._buckets, self._orders):
+        for table in (self._buckets, self._rankings):
             for name in [each for each in table if each not in listed]:
                 del table[name]
 
--- a/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
+++ b/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
@@ -11,19 +11,19 @@
 
 import attrs
 
-__all__ = ['Crashers']
+__all__ = ['PoisonRequests']
 
 # Broken runs at as many endpoints after which a request is refused: two
 # happen by chance while endpoints fail, and three retries are allowed.
 MAX_BROKEN = 3
 # How long a broken run counts, in seconds.
-MEMORY = 60.0
+MEMORY_SECONDS = 60.0
 # Most fingerprints that are kept.
-MAX_KNOWN = 2048
+MAX_REQUESTS = 2048
 
 
 @attrs.define
-class _Break:
+class _BrokenRun:
     """A broken run.
 
     A cleared one is kept, so that older news of it does not count again.
@@ -32,68 +32,74 @@
     :ivar cleared: whether it is known that the request did no harm
     """
 
-    seen: float
+    first_seen: float
     cleared: bool = False
 
-    def counts(self, now: float) -> bool:
-        return not self.cleared and now - self.seen <= MEMORY
+    def is_counted(self, now: float) -> bool:
+        return not self.cleared and now - self.first_seen <= MEMORY_SECONDS
 
 
 @attrs.define
-class _Case:
+class _RequestRuns:
     """Broken runs of a request by endpoint."""
 
-    breaks: dict[str, _Break] = attrs.field(factory=dict)
+    by_endpoint: dict[str, _BrokenRun] = attrs.field(factory=dict)
 
     def count(self, now: float) -> int:
-        return sum(1 for each in self.breaks.values() if each.counts(now))
+        return sum(
+            1 for each in self.by_endpoint.values() if each.is_counted(now)
+        )
 
 
-class Crashers:
+class PoisonRequests:
     """Broken runs by fingerprint."""
 
     def __init__(self) -> None:
-        self._cases: collections.OrderedDict[str, _Case] = (
+        self._requests: collections.OrderedDict[str, _RequestRuns] = (
             collections.OrderedDict()
         )
 
-    def report(self, fingerprint: str, endpoint: str, now: float) -> int:
+    def record_broken_run(
+        self, fingerprint: str, endpoint: str, now: float
+    ) -> int:
         """Count a broken run of this entry.
 
         :param now: monotonic time in seconds
         :returns: endpoints at which it broke, within the memory
         """
-        case = self._find(fingerprint)
-        case.breaks[endpoint] = _Break(now)
-        return case.count(now)
+        runs = self._find(fingerprint)
+        runs.by_endpoint[endpoint] = _BrokenRun(now)
+        return runs.count(now)
 
-    def hear(self, fingerprint: str, endpoint: str, now: float) -> None:
+    def receive_broken_run(
+        self, fingerprint: str, endpoint: str, now: float
+    ) -> None:
         """Count a broken run that another entry tells of.
 
         News that is repeated is as old as when it was first heard;
         otherwise entries would keep it alive by telling it each other.
         """
-        breaks = self._find(fingerprint).breaks
-        known = breaks.get(endpoint)
-        if known is None or now - known.seen > MEMORY:
-            breaks[endpoint] = _Break(now)
-
-    def _find(self, fingerprint: str) -> _Case:
-        case = self._cases.setdefault(fingerprint, _Case())
-        self._cases.move_to_end(fingerprint)
-        if len(self._cases) > MAX_KNOWN:
-            self._cases.popitem(last=False)
-        return case
+        by_endpoint = self._find(fingerprint).by_endpoint
+        known = by_endpoint.get(endpoint)
+        if known is None or now - known.first_seen > MEMORY_SECONDS:
+            by_endpoint[endpoint] = _BrokenRun(now)
+
+    def _find(self, fingerprint: str) -> _RequestRuns:
+        runs = self._requests.setdefault(fingerprint, _RequestRuns())
+        self._requests.move_to_end(fingerprint)
+        if len(self._requests) > MAX_REQUESTS:
+            self._requests.popitem(last=False)
+        return runs
 
     def clear(self, fingerprint: str) -> bool:
         """Clear a request that got a whole answer.
 
         :returns: whether anything was held against it
         """
-        case = self._cases.get(fingerprint)
-        return case is not None and _clear(case.breaks.values()) > 0
+        runs = self._requests.get(fingerprint)
+        return runs is not None and _clear(runs.by_endpoint.values()) > 0
 
-    def clear_endpoint(self, endpoint: str, since: float) -> int:
+    def clear_endpoint_runs(self, endpoint: str, since: float) -> int:
         """Clear the runs that broke at an endpoint that is still there.
 
         :param since: when a request was sent there that it answered,
@@ -101,30 +107,30 @@
         :returns: broken runs that don't count any more
         """
         found = [
-            case.breaks[endpoint]
-            for case in self._cases.values()
-            if endpoint in case.breaks
+            runs.by_endpoint[endpoint]
+            for runs in self._requests.values()
+            if endpoint in runs.by_endpoint
         ]
-        return _clear(each for each in found if each.seen < since)
+        return _clear(each for each in found if each.first_seen < since)
 
-    def is_refused(self, fingerprint: str, now: float) -> bool:
+    def is_poison(self, fingerprint: str, now: float) -> bool:
         """Tell whether a request has broken too many runs."""
-        case = self._cases.get(fingerprint)
-        return case is not None and case.count(now) >= MAX_BROKEN
+        runs = self._requests.get(fingerprint)
+        return runs is not None and runs.count(now) >= MAX_BROKEN
 
     def list_recent(self, since: float) -> list[tuple[str, str]]:
         """List fingerprints and endpoints of runs broken since."""
         return [
             (fingerprint, endpoint)
-            for fingerprint, case in self._cases.items()
-            for endpoint, each in case.breaks.items()
-            if each.seen >= since and not each.cleared
+            for fingerprint, runs in self._requests.items()
+            for endpoint, each in runs.by_endpoint.items()
+            if each.first_seen >= since and not each.cleared
         ]
 
 
-def _clear(breaks: Iterable[_Break]) -> int:
+def _clear(by_endpoint: Iterable[_BrokenRun]) -> int:
     """Clear broken runs, and return how many still counted."""
-    held = [each for each in breaks if not each.cleared]
+    held = [each for each in by_endpoint if not each.cleared]
     for each in held:
         each.cleared = True
     return len(held)
--- a/packages/core/src/dunlintide_core/pipeline/profiles.py
+++ b/packages/core/src/dunlintide_core/pipeline/profiles.py
@@ -81,7 +81,7 @@
         card = self.accelerators.get(kind)
         return int(card.memory_mb // self.layer_mb) if card else 0
 
-    def admits(self, kind: str, start: int, end: int) -> bool:
+    def can_hold(self, kind: str, start: int, end: int) -> bool:
         """Tell whether a card can hold a range of the model's layers.
 
         Answers entries that are sound by themselves and still make no
@@ -90,7 +90,7 @@
         within = 0 <= start <= end <= self.layers
         return within and end - start <= self.count_max_layers(kind)
 
-    def count_cache(self, kind: str, held: int) -> float:
+    def get_cache_capacity(self, kind: str, held: int) -> float:
         """Tell the room for requests, in tokens times layers.
 
         :param held: layers that the card holds
@@ -101,7 +101,7 @@
         free_mb = card.memory_mb - held * self.layer_mb
         return free_mb * _BYTES_PER_MB / (self.token_bytes / self.layers)
 
-    def time_transfer(self, tokens: float, across: bool) -> float:
+    def get_transfer_ms(self, tokens: float, across: bool) -> float:
         """Tell how long activations take to the next endpoint, in ms.
 
         :param across: whether they leave the failure domain
@@ -112,7 +112,7 @@
         bits = tokens * self.activation_bytes * _BITS_PER_BYTE
         return bits / (mbps * _BYTES_PER_MB) * _MS_PER_SECOND
 
-    def get_delay(self, one: str, other: str) -> float:
+    def get_delay_ms(self, one: str, other: str) -> float:
         """Give the delay between two failure domains, in ms."""
         found = self.delays_ms.get((one, other))
         if found is None:
--- a/packages/core/src/dunlintide_core/pipeline/regions.py
+++ b/packages/core/src/dunlintide_core/pipeline/regions.py
@@ -25,7 +25,7 @@
 
 __all__ = [
     'EngineSet',
-    'Floor',
+    'MinTimes',
     'Region',
     'Weights',
 ]
@@ -34,9 +34,9 @@
 
 
 # Part of an engine's memory that is free as long as its cost is time alone.
-AMPLE_PART = 0.5
+AMPLE_FREE = 0.5
 # Part below which less free memory raises its cost no further.
-LEAST_FREE = 0.05
+MIN_FREE = 0.05
 
 _UNUSED = occupancy.Usage()
 
@@ -59,12 +59,12 @@
         cls, profile: profiles.EngineProfile, engine: Endpoint
     ) -> '_Row':
         held = engine.end - engine.start
-        room = profile.count_cache(engine.kind, held)
+        room = profile.get_cache_capacity(engine.kind, held)
         return cls(
             engine.name,
-            chaincosts.time_step(profile, engine.kind),
-            chaincosts.time_read(profile, engine.kind),
-            room * chaincosts.ROOM_PART,
+            chaincosts.get_layer_step(profile, engine.kind),
+            chaincosts.get_layer_read_ms(profile, engine.kind),
+            room * chaincosts.MEMORY_FRACTION,
         )
 
 
@@ -112,7 +112,7 @@
                 for index, each in enumerate(engines)
                 if each.start == 0
             ),
-            profile.slots * chaincosts.SLOT_PART,
+            profile.slots * chaincosts.SLOT_FRACTION,
         )
 
     def weigh(
@@ -128,12 +128,14 @@
         :param usages: use of engines, by name
         :param unusable: names of engines that get no request
         """
-        weights = self.begin_weights(usages)
+        weights = self.make_unusable_weights(usages)
         members = range(len(self._rows))
         self.weigh_members(weights, members, times, tokens, usages, unusable)
         return weights
 
-    def begin_weights(self, usages: Mapping[str, occupancy.Usage]) -> Weights:
+    def make_unusable_weights(
+        self, usages: Mapping[str, occupancy.Usage]
+    ) -> Weights:
         """Begin with all engines out of use."""
         full = frozenset(
             index
@@ -169,11 +171,11 @@
             work = ((steps + sequence * running) * step + prompt * read) * busy
             # Fast engines fill first. Streams that could run elsewhere would
             # leave no room to those that can't.
-            scarce = AMPLE_PART * capacity / max(free, capacity * LEAST_FREE)
-            rates[index] = work * max(1.0, scarce)
+            scarcity = AMPLE_FREE * capacity / max(free, capacity * MIN_FREE)
+            rates[index] = work * max(1.0, scarcity)
             rooms[index] = free / tokens
 
-    def slow_down(
+    def apply_paces(
         self,
         weights: Weights,
         members: Container[int],
@@ -189,7 +191,7 @@
             if index is not None and index in members:
                 weights.rates[index] *= pace
 
-    def find_floor(self, holders: Iterable[Sequence[int]]) -> 'Floor':
+    def find_min_times(self, holders: Iterable[Sequence[int]]) -> 'MinTimes':
         """Tell what engines without requests need at least.
 
         :param holders: indices of the engines that hold a layer, by layer
@@ -198,11 +200,11 @@
         for found in holders:
             step += min(self._rows[index].step for index in found)
             read += min(self._rows[index].read for index in found)
-        return Floor(step, read)
+        return MinTimes(step, read)
 
 
 @attrs.frozen
-class Floor:
+class MinTimes:
     """What a chain takes at least, whatever else runs.
 
     :ivar step: time of a step of all layers against the published one
@@ -234,10 +236,10 @@
     cuts: tuple[int, ...]
     holders: tuple[tuple[int, ...], ...]
     domains: tuple[str, ...]
-    places: tuple[int, ...]
+    domain_indices: tuple[int, ...]
     lengths: tuple[int, ...]
     members: frozenset[int]
-    _further_parts: tuple[int, ...]
+    _handoffs: tuple[int, ...]
     _segments: tuple[tuple[int, tuple[int, ...]], ...]
 
     @classmethod
@@ -249,11 +251,11 @@
         :param engines: all engines of the service, by index
         :param layers: layers of the model
         """
-        places = {name: index for index, name in enumerate(domains)}
+        domain_indices = {name: index for index, name in enumerate(domains)}
         own = [
             index
             for index, each in enumerate(engines)
-            if each.domain in places
+            if each.domain in domain_indices
         ]
         cuts = _cut_layers([engines[index] for index in own], layers)
         order = {cut: segment for segment, cut in enumerate(cuts)}
@@ -271,16 +273,16 @@
             tuple(engines),
             cuts,
             tuple(map(tuple, holders)),
-            tuple(places),
-            tuple(places.get(each.domain, 0) for each in engines),
+            tuple(domain_indices),
+            tuple(domain_indices.get(each.domain, 0) for each in engines),
             tuple(each.end - each.start for each in engines),
             frozenset(own),
-            _count_further(reaches),
+            _count_handoffs(reaches),
             tuple(zip(lengths, map(tuple, holders))),
         )
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether its engines hold all layers."""
         return all(self.holders)
 
@@ -314,7 +316,7 @@
         costs.reverse()
         return [
             cost + passing * parts
-            for cost, parts in zip(costs, self._further_parts)
+            for cost, parts in zip(costs, self._handoffs)
         ]
 
 
@@ -326,7 +328,7 @@
     return tuple(sorted(cuts))
 
 
-def _count_further(reaches: Sequence[int]) -> tuple[int, ...]:
+def _count_handoffs(reaches: Sequence[int]) -> tuple[int, ...]:
     """Count how often the shortest way from each cut on is passed on.
 
     :param reaches: last cut that an engine reaches from a segment, by the
--- a/packages/core/src/dunlintide_core/pipeline/waits.py
+++ b/packages/core/src/dunlintide_core/pipeline/waits.py
@@ -11,21 +11,21 @@
 from dunlintide_core.pipeline import backlog
 
 __all__ = [
-    'Place',
-    'choose_place',
+    'QueueWait',
+    'choose_wait',
 ]
 
 # Part of the target within which a stream must have found its chain to be
 # on time: reading its prompt takes the rest.
-ON_TIME_PART = 0.6
+ON_TIME_FRACTION = 0.6
 # How long a stream waits that was refused before, in seconds: it can't be
 # on time any more, and its caller does not ask a third time. Callers leave
 # after two seconds without an event, and the prompt is still to be read.
-RETURNED_SECONDS = 1.2
+RETRIED_SECONDS = 1.2
 # Callers of a stream leave after a silence of so many seconds, of so many
 # times the target or of so many times the longest pause, whichever is the
 # longest; the platform's pages state all three.
-LEAST_SILENCE_SECONDS = 2.0
+MIN_SILENCE_SECONDS = 2.0
 TARGETS_OF_SILENCE = 4.0
 PAUSES_OF_SILENCE = 8.0
 # What a stream under way waits beyond that, in seconds, so that it is never
@@ -34,24 +34,24 @@
 
 
 @attrs.frozen
-class Place:
+class QueueWait:
     """Where in the queue a stream waits, and until when.
 
     :ivar expires: monotonic time, in seconds
     """
 
-    standing: backlog.Standing
+    queue_class: backlog.QueueClass
     expires: float
 
 
-def choose_place(
+def choose_wait(
     arrived: float,
     now: float,
     target: float,
     pause: float,
     under_way: bool,
     returned: bool,
-) -> Place:
+) -> QueueWait:
     """Tell what is at stake for a stream and until when it waits.
 
     :param arrived: monotonic time of the request, in seconds
@@ -62,13 +62,13 @@
     """
     if under_way:
         silence = max(
-            LEAST_SILENCE_SECONDS,
+            MIN_SILENCE_SECONDS,
             TARGETS_OF_SILENCE * target,
             PAUSES_OF_SILENCE * pause,
         )
         expires = now + silence + MARGIN_SECONDS
-        return Place(backlog.Standing.UNDER_WAY, expires)
+        return QueueWait(backlog.QueueClass.UNDER_WAY, expires)
     if returned:
-        return Place(backlog.Standing.RETURNED, arrived + RETURNED_SECONDS)
-    expires = arrived + target * ON_TIME_PART
-    return Place(backlog.Standing.ON_TIME, expires)
+        return QueueWait(backlog.QueueClass.RETRIED, arrived + RETRIED_SECONDS)
+    expires = arrived + target * ON_TIME_FRACTION
+    return QueueWait(backlog.QueueClass.FRESH, expires)
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -156,12 +156,12 @@
         exchange.tried.append(endpoint.name)
         hop = endpoints_module.Hop(endpoint, 0, 0)
         reservation = self._state.occupancy.reserve((hop,), 0)
-        self._state.soundness.begin((endpoint.name,))
+        self._state.soundness.record_sent((endpoint.name,))
         work = self._send(exchange, endpoint)
         task = asyncio.get_running_loop().create_task(work)
 
         def end(_: asyncio.Task) -> None:
-            self._state.soundness.end((endpoint.name,), False)
+            self._state.soundness.record_finished((endpoint.name,), False)
             self._state.release(exchange.service, reservation)
 
         task.add_done_callback(end)
@@ -202,7 +202,7 @@
             if endpoint is None:
                 return None
             if await state.admit(endpoint.name, exchange.ask.name):
-                state.get_backlog(exchange.service).note_served(state.now)
+                state.get_backlog(exchange.service).record_served(state.now)
                 return endpoint
             if state.now >= expires:
                 return None
@@ -212,20 +212,20 @@
     ) -> endpoints_module.Endpoint | None:
         """Find an endpoint with a place, waiting for a while."""
         queue = self._state.get_backlog(exchange.service)
-        standing = backlog.Standing.ON_TIME
+        queue_class = backlog.QueueClass.FRESH
         wait = target * WAIT_PART
         expires = min(self._state.now + wait, exchange.deadline)
-        if not queue.count_ahead(exchange.priority, standing):
+        if not queue.count_ahead(exchange.priority, queue_class):
             endpoint = await self._choose_admitted(exchange, expires)
             if endpoint is not None:
                 return endpoint
-        hopeless = queue.is_hopeless(
-            exchange.priority, standing, self._state.now, expires
+        hopeless = queue.exceeds_wait(
+            exchange.priority, queue_class, self._state.now, expires
         )
         if hopeless and self._state.has(mechanisms.Mechanism.HOPELESS):
             return None
         awake = asyncio.Event()
-        waiter = queue.add(exchange.priority, standing, expires, awake.set)
+        waiter = queue.add(exchange.priority, queue_class, expires, awake.set)
         timer = asyncio.get_running_loop().call_at(expires, awake.set)
         try:
             while True:
@@ -258,7 +258,7 @@
             return await self._exchange(exchange, endpoint, connection)
         except endpointhttp.Broken as broken:
             if broken.fault is not endpointhttp.Fault.TIMEOUT:
-                state.crashers.report(
+                state.crashers.record_broken_run(
                     exchange.fingerprint, endpoint.name, state.now
                 )
             return _Answer(endpoint, True, str(broken))
@@ -318,7 +318,9 @@
         An answer that is lost looks like a crash, and three of them refused
         a caller for a minute.
         """
-        cleared = self._state.crashers.clear_endpoint(endpoint.name, sent_at)
+        cleared = self._state.crashers.clear_endpoint_runs(
+            endpoint.name, sent_at
+        )
         if cleared:
             self._state.log.write(
                 'broken runs cleared',
@@ -354,8 +356,8 @@
             for each in state.list_endpoints(exchange.service)
         ):
             return RETRY_SECONDS * state.random.uniform(*JITTER)
-        state.returns.refuse(exchange.digest, state.now)
-        pause = state.returns.choose_pause(state.now)
+        state.returns.record_refusal(exchange.digest, state.now)
+        pause = state.returns.choose_retry_delay(state.now)
         return pause * state.random.uniform(*JITTER)
 
     def _conclude(
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -83,7 +83,7 @@
         """Tell whether an engine is far from full by what is known."""
         usage = self._state.occupancy.get(endpoint.name)
         held = endpoint.end - endpoint.start
-        cache = profile.count_cache(endpoint.kind, held)
+        cache = profile.get_cache_capacity(endpoint.kind, held)
         return (
             usage.cache < cache * ROOMY_PART
             and usage.started < profile.slots * ROOMY_PART
@@ -123,8 +123,8 @@
         own = table.domains.get(domain) or table.make_region(domain)
         demand = self.estimate(stream)
         unusable = self._list_unusable(stream)
-        for where, region in (('', table.everywhere), (f' in {domain}', own)):
-            scarce = bottlenecks.find_scarce(
+        for where, region in (('', table.all_domains), (f' in {domain}', own)):
+            scarce = bottlenecks.find_bottlenecks(
                 table,
                 region,
                 demand,
@@ -172,7 +172,7 @@
         name = stream.exchange.ask.name
         while (hops := self.choose(stream)) is not None:
             if await state.admit(hops[0].endpoint.name, name):
-                state.get_backlog(stream.exchange.service).note_served(
+                state.get_backlog(stream.exchange.service).record_served(
                     state.now
                 )
                 return hops
@@ -187,18 +187,18 @@
         exchange = stream.exchange
         queue = state.get_backlog(exchange.service)
         place = self.choose_place(exchange)
-        standing, expires = place.standing, place.expires
-        if not queue.count_ahead(exchange.priority, standing):
+        queue_class, expires = place.queue_class, place.expires
+        if not queue.count_ahead(exchange.priority, queue_class):
             hops = await self._choose_admitted(stream, expires)
             if hops is not None:
                 return hops
-        hopeless = queue.is_hopeless(
-            exchange.priority, standing, state.now, expires
+        hopeless = queue.exceeds_wait(
+            exchange.priority, queue_class, state.now, expires
         )
         if hopeless and state.has(mechanisms.Mechanism.HOPELESS):
             return None
         awake = asyncio.Event()
-        waiter = queue.add(exchange.priority, standing, expires, awake.set)
+        waiter = queue.add(exchange.priority, queue_class, expires, awake.set)
         timer = asyncio.get_running_loop().call_at(expires, awake.set)
         state.counters.waiting.inc()
         try:
@@ -213,10 +213,12 @@
             timer.cancel()
             queue.remove(waiter)
 
-    def choose_place(self, exchange: exchange_module.Exchange) -> waits.Place:
+    def choose_place(
+        self, exchange: exchange_module.Exchange
+    ) -> waits.QueueWait:
         """Tell where a stream waits, at most until its deadline."""
         terms = exchange.terms
-        place = waits.choose_place(
+        place = waits.choose_wait(
             exchange.request.arrived,
             self._state.now,
             terms.target_seconds or USUAL_TARGET,
@@ -225,7 +227,7 @@
             exchange.returned,
         )
         if not self._state.has(mechanisms.Mechanism.STANDING):
-            fresh = backlog.Standing.ON_TIME
-            place = attrs.evolve(place, standing=fresh)
+            fresh = backlog.QueueClass.FRESH
+            place = attrs.evolve(place, queue_class=fresh)
         expires = min(place.expires, exchange.deadline)
         return attrs.evolve(place, expires=expires)
--- a/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
@@ -58,7 +58,7 @@
 
     request: callermessages.Request
     reply: callermessages.Reply
-    ask: callerrequests.Ask
+    ask: callerrequests.CallerRequest
     rule: configuration.Rule
     service: str
     deadline: float
--- a/packages/daemon/src/dunlintide_daemon/gateway/front.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/front.py
@@ -112,7 +112,7 @@
         self,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: callerrequests.Ask,
+        ask: callerrequests.CallerRequest,
     ) -> exchange_module.Exchange | None:
         """Find the terms of a request, or refuse it at once."""
         deployment = self._state.deployment
@@ -129,7 +129,7 @@
             return None
         exchange = self._build(deployment, request, reply, ask, rule, owner)
         now = self._state.now
-        if self._state.crashers.is_refused(exchange.fingerprint, now):
+        if self._state.crashers.is_poison(exchange.fingerprint, now):
             self._deny(
                 reply, ask, 503, 'seems to crash endpoints', CRASHER_SECONDS
             )
@@ -138,23 +138,26 @@
             pause = self._choose_stopping_pause(exchange, now)
             self._deny(reply, ask, 503, 'stopping', pause)
             return None
-        self._state.get_budget(exchange.service).earn(now)
+        self._state.get_budget(exchange.service).record_request(now)
         refusals = self._state.returns
         if self._state.has(mechanisms.Mechanism.RETURNED):
-            exchange.returned = refusals.has_returned(exchange.digest, now)
-        refusals.ask(now)
+            exchange.returned = refusals.was_refused(exchange.digest, now)
+        refusals.record_request(now)
         return exchange
 
     def _choose_stopping_pause(
         self, exchange: exchange_module.Exchange, now: float
     ) -> float:
         state = self._state
-        pause = refusalhistory.choose_stopping_pause(
+        pause = refusalhistory.choose_shutdown_delay(
             len(state.others),
             state.stopping_at + state.settings.grace - now,
         )
         # Callers honour no longer one.
-        return min(pause, (exchange.deadline - now) * refusalhistory.LEFT_PART)
+        return min(
+            pause,
+            (exchange.deadline - now) * refusalhistory.MAX_DELAY_FRACTION,
+        )
 
     def _is_too_late(
         self, exchange: exchange_module.Exchange, now: float
@@ -171,7 +174,7 @@
     def _find_rule(
         self,
         deployment: deployments.Deployment,
-        ask: callerrequests.Ask,
+        ask: callerrequests.CallerRequest,
         owner: configuration.Team | None,
     ) -> configuration.Rule | None:
         query = matching.Query(
@@ -193,7 +196,7 @@
         deployment: deployments.Deployment,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: callerrequests.Ask,
+        ask: callerrequests.CallerRequest,
         rule: configuration.Rule,
         owner: configuration.Team | None,
     ) -> exchange_module.Exchange:
@@ -229,7 +232,7 @@
     def _deny(
         self,
         reply: callermessages.Reply,
-        ask: callerrequests.Ask,
+        ask: callerrequests.CallerRequest,
         status: int,
         reason: str,
         retry_after: float | None = None,
@@ -252,7 +255,7 @@
 
 
 def _make_fingerprint(
-    request: callermessages.Request, ask: callerrequests.Ask
+    request: callermessages.Request, ask: callerrequests.CallerRequest
 ) -> str:
     """Name a request by what stays when its caller sends it again."""
     digest = hashlib.blake2b(digest_size=9)
@@ -263,7 +266,7 @@
     return digest.hexdigest()
 
 
-def _make_digest(fingerprint: str, ask: callerrequests.Ask) -> int:
+def _make_digest(fingerprint: str, ask: callerrequests.CallerRequest) -> int:
     """Tell a request from others with the same path, caller and body."""
     text = f'{fingerprint} {ask.prompt} {ask.answer} {ask.prefix}'
     return zlib.crc32(text.encode('latin-1'))
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -148,7 +148,7 @@
             domains are spared
         """
         state = self._state
-        doubted = state.soundness.list_doubted(state.now)
+        doubted = state.soundness.list_ejected(state.now)
         refusing = state.soundness.list_refusing(state.now)
         full = state.soundness.list_full(state.now)
         message = gossipmessages.Message(
@@ -201,7 +201,7 @@
                 if at >= since
             ],
             list(
-                map(gossipmessages.digest, state.soundness.list_doubted(now))
+                map(gossipmessages.digest, state.soundness.list_ejected(now))
             ),
             state.crashers.list_recent(since),
             state.returns.list_recent(now - REFUSED_SECONDS),
@@ -223,7 +223,7 @@
         ]
 
     def _list_ages(self) -> list[int]:
-        flows = self._state.soundness.list_flows(self._state.now)
+        flows = self._state.soundness.list_progress_ages(self._state.now)
         longest = gossipmessages.LONGEST_AGE * gossipmessages.AGE_UNIT
         return [
             int(
@@ -241,7 +241,7 @@
         Rate limits go along only where there are any.
         """
         sent = [gossipmessages.encode(message)]
-        news = self._state.permits.make_news(self._state.now)
+        news = self._state.permits.make_update(self._state.now)
         if news is not None:
             sent.append(permitcodec.encode(news))
         for entry in self.entries.values():
@@ -285,31 +285,31 @@
         state = self._state
         now = state.now
         names = self._name_digests()
-        state.permits.liveness.hear(message.sender, now)
+        state.permits.liveness.record_received(message.sender, now)
         for digest in message.leaving:
             if digest in names:
                 state.mark_leaving(names[digest], message.sender)
         if state.has(mechanisms.Mechanism.HEARSAY):
             for digest in message.doubted:
                 if digest in names:
-                    state.soundness.hear(names[digest], now)
+                    state.soundness.receive_ejection(names[digest], now)
         if state.has(mechanisms.Mechanism.TOLD_REFUSALS):
             for digest in message.refusing:
                 if digest in names:
-                    state.soundness.hear_refusal(names[digest], now)
+                    state.soundness.receive_refusing(names[digest], now)
             for digest in message.full:
                 if digest in names:
                     part = state.random.uniform(*FULL_PARTS)
-                    state.soundness.hear_full(names[digest], now, part)
+                    state.soundness.receive_full(names[digest], now, part)
         for digest, pace in message.paces:
             if digest in names:
                 state.paces.receive(
                     names[digest], pace * gossipmessages.PACE_UNIT, now
                 )
         for fingerprint, endpoint in message.broken:
-            state.crashers.hear(fingerprint, endpoint, now)
+            state.crashers.receive_broken_run(fingerprint, endpoint, now)
         for digest in message.refused:
-            state.returns.hear(digest, now)
+            state.returns.receive_refusal(digest, now)
         if message.usages is not None:
             usages = {
                 names[digest]: occupancy.Usage(
@@ -338,4 +338,4 @@
         for (digest, *_), age in zip(message.usages, message.ages):
             if age < gossipmessages.LONGEST_AGE and digest in names:
                 moved = now - age * gossipmessages.AGE_UNIT
-                soundness.hear_flow(names[digest], moved, now)
+                soundness.receive_progress(names[digest], moved, now)
--- a/packages/daemon/src/dunlintide_daemon/gateway/losses.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/losses.py
@@ -53,7 +53,7 @@
         soundness = self._state.soundness
         self._forget({each.name for each in engines})
         for engine in engines:
-            doubt = soundness.measure_doubt(engine.name, now)
+            doubt = soundness.get_suspicion_seconds(engine.name, now)
             if doubt >= DOUBT_SECONDS and engine.name not in self._lost:
                 self._ask(engine, now)
         lost = set(self._lost) | self._list_leaving(engines, now)
@@ -69,7 +69,7 @@
         While the store is away it does not list that engines drain, and
         their layers would be ordered elsewhere only after its return.
         """
-        measure = self._state.soundness.measure_refusing
+        measure = self._state.soundness.get_refusing_seconds
         return {
             each.name
             for each in engines
@@ -82,7 +82,7 @@
             for name in [each for each in known if each not in listed]:
                 del known[name]
         for name, at in list(self._lost.items()):
-            if self._state.soundness.has_moved_since(name, at):
+            if self._state.soundness.has_progressed_since(name, at):
                 self._state.log.write_always('engine back', endpoint=name)
                 del self._lost[name]
 
@@ -111,7 +111,7 @@
                 self._state.note_life(engine, read.ok_value.born)
                 return
             errors.append(read.err_value)
-        if self._state.soundness.has_moved_since(engine.name, began):
+        if self._state.soundness.has_progressed_since(engine.name, began):
             return
         self._lost[engine.name] = self._state.now
         self._state.log.write_always(
--- a/packages/daemon/src/dunlintide_daemon/gateway/permitcodec.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/permitcodec.py
@@ -19,14 +19,14 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoders = {
-    _ASK: msgspec.msgpack.Decoder(permits.Ask),
-    _ANSWER: msgspec.msgpack.Decoder(permits.Answer),
-    _NEWS: msgspec.msgpack.Decoder(permits.News),
+    _ASK: msgspec.msgpack.Decoder(permits.PermitRequest),
+    _ANSWER: msgspec.msgpack.Decoder(permits.PermitReply),
+    _NEWS: msgspec.msgpack.Decoder(permits.LimitUpdate),
 }
 _kinds = {
-    permits.Ask: _ASK,
-    permits.Answer: _ANSWER,
-    permits.News: _NEWS,
+    permits.PermitRequest: _ASK,
+    permits.PermitReply: _ANSWER,
+    permits.LimitUpdate: _NEWS,
 }
 
 
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -80,7 +80,7 @@
         self._state = state
         self._leadership = leadership
         self._losses = collections.defaultdict(lambda: losses.Losses(state))
-        self._demands = collections.defaultdict(demandpeaks_module.Demands)
+        self._demands = collections.defaultdict(demandpeaks_module.DemandPeaks)
         self._open: dict[str, _Order] = {}
         self._seen: set[str] = set()
         self._settled_at = float('inf')
@@ -149,7 +149,7 @@
             order = self._open[name]
             if order.placement.endpoint.service == service:
                 del self._open[name]
-        known = self._demands[service].list_known()
+        known = self._demands[service].list_peaks()
         for placement in layout.plan_new(profile, holding, empty, known):
             # A new engine has accepted none; another refuses and tells.
             self._begin(_Order(placement), profile, now)
@@ -179,7 +179,7 @@
         now: float,
     ) -> None:
         """Move engines where layers have been scarce for a while."""
-        known = self._demands[service].list_known()
+        known = self._demands[service].list_peaks()
         ranges = (
             tuple((each.endpoint.name, each.start) for each in holding),
             tuple(known.items()),
--- a/packages/daemon/src/dunlintide_daemon/gateway/ratelimiter.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/ratelimiter.py
@@ -105,11 +105,11 @@
         for name, (limit, age) in before.items():
             if limits.get(name) != limit:
                 state.log_rate_limit(name, message.sender, age)
-        if isinstance(message, permits_module.Answer):
+        if isinstance(message, permits_module.PermitReply):
             awake = self._waiting.get(message.number)
             if awake is not None:
                 awake.set()
 
-    def _send(self, sends: permits_module.Sends) -> None:
+    def _send(self, sends: permits_module.Outgoing) -> None:
         for receiver, message in sends:
             self._send_datagram(receiver, permitcodec.encode(message))
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -123,9 +123,9 @@
         tokens = self._finder.estimate(stream).tokens
         pipes = chains.list_pipes(hops)
         reservation = state.occupancy.reserve(hops, tokens, pipes)
-        published = chaincosts.time_event(stream.profile, hops)
+        published = chaincosts.estimate_event_seconds(stream.profile, hops)
         run = _Run(hops, reservation, now, now, published=published)
-        state.soundness.begin(run.names)
+        state.soundness.record_sent(run.names)
         self._active.add(run)
         connection = None
         try:
@@ -137,7 +137,7 @@
             raise
         finally:
             self._active.discard(run)
-            state.soundness.end(run.names, run.events > 0)
+            state.soundness.record_finished(run.names, run.events > 0)
             self._release(stream.exchange.service, run)
             if connection is not None:
                 state.pool.release(run.first.address, connection)
@@ -254,7 +254,7 @@
         if broken.fault in _NO_FAULT_OF_FIRST:
             return
         exchange.tried.append(run.first.name)
-        count = state.crashers.report(
+        count = state.crashers.record_broken_run(
             exchange.fingerprint, run.first.name, state.now
         )
         state.log.write(
@@ -293,7 +293,7 @@
         :param read: takes the loop time until which it waits
         """
         limits = self._judge.choose_limits(target, run.events > 0)
-        limit = limits.named
+        limit = limits.suspected
         while True:
             due = min(run.moved + limit, stream.exchange.deadline)
             try:
@@ -356,7 +356,7 @@
         reply.finish(splitter.rest)
         self._state.crashers.clear(exchange.fingerprint)
         if run.events > 1:
-            self._state.pauses.note(run.longest)
+            self._state.pauses.record(run.longest)
 
     def _observe(
         self, exchange: exchange_module.Exchange, run: _Run, now: float
@@ -373,8 +373,8 @@
             run.longest = max(run.longest, now - run.moved)
             self._judge_pace(run, now)
         else:
-            self._state.first_events.note(now - run.began)
-            self._state.soundness.accept(run.names, run.began)
+            self._state.first_events.record(now - run.began)
+            self._state.soundness.record_accepted(run.names, run.began)
             run.paced_since = now
         run.events += 1
         exchange.events += 1
@@ -391,7 +391,7 @@
         state = self._state
         against = elapsed / run.paced / run.published
         run.paced, run.paced_since = 0, now
-        if paces.is_slow_run(against, state.event_times.usual):
+        if paces.is_slow_run(against, state.event_times.typical):
             state.suspect_slow(run.names)
         if state.paces.list_slow(now).keys().isdisjoint(run.names):
-            state.event_times.note(against)
+            state.event_times.record(against)
--- a/packages/daemon/src/dunlintide_daemon/gateway/silences.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/silences.py
@@ -42,7 +42,7 @@
 
     def choose_limits(
         self, target: float | None, has_events: bool
-    ) -> failover.Limits:
+    ) -> failover.StallLimits:
         """Tell how long a run may stand still.
 
         :param target: silence that the rule allows, in seconds, None for
@@ -53,13 +53,13 @@
         usual = None
         if state.has(mechanisms.Mechanism.USUAL_PAUSES):
             seen = state.pauses if has_events else state.first_events
-            usual = seen.usual
+            usual = seen.typical
         return failover.choose_limits(
             target or chainfinder.USUAL_TARGET, usual
         )
 
     def judge(
-        self, stream: Stream, silence: Silence, limits: failover.Limits
+        self, stream: Stream, silence: Silence, limits: failover.StallLimits
     ) -> float:
         """Decide whether a still run is moved to another chain.
 
@@ -81,12 +81,12 @@
         state.suspect_slow(silence.names)
         suspects = self._find_suspects(silence, now)
         evidence = self._weigh(silence, suspects, now)
-        judgement = failover.judge(seconds, limits, evidence)
-        if not judgement.moves:
+        judgement = failover.decide(seconds, limits, evidence)
+        if not judgement.should_move:
             return judgement.limit
         state.accuse(suspects, 'still', exchange.ask.name)
         before = list(exchange.tried)
-        still = state.soundness.find_still(silence.names, silence.moved)
+        still = state.soundness.find_stalled(silence.names, silence.moved)
         exchange.tried.extend(suspects or still)
         # A permit may be refused, and a slow run is worth more than none.
         hops = self._finder.choose(stream, state.rate_limits.list_limited())
@@ -100,17 +100,17 @@
         self, silence: Silence, suspects: list[str], now: float
     ) -> failover.Evidence:
         """Tell what is known of the endpoints of a still run."""
-        since = failover.choose_since(silence.moved, now)
-        still = self._state.soundness.find_still(silence.names, since)
-        return failover.weigh(suspects, still)
+        since = failover.choose_stall_start(silence.moved, now)
+        still = self._state.soundness.find_stalled(silence.names, since)
+        return failover.classify_evidence(suspects, still)
 
     def _find_suspects(self, silence: Silence, now: float) -> list[str]:
         """List the endpoints that seem to hold up a still run."""
         soundness = self._state.soundness
         known = []
         if self._state.has(mechanisms.Mechanism.LEFT_OUT_NAMES):
-            known = soundness.find_left_out(silence.names, now)
-        since = failover.choose_since(silence.moved, now)
+            known = soundness.find_ejected(silence.names, now)
+        since = failover.choose_stall_start(silence.moved, now)
         return known or soundness.find_suspects(
             silence.names, since, now, silence.flows
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -83,17 +83,17 @@
     occupancy: occupancy_module.Occupancy = attrs.field(
         factory=occupancy_module.Occupancy
     )
-    soundness: endpointhealth_module.Soundness = attrs.field(
-        factory=endpointhealth_module.Soundness
+    soundness: endpointhealth_module.EndpointHealth = attrs.field(
+        factory=endpointhealth_module.EndpointHealth
     )
-    first_events: durations_module.Pauses = attrs.field(
-        factory=durations_module.Pauses
+    first_events: durations_module.DurationWindow = attrs.field(
+        factory=durations_module.DurationWindow
     )
-    pauses: durations_module.Pauses = attrs.field(
-        factory=durations_module.Pauses
+    pauses: durations_module.DurationWindow = attrs.field(
+        factory=durations_module.DurationWindow
     )
-    event_times: durations_module.Pauses = attrs.field(
-        factory=durations_module.Pauses
+    event_times: durations_module.DurationWindow = attrs.field(
+        factory=durations_module.DurationWindow
     )
     paces: paces_module.Paces = attrs.field(factory=paces_module.Paces)
     rate_limits: ratelimits_module.RateLimits = attrs.field(
@@ -104,11 +104,11 @@
     slow_suspects: set[str] = attrs.field(factory=set)
     slow_suspected: asyncio.Event = attrs.field(factory=asyncio.Event)
     alarmed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    crashers: poisonrequests_module.Crashers = attrs.field(
-        factory=poisonrequests_module.Crashers
+    crashers: poisonrequests_module.PoisonRequests = attrs.field(
+        factory=poisonrequests_module.PoisonRequests
     )
-    returns: refusalhistory_module.Returns = attrs.field(
-        factory=refusalhistory_module.Returns
+    returns: refusalhistory_module.RefusalHistory = attrs.field(
+        factory=refusalhistory_module.RefusalHistory
     )
     random: random_module.Random = attrs.field(factory=random_module.Random)
     deployment: deployments.Deployment | None = None
@@ -126,7 +126,7 @@
     entries: set[str] = attrs.field(factory=set)
     others: set[str] = attrs.field(factory=set)
     backlogs: dict[str, backlog_module.Backlog] = attrs.field(factory=dict)
-    budgets: dict[str, retrybudget.ResendBudget] = attrs.field(factory=dict)
+    budgets: dict[str, retrybudget.RetryBudget] = attrs.field(factory=dict)
     waking: set[str] = attrs.field(factory=set)
     stopping: bool = False
     stopping_at: float = 0.0
@@ -204,7 +204,7 @@
         if before == endpoint:
             return
         self.endpoints[endpoint.name] = endpoint
-        if before is None or not endpoint.serves_like(before):
+        if before is None or not endpoint.accepts_same_requests(before):
             self.listing_version += 1
             self.log.write(
                 'endpoint listed',
@@ -225,7 +225,7 @@
         :returns: whether it is the newest that is known
         """
         known = self.lives.get(endpoint.identity)
-        if known is not None and endpoint.is_older(known):
+        if known is not None and endpoint.is_superseded_by(known):
             self.log.write(
                 'older life ignored',
                 endpoint=endpoint.name,
@@ -259,10 +259,10 @@
         since its layers aren't known. Where the listing tells no births
         there is nothing to compare.
         """
-        name = endpoints_module.name_life(endpoint.identity, born)
+        name = endpoints_module.name_incarnation(endpoint.identity, born)
         told = attrs.evolve(endpoint, name=name, born=born)
         known = self.lives.get(endpoint.identity, endpoint)
-        if known.born is not None and known.is_older(told):
+        if known.born is not None and known.is_superseded_by(told):
             self._begin_life(told)
             self.notify()
 
@@ -313,7 +313,7 @@
             if each.service == service
             and not each.draining
             and each.identity not in self.unreadable
-            and self.soundness.is_open(each.name, now)
+            and self.soundness.is_usable(each.name, now)
         ]
 
     def list_engines(
@@ -328,7 +328,7 @@
             for each in self.endpoints.values()
             if each.service == service
             and not each.draining
-            and profile.admits(each.kind, each.start, each.end)
+            and profile.can_hold(each.kind, each.start, each.end)
         ]
 
     def list_unreadable(self) -> list[str]:
@@ -339,12 +339,12 @@
         """Give the queue of a service."""
         return self.backlogs.setdefault(service, backlog_module.Backlog())
 
-    def get_budget(self, service: str) -> retrybudget.ResendBudget:
+    def get_budget(self, service: str) -> retrybudget.RetryBudget:
         """Give the budget of second sends for a service."""
         budget = self.budgets.get(service)
         if budget is None:
             retries = self.settings.retries
-            budget = retrybudget.ResendBudget(
+            budget = retrybudget.RetryBudget(
                 retries.ratio, retries.slack, retries.window
             )
             self.budgets[service] = budget
@@ -376,7 +376,7 @@
             return
         now = self.now
         for name in names:
-            if self.soundness.accuse(name, now):
+            if self.soundness.eject(name, now):
                 self.counters.accusations.inc()
                 self.log.write(
                     'endpoint left out',
@@ -443,7 +443,7 @@
         """
         if not self.has(mechanisms.Mechanism.REFUSAL_PAUSES):
             return
-        pause = self.soundness.refuse(name, self.now, roomy)
+        pause = self.soundness.record_refusal(name, self.now, roomy)
         self.alarmed.set()
         loop = asyncio.get_running_loop()
         loop.call_later(pause, self.wake, service)
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -159,7 +159,7 @@
             late = state.now >= exchange.deadline
             exchange_module.refuse(reply, 504 if late else 502)
             return Outcome.UNKNOWN
-        state.returns.refuse(exchange.digest, state.now)
+        state.returns.record_refusal(exchange.digest, state.now)
         pause = self._choose_pause(exchange)
         state.log.write(
             'request refused',
@@ -177,7 +177,7 @@
     def _choose_pause(self, exchange: exchange_module.Exchange) -> float:
         """Tell when there may be room, with jitter to spread returns."""
         now = self._state.now
-        pause = self._state.returns.choose_pause(now)
+        pause = self._state.returns.choose_retry_delay(now)
         pause *= self._state.random.uniform(*JITTER)
         left = max(0.1, exchange.deadline - now)
-        return min(pause, left * refusalhistory.LEFT_PART)
+        return min(pause, left * refusalhistory.MAX_DELAY_FRACTION)
--- a/packages/trials/src/dunlintide_trials/engineload.py
+++ b/packages/trials/src/dunlintide_trials/engineload.py
@@ -115,7 +115,7 @@
         """Take all memory."""
         for engine in self.engines:
             held = engine.end - engine.start
-            taken = PROFILE.count_cache(engine.kind, held)
+            taken = PROFILE.get_cache_capacity(engine.kind, held)
             self.usages[engine.name] = occupancy.Usage(_BUSY, 0, int(taken))
 
     def scatter(self) -> None:
@@ -130,7 +130,7 @@
             even = names.index(engine.domain) % 2 == 0
             low = engine.start + engine.end < 2 * half
             held = engine.end - engine.start
-            cache = PROFILE.count_cache(engine.kind, held)
+            cache = PROFILE.get_cache_capacity(engine.kind, held)
             taken = 0 if even == low else cache
             if engine.start < half < engine.end:
                 taken = 0
