--- a/packages/core/src/dunlintide_core/pipeline/availability.py
+++ b/packages/core/src/dunlintide_core/pipeline/availability.py
@@ -1,8 +1,8 @@
-"""How many streams find no room, by the number of engines that hold a layer.
+"""Expected share of refused streams, by the number of holders of a layer.
 
-Any engine may be out of use for a while: it crashes, is replaced, turns slow
-or loads layers. What the others can take then decides how many streams are
-refused.
+Any engine may be unavailable for a while: it crashes, is replaced, slows down
+or loads layers. The capacity of the remaining holders of a layer then
+determines the share of streams that is refused.
 """
 
 import functools
@@ -14,23 +14,25 @@
     'tabulate_refused_shares',
 ]
 
-# Share of the time for which an engine is out of use.
+# Fraction of the time for which an engine is unavailable.
 OUTAGE_FRACTION = 0.1
-# Demand against its estimate, at times of equal length. Bursts exceed it.
+# Ratios of actual to estimated demand, equally likely. Bursts exceed the
+# estimate.
 DEMAND_SPREAD = (0.7, 1.0, 1.5)
 
 
 def estimate_refused_share(load: float) -> float:
-    """Tell which share of streams finds no room.
+    """Return the expected share of streams that are refused.
 
-    :param load: estimated demand against what there is room for; infinite
-        if there is none
+    :param load: ratio of estimated demand to capacity; infinite without
+        capacity
     """
     shares = [max(0.0, 1.0 - 1.0 / (load * part)) for part in DEMAND_SPREAD]
     return sum(shares) / len(shares)
 
 
 def _get_working_probability(holders: int, working: int) -> float:
+    """Return the probability that ``working`` holders are available."""
     ways = math.comb(holders, working)
     return (
         ways
@@ -43,8 +45,8 @@
 def tabulate_refused_shares(load: float, most: int) -> Sequence[float]:
     """List the expected share of refused streams by number of holders.
 
-    :param load: demand against what one holder has room for
-    :param most: holders up to which the list goes, from none
+    :param load: ratio of demand to the capacity of one holder
+    :param most: largest number of holders; the list starts at zero
     """
     by_working = [1.0]
     by_working += [
--- a/packages/core/src/dunlintide_core/pipeline/backlog.py
+++ b/packages/core/src/dunlintide_core/pipeline/backlog.py
@@ -1,10 +1,10 @@
-"""Requests that wait for room, and which of them goes next.
+"""Queue of requests that wait for capacity, and their order.
 
-When more is asked than can be served, a queue by arrival makes every
-answer late: each waits as long as the queue allows. So a request waits
-only as long as it can still be on time. Whoever has been refused before
-waits longer, behind those, and a stream that lost its chain midway goes
-before all, since most of its work is done.
+Under overload a queue ordered by arrival alone makes every answer late, since
+each request waits as long as the queue allows. A request therefore waits only
+as long as it can still be answered in time. Requests that were refused before
+wait longer, behind the others. An interrupted stream goes first, since most of
+its work is already done.
 """
 
 import bisect
@@ -22,7 +22,12 @@
 
 
 class QueueClass(enum.IntEnum):
-    """What is at stake for a request; less goes first."""
+    """Class of a waiting request; lower values are served first.
+
+    :cvar UNDER_WAY: a stream that has run already and lost its chain
+    :cvar FRESH: a request that can still be answered in time
+    :cvar RETRIED: a request that was refused a short time ago
+    """
 
     UNDER_WAY = 0
     FRESH = 1
@@ -31,13 +36,13 @@
 
 @attrs.define(eq=False)
 class Waiter:
-    """A request that waits.
+    """A waiting request.
 
-    :ivar priority: 0 goes first
-    :ivar standing: what is at stake for it
-    :ivar order: number of its arrival
+    :ivar priority: 0 is served first
+    :ivar queue_class: rank among requests of equal priority
+    :ivar arrival: sequence number of its arrival
     :ivar expires: monotonic time at which it is refused, in seconds
-    :ivar wake: called when there may be room for it
+    :ivar wake: called when there may be capacity for it
     """
 
     priority: int
@@ -51,14 +56,15 @@
     return (waiter.priority, waiter.queue_class, waiter.arrival)
 
 
-# Time over which the pace of the queue is measured, in seconds.
+# Window over which the service rate of the queue is measured, in seconds.
 RATE_WINDOW_SECONDS = 1.0
-# Requests that wait in any case: fewer tell nothing of the pace.
+# Number of waiting requests up to which a new one is always queued: a shorter
+# queue gives no usable estimate of the service rate.
 MIN_WAITERS = 2
 
 
 class Backlog:
-    """Waiting requests, by priority, standing and arrival."""
+    """Waiting requests, ordered by priority, queue class and arrival."""
 
     def __init__(self) -> None:
         self._waiters: list[Waiter] = []
@@ -78,19 +84,23 @@
         expires: float,
         wake: Callable[[], None],
     ) -> Waiter:
-        """Queue a request behind those of its rank."""
+        """Queue a request behind those of equal rank.
+
+        :param expires: monotonic time at which it is refused, in seconds
+        :param wake: called when there may be capacity for it
+        """
         self._arrivals += 1
         waiter = Waiter(priority, queue_class, self._arrivals, expires, wake)
         bisect.insort(self._waiters, waiter, key=_rank)
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue, if it is queued."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
     def record_served(self, now: float) -> None:
-        """Take note that a request found its place.
+        """Record that a request found capacity.
 
         :param now: monotonic time in seconds
         """
@@ -105,13 +115,14 @@
         now: float,
         expires: float,
     ) -> bool:
-        """Tell whether those ahead take longer than a request may wait.
+        """Return whether the queue ahead takes longer than a request may wait.
 
-        Such a request is refused at once instead of at the end of a wait
-        that could not help it. A stream under way is none: its caller has a
-        part of it, and would get no more.
+        Such a request is refused at once, since waiting could not help it. A
+        stream under way never counts as such: its caller has received part of
+        the answer and would get no more.
 
-        :param expires: monotonic time until which it would wait
+        :param now: monotonic time in seconds
+        :param expires: monotonic time until which the request would wait
         """
         if queue_class is QueueClass.UNDER_WAY:
             return False
@@ -124,6 +135,6 @@
         return ahead * RATE_WINDOW_SECONDS > served * max(0.0, expires - now)
 
     def count_ahead(self, priority: int, queue_class: QueueClass) -> int:
-        """Count those that go before a new request."""
+        """Count the requests that would be served before a new one."""
         rank = (priority, queue_class, self._arrivals + 1)
         return sum(1 for each in self._waiters if _rank(each) < rank)
--- a/packages/core/src/dunlintide_core/pipeline/balance.py
+++ b/packages/core/src/dunlintide_core/pipeline/balance.py
@@ -1,4 +1,4 @@
-"""Choice among endpoints that all can serve a plain call."""
+"""Choice of an endpoint for a plain call."""
 
 import random as random_module
 from typing import Callable, Iterable
@@ -7,12 +7,12 @@
 
 __all__ = ['choose']
 
-# Calls beyond its slots that an endpoint gets: with others' sums a little
-# old, fewer would leave slots empty, more would wait where they can't be
-# taken back.
+# Calls that an endpoint gets beyond its slots. Usage reports of other entries
+# are slightly old, so fewer would leave slots empty; more would queue at the
+# endpoint, from where they can't be taken back.
 EXTRA_CALLS = 1
-# An endpoint in another failure domain must be this much emptier, as a
-# part of its slots.
+# Load, as a fraction of the slots, by which an endpoint in another failure
+# domain or one still warming up must be below the others to be chosen.
 REMOTE_PENALTY = 0.34
 
 
@@ -22,11 +22,12 @@
     domain: str,
     random: random_module.Random,
 ) -> endpoints_module.Endpoint | None:
-    """Find the endpoint with most free slots, None if all are full.
+    """Return the least loaded endpoint, None if all are full.
 
-    :param count: calls in flight at an endpoint, by name
+    :param candidates: endpoints that can serve the call
+    :param count: returns the calls in flight at an endpoint, by name
     :param domain: failure domain of the entry, preferred
-    :param random: breaks ties, so that entries do not choose alike
+    :param random: breaks ties, so that entries choose differently
     """
     best = None
     best_cost = float('inf')
--- a/packages/core/src/dunlintide_core/pipeline/bottlenecks.py
+++ b/packages/core/src/dunlintide_core/pipeline/bottlenecks.py
@@ -1,4 +1,4 @@
-"""Why no chain was found: the layers for which nobody has room."""
+"""Layers without free capacity, which explain why no chain was found."""
 
 from typing import AbstractSet, Mapping
 
@@ -18,11 +18,11 @@
 
 @attrs.frozen
 class Bottleneck:
-    """Layers that no endpoint takes now.
+    """A range of layers that no endpoint can take.
 
     :ivar start: first layer
     :ivar end: layer behind the last one
-    :ivar holders: names of the endpoints in use that hold them
+    :ivar holders: names of the usable endpoints that hold the range
     """
 
     start: int
@@ -40,11 +40,13 @@
     usages: Mapping[str, occupancy.Usage],
     unusable: AbstractSet[str] = frozenset(),
 ) -> list[Bottleneck]:
-    """List the layers that no endpoint has room for.
+    """List the ranges of layers for which no endpoint has free capacity.
 
-    :param region: endpoints of the table that are looked at
-    :returns: none if each layer has room somewhere; then first endpoints
-        lack places, or a pipe is full
+    :param region: endpoints of the table to examine
+    :param usages: usage of endpoints, by name
+    :param unusable: names of endpoints that get no request
+    :returns: empty if every layer has free capacity somewhere; then all first
+        endpoints lack slots, or a pipe is full
     """
     times = chaincosts.LayerTimes.from_demand(table.profile, demand)
     weights = table.engines.weigh(times, demand.tokens, usages, unusable)
--- a/packages/core/src/dunlintide_core/pipeline/cacheplans.py
+++ b/packages/core/src/dunlintide_core/pipeline/cacheplans.py
@@ -1,8 +1,9 @@
-"""How much memory cards keep for requests, beside the layers they hold.
+"""How much memory cards reserve for requests, beside their layers.
 
-Memory for layers makes copies, which outlast the loss of engines; memory for
-requests decides how many streams run at a time. What serves most streams,
-with all engines and without some, follows from the demand.
+Memory for layers makes copies, which keep the model available when engines
+fail. Memory for the KV cache of requests decides how many streams run at a
+time. The plan that serves most streams, with all engines and with some lost,
+depends on the demand.
 """
 
 from typing import Iterable, Sequence
@@ -22,37 +23,40 @@
 
 _BYTES_PER_MB = 1e6
 
-# Share of a first endpoint's slots in use, by which the demand is estimated
-# before there is any: one first endpoint for each copy that memory holds.
+# Fraction of a first endpoint's slots assumed to be in use as long as no
+# demand has been observed, with one first endpoint for each copy that fits
+# into memory.
 USUAL_SLOT_FRACTION = 0.25
-# First endpoints of a failure domain that holds so many copies of the model
-# or more: with two, the loss of one halves the places for new streams.
+# First endpoints of a failure domain that holds at least MIN_COPIES_FOR_FIRST
+# copies of the model: with two, the loss of one halves the slots for new
+# streams.
 MIN_FIRST_ENDPOINTS = 3
 MIN_COPIES_FOR_FIRST = 1.5
 # Copies that a failure domain holds where its cards can, whatever the demand:
-# ranges of unequal cards overlap, and with fewer the loss of any engine
-# leaves layers that nobody holds.
+# ranges of unequal cards overlap, and with fewer copies the loss of any engine
+# leaves layers without a holder.
 MIN_COPIES = 1.3
-# Amounts of room that are compared, from the least to the most.
+# Number of cache sizes that are compared.
 CACHE_STEPS = 24
-# Holders of a layer beyond which another one changes nothing.
+# Number of holders of a layer beyond which another one changes nothing.
 MAX_HOLDERS = 24
 
 
 @attrs.frozen
 class CachePlan:
-    """What holds for all cards of a failure domain.
+    """Cache size and expected availability of a failure domain.
 
     A request takes as many tokens at each part of its chain, so all cards
-    keep room for the same number.
+    reserve cache for the same number of tokens.
 
-    :ivar room: tokens for which each layer keeps memory
-    :ivar part: layers that a card holds on average
-    :ivar refused: expected share of refused streams, by the number of
+    :ivar cache_tokens: tokens for which each layer reserves memory
+    :ivar mean_layers: mean number of layers that a card holds
+    :ivar refused_shares: expected share of refused streams, by the number of
         engines that hold a layer
-    :ivar refused_first: the same for the first layer, whose holders take no
-        more requests than they have slots
-    :ivar least_first: engines that are to hold the first layer at least
+    :ivar first_refused_shares: the same for the first layer, whose holders are
+        also limited by their slots
+    :ivar min_first_endpoints: minimum number of engines that hold the first
+        layer
     """
 
     cache_tokens: int
@@ -65,9 +69,9 @@
 def count_layers(
     profile: profiles.EngineProfile, kind: str, cache_tokens: int
 ) -> int:
-    """Tell how many layers a card takes beside its room for requests.
+    """Return how many layers fit on a card beside its cache.
 
-    :param room: tokens for which each of its layers keeps memory
+    :param cache_tokens: tokens for which each of its layers reserves memory
     """
     card = profile.accelerators.get(kind)
     if card is None:
@@ -87,7 +91,7 @@
 def estimate_demand(
     profile: profiles.EngineProfile, kinds: Iterable[str]
 ) -> float:
-    """Estimate what a failure domain's streams take before there are any.
+    """Estimate a failure domain's demand before any has been observed.
 
     :param kinds: kind of each card in the domain
     :returns: tokens in flight
@@ -125,10 +129,11 @@
 
 
 def _estimate_refused(plan: CachePlan, layers: int, cards: int) -> float:
-    """Tell how many streams are refused where layers are held evenly.
+    """Estimate the share of refused streams for evenly spread layers.
 
     :param layers: layers of the model
-    :returns: expected share, summed over the parts of a chain
+    :returns: expected share, summed over the parts of a chain; larger than any
+        share for plans with fewer than MIN_COPIES copies
     """
     copies = plan.mean_layers * cards / layers
     if copies < MIN_COPIES:
@@ -143,13 +148,13 @@
 def plan_cache(
     profile: profiles.EngineProfile, kinds: Sequence[str], demand: float
 ) -> CachePlan:
-    """Choose the room that a failure domain's cards keep.
+    """Choose the cache size of a failure domain's cards.
 
     :param kinds: kind of each card in the domain
-    :param demand: tokens that streams in flight take of each layer
+    :param demand: tokens in flight that each layer must hold
     """
     # Each holder of a layer serves about as many streams as a first
-    # endpoint, so room beyond its slots would stay empty.
+    # endpoint, so cache beyond its slots would stay empty.
     most = max(CACHE_STEPS, profile.slots * _count_usual_tokens(profile))
     plans = [
         _make_plan(profile, kinds, most * step // CACHE_STEPS, demand)
--- a/packages/core/src/dunlintide_core/pipeline/callerrequests.py
+++ b/packages/core/src/dunlintide_core/pipeline/callerrequests.py
@@ -1,4 +1,4 @@
-"""What one request asks for, whatever it was written in."""
+"""Attributes of a caller's request, independent of its encoding."""
 
 import attrs
 
@@ -7,21 +7,24 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A request as the decisions see it.
+    """A decoded caller request, as the routing decisions read it.
 
     :ivar name: the caller's id of this attempt
-    :ivar host: host name asked, without a port
+    :ivar host: requested host name, without a port
     :ivar path: path without the query
-    :ivar key_digest: SHA-256 of the caller's key in lower-case hex, empty
-        if it sent none
-    :ivar patience: seconds that the caller waits, None if it did not say
-    :ivar model: model asked for, empty for a plain call
-    :ivar prompt: prompt tokens
-    :ivar answer: most tokens of the answer
-    :ivar hint: the caller's estimate of the tokens of its answer, 0 for
-        none
-    :ivar prefix: names of the parts of its prompt, as sent
-    :ivar after: last event that the caller has, None from the start
+    :ivar method: HTTP method
+    :ivar key_digest: SHA-256 of the caller's API key in lower-case hex, empty
+        if the request carries none
+    :ivar patience: the caller's deadline in seconds from arrival, None if it
+        names none
+    :ivar model: requested model, empty for a plain call
+    :ivar prompt: length of the prompt, in tokens
+    :ivar answer: maximum length of the answer, in tokens
+    :ivar hint: the caller's estimate of the length of the answer, in tokens, 0
+        for none
+    :ivar prefix: names of the prompt's prefix parts, as sent
+    :ivar after: id of the last event that the caller has received, None to
+        stream from the start
     """
 
     name: str
--- a/packages/core/src/dunlintide_core/pipeline/chaincosts.py
+++ b/packages/core/src/dunlintide_core/pipeline/chaincosts.py
@@ -1,4 +1,4 @@
-"""What a chain of endpoints costs a request, in expected milliseconds."""
+"""Cost of a chain of endpoints for a request, in expected milliseconds."""
 
 import math
 from typing import Callable, Mapping
@@ -26,30 +26,31 @@
 # Requests in flight at which an endpoint counts as twice as slow, so that
 # equal cards fill evenly.
 SEQUENCES_TO_DOUBLE = 24.0
-# Wait of a token at each endpoint for a pass to begin.
+# Time that a token waits at each endpoint for the next pass to begin.
 HOP_MS = 0.25
-# A chain begins in the caller's failure domain unless another is this much
-# better: chains that change domain freely fill the shared pipes.
+# Penalty for a chain that begins outside the caller's failure domain. Without
+# it chains change domains freely and fill the shared pipes.
 REMOTE_ENTRY_PENALTY_MS = 20.0
-# A chain within another failure domain counts as this much dearer, since the
-# use of its engines is known late: all entries would send to a domain that
-# looked idle in their last news, and its engines refuse.
+# Factor on the cost of a chain within another failure domain. Usage reports
+# from there are old: all entries would send to a domain that looked idle in
+# its last report, and its engines would refuse.
 OTHER_DOMAIN_FACTOR = 3.0
-# Beyond any chain within one failure domain, so that pipes are crossed only
-# where no domain has room: prompts take a pipe one by one, and the tokens of
-# all streams that cross wait for them.
+# Penalty above the cost of any chain within one failure domain, so that pipes
+# are crossed only where no domain has capacity: prompts take a pipe one by
+# one, and the tokens of all streams that cross it wait for them.
 PIPE_PENALTY_MS = 60_000.0
-# Share of a pipe that requests may fill. Beyond it transfers queue, streams
-# slow down and more of them are under way, which fills the pipe further.
+# Fraction of the bandwidth of a pipe that requests may use. Beyond it
+# transfers queue, streams slow down and more of them are in flight, which
+# loads the pipe further.
 PIPE_FRACTION = 0.5
-# Time that a request is under way, in seconds, to turn a pipe's bandwidth
-# into a number of requests.
+# Assumed duration of a request, in seconds, to convert a pipe's bandwidth into
+# a number of requests.
 REQUEST_SECONDS = 1.0
-# As many requests that cross make another wait as long as its own transfer:
-# most of those under way are past their prompt.
+# Number of crossing requests that delay another one by its own transfer time.
+# Most requests in flight have sent their prompt already.
 CROSSINGS_TO_DOUBLE = 4.0
-# Shares of a first endpoint's slots and of an endpoint's memory that are
-# given out: what other entries have just begun is not known yet.
+# Fractions of a first endpoint's slots and of an endpoint's memory that are
+# allocated: what other entries have just begun is not known yet.
 SLOT_FRACTION = 0.92
 MEMORY_FRACTION = 0.9
 
@@ -57,12 +58,12 @@
 
 
 def get_layer_step(profile: profiles.EngineProfile, kind: str) -> float:
-    """Give a card's time for one layer as a share of the published step."""
+    """Return a card's step time for one layer, relative to a full step."""
     return profile.accelerators[kind].step_factor / profile.layers
 
 
 def get_layer_read_ms(profile: profiles.EngineProfile, kind: str) -> float:
-    """Give a card's time to read one prompt token on one layer, in ms."""
+    """Return a card's time to read one prompt token on one layer, in ms."""
     factor = profile.accelerators[kind].read_factor
     return factor * 1000.0 / profile.read_per_second / profile.layers
 
@@ -70,7 +71,7 @@
 def estimate_event_seconds(
     profile: profiles.EngineProfile, hops: chains.Hops
 ) -> float:
-    """Give the time of an event by what is published, in seconds."""
+    """Return the published time of one event on a chain, in seconds."""
     step_share = sum(
         get_layer_step(profile, hop.endpoint.kind) * (hop.end - hop.start)
         for hop in hops
@@ -80,11 +81,11 @@
 
 @attrs.frozen
 class LayerTimes:
-    """What the time of one layer depends on, the endpoint aside.
+    """Inputs to the time of one layer that are the same for all endpoints.
 
     :ivar prompt: prompt tokens
     :ivar steps: time of all steps on a card of factor 1, in ms
-    :ivar sequence: what each request in flight adds to it, in ms
+    :ivar sequence: time that each request in flight adds to it, in ms
     """
 
     prompt: int
@@ -95,14 +96,14 @@
     def from_demand(
         cls, profile: profiles.EngineProfile, demand: chains.Demand
     ) -> 'LayerTimes':
-        """Work out what all endpoints have in common for a request."""
+        """Derive the times from what a request needs."""
         steps = demand.answer * profile.step_ms
         sequence = demand.answer * profile.sequence_ms
         return cls(demand.prompt, steps, sequence)
 
 
 def get_max_crossings(profile: profiles.EngineProfile) -> float:
-    """Count the requests that may cross a pipe at the same time."""
+    """Return how many requests may cross a pipe at the same time."""
     tokens = max(1, profile.usual_prompt + profile.usual_answer)
     seconds = profile.get_transfer_ms(tokens, True) / 1000.0
     if not seconds:
@@ -116,10 +117,14 @@
     usages: Mapping[str, occupancy.Usage],
     avoids_pipes: bool = True,
 ) -> HandoffCost:
-    """Build the cost of passing a request on, infinite over a full pipe.
+    """Build a function that returns the cost of a handoff in ms.
 
-    :param usages: use of pipes, by name
-    :param avoids_pipes: whether a chain crosses only where no other has room
+    The cost of handing a request from an endpoint of one failure domain to one
+    of another is infinite over a full pipe.
+
+    :param usages: usage of pipes, by name
+    :param avoids_pipes: whether a chain crosses a pipe only where no other has
+        capacity
     """
     known: dict[tuple[str, str], float] = {}
     tokens = demand.prompt + demand.answer
--- a/packages/core/src/dunlintide_core/pipeline/chains.py
+++ b/packages/core/src/dunlintide_core/pipeline/chains.py
@@ -1,4 +1,4 @@
-"""Chains of endpoints that serve one request, and what a request needs."""
+"""Chains of endpoints that serve one request, and its resource needs."""
 
 from typing import Iterable
 
@@ -14,7 +14,7 @@
     'name_pipe',
 ]
 
-# Parts of a chain that engines accept.
+# Largest number of hops that engines accept in a chain.
 MAX_HOPS = 32
 
 Hops = tuple[endpoints_module.Hop, ...]
@@ -22,11 +22,11 @@
 
 @attrs.frozen
 class Demand:
-    """What a request needs.
+    """Resources that a request needs.
 
-    :ivar prompt: prompt tokens, with those already written when resumed
-    :ivar answer: expected tokens to write
-    :ivar tokens: tokens for which each part reserves memory
+    :ivar prompt: prompt tokens, including tokens already written when resumed
+    :ivar answer: expected number of tokens to write
+    :ivar tokens: tokens for which each hop reserves memory
     :ivar domain: failure domain of the entry
     """
 
@@ -37,12 +37,16 @@
 
 
 def name_pipe(one: str, other: str) -> str:
-    """Name the pipe between two failure domains, for its use."""
+    """Return the name of the pipe between two failure domains.
+
+    A pipe is the link that all requests between two domains share. The name is
+    the key under which its usage is counted.
+    """
     return '|'.join(sorted((one, other)))
 
 
 def list_pipes(hops: Iterable[endpoints_module.Hop]) -> list[str]:
-    """Name the pipes that a chain crosses, each crossing once."""
+    """List the pipes that a chain crosses, one name for each crossing."""
     domains = [hop.endpoint.domain for hop in hops]
     return [
         name_pipe(one, other)
