--- a/packages/core/src/dunlintide_core/pipeline/chainsearch.py
+++ b/packages/core/src/dunlintide_core/pipeline/chainsearch.py
@@ -1,9 +1,10 @@
-"""Shortest path over segments of layers: the chain with the least time.
+"""Shortest-path search for the chain with the least expected time.
 
-The search extends, segment by segment, the cheapest ways to each failure
-domain. It does not look whether a way uses an engine twice, which no engine
-accepts; such a way is rare, and then the search is repeated with each of the
-ways out of it closed in turn.
+Layers are cut into segments at every layer where some engine's range begins or
+ends. The search extends the cheapest routes to each failure domain segment by
+segment. It does not check whether a route uses an engine twice, which engines
+do not accept; such a route is rare. If the search finds one, it is repeated
+once for each way to exclude the repetition.
 """
 
 import math
@@ -18,8 +19,8 @@
 
 __all__ = ['Path', 'find_path']
 
-# Searches for one chain. Each rules out one use of an engine, and a second
-# one is hardly ever needed.
+# Limit on the searches for one chain. Each excludes one use of an engine, and
+# a second search is hardly ever needed.
 MAX_SEARCHES = 64
 
 
@@ -27,25 +28,26 @@
 class Path:
     """A chain and its expected time.
 
-    :ivar cost: in ms, dearer where memory is scarce
+    :ivar cost: expected time in ms, with a surcharge where memory is scarce
     """
 
     cost: float
     hops: chains.Hops
 
 
-# Best way to the end of a segment: its cost, the index of the engine that
-# runs the segment, the first layer of that engine's part and the way to that
-# layer. Ways and parts are plain tuples, as a choice makes hundreds of them.
+# Best route to the end of a segment: its cost, the index of the engine that
+# runs the segment, the first layer of that engine's hop and the route to that
+# layer. Routes and hops are plain tuples, since each choice creates hundreds.
 _Route = tuple[float, int, int, '_Route | None']
-# A part that an engine has begun: the cost of the way to it less that of all
-# layers before it, so that the cost at any layer is this and the engine's
-# rate times it; its first layer; and the way to that layer.
+# A hop that an engine has begun: the cost of the route to it minus the
+# engine's rate times the hop's first layer, so that the cost at any layer is
+# this base plus the rate times the layer; its first layer; and the route to
+# that layer.
 _OpenHop = tuple[float, int, '_Route | None']
-# Ways to the end of a segment by index of the failure domain, the two
-# cheapest of each: an engine can't follow upon itself.
+# Routes to the end of a segment by index of the failure domain, the two
+# cheapest of each: an engine cannot follow itself.
 _DomainRoutes = list[list[_Route]]
-# Engines that are not to run a segment, by segment.
+# Engines that must not run a segment, by segment.
 _Exclusions = Mapping[int, frozenset[int]]
 _NO_HOP: _OpenHop = (math.inf, 0, None)
 _NO_ENGINE = -1
@@ -63,11 +65,12 @@
         remaining_costs: list[float],
         excluded: _Exclusions,
     ) -> None:
-        """Begin a search.
+        """Prepare a search.
 
-        :param crossings: cost of passing on, by indices of the two domains
-        :param rest: what the way from each cut to the end costs at least
-        :param closed: uses of engines that are ruled out
+        :param crossings: handoff cost, by indices of the two failure domains
+        :param remaining_costs: lower bound of the cost from each cut to the
+            end
+        :param excluded: engines that must not run a segment, by segment
         """
         self._region = region
         self._remaining_costs = remaining_costs
@@ -75,16 +78,16 @@
         self._crossings = crossings
         self._excluded = excluded
         self._open_hops = [_NO_HOP] * len(region.engines)
-        # Parts begun by engines whose memory is short for all their layers,
-        # of increasing begin and base: a later one counts once memory is
+        # Open hops of engines that lack memory for all their layers, ordered
+        # by increasing begin and base: a later hop is used once memory is
         # too short for those before it.
         self._limited_hops: dict[int, list[_OpenHop]] = {}
 
     def find(self, entry_costs: list[float], bound: float) -> _Route | None:
-        """Find the cheapest way through all layers.
+        """Find the cheapest route through all layers.
 
-        :param entries: cost of beginning in a domain, by its index
-        :param bound: cost from which on a way is of no use
+        :param entry_costs: cost of beginning in a domain, by its index
+        :param bound: cost from which on a route is discarded
         """
         arrivals: list[_Route | None] = [
             (cost, _NO_ENGINE, 0, None) for cost in entry_costs
@@ -102,7 +105,7 @@
         return best if best is not None and best[0] < bound else None
 
     def _find_arrivals(self, routes: _DomainRoutes) -> list[_Route | None]:
-        """Give the cheapest way to each domain, passing on included."""
+        """Return the cheapest route to each domain, with the handoff cost."""
         best_routes = [
             (source, pair[0]) for source, pair in enumerate(routes) if pair
         ]
@@ -121,9 +124,9 @@
     def _find_arrival_without(
         self, routes: _DomainRoutes, domain: int, excluded_engine: int
     ) -> _Route | None:
-        """Give the cheapest way to a domain on which an engine is not last.
+        """Return the cheapest route to a domain from other engines than one.
 
-        :param but: index of the engine
+        :param excluded_engine: index of the engine
         """
         min_cost, best = math.inf, None
         for source, pair in enumerate(routes):
@@ -142,11 +145,11 @@
         full: AbstractSet[int],
         routes: _DomainRoutes,
     ) -> _DomainRoutes:
-        """Extend the best ways by one segment.
+        """Extend the best routes by one segment.
 
-        :param arrivals: cheapest way to its begin, by domain
-        :param full: engines at which no chain may begin
-        :param ends: ways to its begin
+        :param arrivals: cheapest route to the segment's begin, by domain
+        :param full: engines on which no further chain may begin
+        :param routes: routes to the segment's begin
         """
         region, parts = self._region, self._open_hops
         rates, rooms = self._weights.rates, self._weights.rooms
@@ -179,9 +182,9 @@
     def _choose_limited_hop(
         self, engine: int, route: _Route | None, begin: int, end: int
     ) -> _OpenHop:
-        """Find the best part to go on with where memory is short.
+        """Return the best open hop that an engine short of memory can extend.
 
-        :param way: cheapest way to the begin of the segment, if any
+        :param route: cheapest route to the begin of the segment, if any
         """
         open_hops = self._limited_hops.setdefault(engine, [])
         if route is not None:
@@ -196,7 +199,7 @@
 
 
 def _insert_route(best: list[_Route], route: _Route) -> None:
-    """Take in a way that is one of the two cheapest."""
+    """Insert a route that is one of the two cheapest."""
     if best and route[0] >= best[0][0]:
         best[1:] = [route]
     else:
@@ -204,7 +207,7 @@
 
 
 def _list_parts(route: _Route, layers: int) -> list[tuple[int, int, int]]:
-    """List index, first layer and end of each part of a way."""
+    """List engine index, first layer and end of each hop of a route."""
     parts = []
     current: _Route | None = route
     end = layers
@@ -219,7 +222,7 @@
 def _find_repeated_engine(
     parts: list[tuple[int, int, int]],
 ) -> tuple[int, int, int] | None:
-    """Find an engine with two parts: its index, the first begin, the end."""
+    """Return an engine with two hops, its first begin and its last end."""
     seen: dict[int, int] = {}
     for engine, begin, end in parts:
         if engine in seen:
@@ -231,12 +234,12 @@
 def _exclude_repeat(
     region: regions.Region, repeat: tuple[int, int, int]
 ) -> list[_Exclusions]:
-    """List what to rule out so that an engine is used in one piece.
+    """List the exclusions that each make an engine run in one piece.
 
-    It is left out where its first part begins, or where its last one ends,
-    or else it runs all between alone.
+    The engine is excluded from the first segment of its first hop, or from the
+    last segment of its last hop, or all other engines are excluded in between.
 
-    :param repeat: engine, begin of its first part, end of its last one
+    :param repeat: engine, begin of its first hop, end of its last hop
     """
     engine, begin, end = repeat
     first = region.cuts.index(begin)
@@ -273,13 +276,13 @@
     entry: str,
     bound: float = math.inf,
 ) -> Path | None:
-    """Find the chain with the least expected time, None if there is none.
+    """Return the chain with the least expected time, None if there is none.
 
-    A way of more parts than engines accept counts as none.
+    A chain of more hops than engines accept is discarded.
 
-    :param crossing: cost of passing a request on between failure domains
-    :param entry: failure domain in which a chain begins without a surcharge
-    :param bound: cost from which on a chain is of no use, in ms
+    :param crossing: cost of a handoff between two failure domains, in ms
+    :param entry: failure domain in which a chain begins without a penalty
+    :param bound: cost from which on a chain is discarded, in ms
     """
     domains = region.domains
     entry_costs = [
--- a/packages/core/src/dunlintide_core/pipeline/chaintable.py
+++ b/packages/core/src/dunlintide_core/pipeline/chaintable.py
@@ -1,8 +1,8 @@
 """Choice of the chain of engines that serves one request.
 
-A chain within one failure domain is taken wherever there is one, since pipes
-between domains are narrow and shared. So each domain is searched by itself,
-and all of them together only where none has room.
+A chain within one failure domain is preferred to any other, since the pipes
+between domains are narrow and shared. Each domain is therefore searched
+separately, and all of them together only if no domain has capacity.
 """
 
 import functools
@@ -27,13 +27,13 @@
 
 @attrs.frozen(eq=False)
 class ChainTable:
-    """Engines of a service, prepared for choices of chains.
+    """Engines of a service, prepared for choosing chains.
 
-    :ivar profile: their cost model
+    :ivar profile: cost model of the engines
     :ivar engines: the engines that hold layers
     :ivar domains: engines of each failure domain that holds all layers
-    :ivar floors: least times of chains within these domains
-    :ivar everywhere: engines of all domains
+    :ivar min_times: lower bounds on the time of chains within these domains
+    :ivar all_domains: engines of all failure domains
     """
 
     profile: profiles.EngineProfile
@@ -50,7 +50,7 @@
     ) -> 'ChainTable':
         """Prepare the engines of a listing.
 
-        :param engines: those that are listed and do not leave
+        :param engines: engines that are listed and not draining
         """
         chosen = regions.EngineSet.from_engines(profile, engines)
         names = sorted({each.domain for each in chosen.engines})
@@ -68,7 +68,7 @@
         return cls(profile, chosen, complete, min_times, make(names))
 
     def make_region(self, domain: str) -> regions.Region:
-        """Prepare the engines of one domain, whole or not."""
+        """Prepare the engines of one domain, even if it lacks layers."""
         return regions.Region.from_domains(
             self.engines.engines, [domain], self.profile.layers
         )
@@ -81,14 +81,14 @@
         avoids_pipes: bool = True,
         paces: Mapping[str, float] = types.MappingProxyType({}),
     ) -> chains.Hops | None:
-        """Find the chain with the least expected time, None without room.
+        """Return the chain with the least expected time, None if all are full.
 
-        :param usages: use of engines and of pipes, by name
+        :param usages: usage of engines and of pipes, by name
         :param unusable: names of engines that get no request now
-        :param avoids_pipes: whether a chain crosses a pipe only where no
-            other has room
-        :param paces: time of work against the published one, of engines
-            that are slow, by name
+        :param avoids_pipes: whether a chain crosses a pipe only where no other
+            has capacity
+        :param paces: measured time of work as a multiple of the published one,
+            of slow engines, by name
         """
         times = chaincosts.LayerTimes.from_demand(self.profile, demand)
         crossing = chaincosts.make_handoff_cost(
@@ -124,11 +124,11 @@
         times: chaincosts.LayerTimes,
         find: Callable[..., chainsearch.Path | None],
     ) -> chainsearch.Path | None:
-        """Find the best chain that stays within a failure domain.
+        """Return the best chain that stays within one failure domain.
 
-        :param domain: that of the caller
-        :param find: takes a region and the cost from which on a chain is of
-            no use
+        :param domain: failure domain of the caller
+        :param find: takes a region and the cost from which on a chain is
+            discarded
         """
         own = self.domains.get(domain)
         best = find(own) if own else None
@@ -136,8 +136,8 @@
         if best is not None:
             max_cost = best.cost / chaincosts.OTHER_DOMAIN_FACTOR
         for name, region in self.domains.items():
-            # Engines of a domain that could not do better if they were idle
-            # are not looked at.
+            # A domain is skipped if even its idle engines would be slower
+            # than the best chain so far.
             if region is own or self.min_times[name].bound(times) >= max_cost:
                 continue
             found = find(region, max_cost)
--- a/packages/core/src/dunlintide_core/pipeline/coverage.py
+++ b/packages/core/src/dunlintide_core/pipeline/coverage.py
@@ -1,7 +1,7 @@
-"""Which engines of one failure domain hold each layer, and what that costs.
+"""Engines of one failure domain that hold each layer, and the cost of gaps.
 
-The cost falls with every engine that holds a layer, most with the first ones
-and with fast cards, so a range is best where its layers gain most.
+The cost of a layer falls with every engine that holds it, most with the first
+ones and with fast cards. A range is therefore best where its layers gain most.
 """
 
 import itertools
@@ -12,21 +12,21 @@
 
 __all__ = ['Coverage']
 
-# Share of streams under way that lose their chain or their entry in a second,
-# so that shorter chains count beside engines to spare.
+# Fraction of the streams in flight that lose their chain or their entry in a
+# second. It weighs shorter chains against spare engines.
 LOSS_RATE = 0.1
-# Power at which the speeds of a layer's holders add up: the fastest one takes
-# most of the streams.
+# Power mean by which the speeds of a layer's holders are combined: the fastest
+# one takes most of the streams.
 SPEED_POWER = 4.0
-# Cost of a layer that no engine of any failure domain holds, against one that
-# only this domain lacks: no stream is served at all.
+# Extra cost of a layer that no engine of any failure domain holds, relative to
+# one that only this domain lacks: no stream is served at all.
 UNHELD_COST = 10.0
 # Cost of each first endpoint that a failure domain lacks.
 MISSING_FIRST_COST = 0.2
-# Cost of an edge at which no other range begins or ends. Where ranges join,
-# chains have fewer parts and are found sooner.
+# Cost of a range boundary at which no other range begins or ends. Where ranges
+# join, chains have fewer hops and are found sooner.
 EDGE_COST = 0.005
-# Least gain for which a range is preferred to one that begins sooner.
+# Minimum gain by which a range is preferred to one that begins sooner.
 _MIN_GAIN = 1e-9
 
 
@@ -39,9 +39,10 @@
         plan: cacheplans.CachePlan,
         elsewhere: Sequence[int],
     ) -> None:
-        """Begin without holders.
+        """Start without holders.
 
-        :param plan: room of the domain's cards and what holders are worth
+        :param plan: cache plan of the domain's cards, with the value of
+            holders
         :param elsewhere: holders in other failure domains, by layer
         """
         self._profile = profile
@@ -52,7 +53,8 @@
         self._time_cost = LOSS_RATE * step / profile.layers
         self._counts = [0] * profile.layers
         self._speeds = [0.0] * profile.layers
-        # Ranges that begin or end before a layer; the model's ends are free.
+        # Number of range boundaries before each layer; those at the model's
+        # ends cost nothing.
         self._edges = [0] * (profile.layers + 1)
         self._edges[0] = self._edges[-1] = 1
         self._costs = [
@@ -67,11 +69,14 @@
 
     @property
     def cost(self) -> float:
-        """What the domain's streams lose, as a share of them."""
+        """Expected loss of the domain's streams, as a share of them."""
         return sum(self._costs)
 
     def change(self, kind: str, start: int, end: int, sign: int = 1) -> None:
-        """Add a holder of a range, or take it off with -1."""
+        """Add a holder of a range, or remove it.
+
+        :param sign: 1 to add, -1 to remove
+        """
         speed = sign * self._get_speed(kind)
         self._edges[start] += sign
         self._edges[end] += sign
@@ -86,14 +91,15 @@
         return self._profile.accelerators[kind].step_factor ** -SPEED_POWER
 
     def _get_layer_cost(self, layer: int, count: int, speed: float) -> float:
-        """Tell what a layer costs with so many holders.
+        """Return the cost of a layer for a number of holders.
 
-        :param speed: sum of their weighed speeds
+        :param speed: sum of their weighted speeds
         """
         plan = self._plan
         count = min(max(0, count), self._max_holders)
         if count:
-            # The layers of a part of a chain are lost together.
+            # A lost engine takes all layers of its hop with it, so the
+            # refused share is spread over them.
             cost = plan.refused_shares[count] / plan.mean_layers
             cost += self._time_cost * speed ** (-1.0 / SPEED_POWER)
         else:
@@ -108,11 +114,11 @@
     def choose_start(
         self, kind: str, size: int, current: int = 0
     ) -> tuple[int, float]:
-        """Find the range at which one more engine is worth most.
+        """Find the range at which one more engine gains most.
 
-        :param size: layers that it is to hold
-        :param current: start that is kept unless another is better
-        :returns: its first layer, and what it is worth
+        :param size: number of layers that the engine is to hold
+        :param current: start that is kept unless another one is better
+        :returns: first layer of the range and its gain
         """
         speed = self._get_speed(kind)
         counts, speeds, get_layer_cost = (
--- a/packages/core/src/dunlintide_core/pipeline/demandpeaks.py
+++ b/packages/core/src/dunlintide_core/pipeline/demandpeaks.py
@@ -1,7 +1,7 @@
-"""How much memory streams take in each failure domain, as observed.
+"""Observed peaks of the memory demand of streams, by failure domain.
 
-A layout keeps room for the peaks of the last while, since bursts come again
-and a layout can't follow them.
+A layout keeps capacity for recent peaks, since bursts recur and a layout
+cannot follow each of them.
 """
 
 import math
@@ -11,23 +11,23 @@
 
 __all__ = ['DemandPeaks']
 
-# Time over which a peak that does not come again loses half of its height, in
-# seconds.
+# Half-life of a peak that does not recur, in seconds.
 HALF_LIFE_SECONDS = 30.0
-# Time for which streams must have been seen before anything is told, in
-# seconds: until the first ones end, there are fewer than usual.
+# Time for which streams must have been observed before a peak is reported, in
+# seconds: until the first streams end, fewer are in flight than usual.
 MIN_OBSERVED_SECONDS = 6.0
-# Peaks are told in steps of this factor, so that a layout does not change
-# with every stream.
+# Peaks are rounded up to powers of this factor, so that a layout does not
+# change with every stream.
 ROUNDING_FACTOR = 1.25
 
 
 @attrs.define
 class _Peak:
-    """Most tokens in flight in a failure domain.
+    """Maximum of the tokens in flight in a failure domain.
 
+    :ivar tokens: decaying maximum
     :ivar began: monotonic time of the first stream, in seconds
-    :ivar seen: when it was looked at last
+    :ivar seen: monotonic time of the last observation, in seconds
     """
 
     tokens: float
@@ -36,15 +36,15 @@
 
 
 class DemandPeaks:
-    """Peaks of the tokens in flight, by failure domain."""
+    """Decaying maximum of the tokens in flight, by failure domain."""
 
     def __init__(self) -> None:
         self._peaks: dict[str, _Peak] = {}
 
     def observe(self, domain: str, tokens: float, now: float) -> None:
-        """Record what streams take.
+        """Record the tokens in flight.
 
-        :param tokens: tokens in flight, on average of all layers
+        :param tokens: tokens in flight, averaged over all layers
         :param now: monotonic time in seconds
         """
         peak = self._peaks.get(domain)
@@ -57,7 +57,7 @@
         peak.seen = now
 
     def list_peaks(self) -> Mapping[str, float]:
-        """Give the tokens in flight at the peaks, where they are known."""
+        """Return the rounded peaks of the domains observed for long enough."""
         return {
             domain: ROUNDING_FACTOR
             ** math.ceil(math.log(peak.tokens, ROUNDING_FACTOR))
@@ -66,5 +66,5 @@
         }
 
     def clear(self) -> None:
-        """Forget everything, as after a time without news."""
+        """Drop all peaks, as after a time without reports."""
         self._peaks.clear()
--- a/packages/core/src/dunlintide_core/pipeline/deployments.py
+++ b/packages/core/src/dunlintide_core/pipeline/deployments.py
@@ -1,4 +1,4 @@
-"""The configuration that an entry acts on, made ready for requests."""
+"""The configuration in force, indexed for lookups by request."""
 
 from typing import Mapping
 
@@ -16,10 +16,12 @@
 
 @attrs.frozen
 class CallerLimits:
-    """Bounds on what a caller may send.
+    """Limits on what a caller may send.
 
-    :ivar header_seconds: time for the whole head of a request
-    :ivar idle_seconds: time that a connection may rest between requests
+    :ivar header_bytes: maximum size of the head of a request
+    :ivar body_bytes: maximum size of the body of a request
+    :ivar header_seconds: time for receiving the head of a request
+    :ivar idle_seconds: time that a connection may be idle between requests
     """
 
     header_bytes: int = 16 << 10
@@ -32,8 +34,10 @@
 class Deployment:
     """One version of the configuration.
 
-    :ivar version: rises with each change, in uneven steps
+    :ivar version: increases with each change, not necessarily by one
+    :ivar source: the configuration as it was read
     :ivar services: services by name
+    :ivar limits: limits on what a caller may send
     """
 
     version: int
@@ -51,7 +55,7 @@
         services: Mapping[str, profiles.ServiceProfile],
         limits: CallerLimits,
     ) -> 'Deployment':
-        """Index the rules and the keys."""
+        """Index the rules and the API keys."""
         owners = {
             digest: team for team in source.teams for digest in team.key_hashes
         }
@@ -60,15 +64,15 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests need a key unless their rule is public."""
+        """Whether requests need an API key unless their rule is public."""
         return bool(self.source.teams)
 
     def find_rule(self, query: matching.Query) -> configuration.Rule | None:
-        """Find the first rule that matches a request."""
+        """Return the first rule that matches a request."""
         return self._index.find(query)
 
     def find_owner(self, digest: str) -> configuration.Team | None:
-        """Find whose key it is.
+        """Return the team that owns an API key.
 
         :param digest: SHA-256 of the key, lower-case hex
         """
--- a/packages/core/src/dunlintide_core/pipeline/durations.py
+++ b/packages/core/src/dunlintide_core/pipeline/durations.py
@@ -1,4 +1,4 @@
-"""How long streams usually stand still, from what an entry has seen."""
+"""Typical durations, such as stream pauses, as one entry observed them."""
 
 import collections
 import math
@@ -7,18 +7,19 @@
 
 __all__ = ['DurationWindow']
 
-# Runs that are looked back on: the last seconds of an entry's streams.
+# Number of recent runs that are kept: about the last seconds of an entry's
+# streams.
 MAX_DURATIONS = 128
-# Runs without which nothing is said.
+# Number of runs below which no typical duration is reported.
 MIN_DURATIONS = 16
-# Part of the runs whose pauses count as usual. An engine's loss holds up
-# every fifth run of an entry at most, and is not usual.
+# Quantile that counts as typical. The loss of an engine delays at most every
+# fifth run of an entry, and must not count as typical.
 TYPICAL_QUANTILE = 0.75
 
 
 @attrs.define
 class DurationWindow:
-    """Longest pauses of the last runs."""
+    """Sliding window of durations, one for each recent run."""
 
     _recent: collections.deque[float] = attrs.field(
         factory=lambda: collections.deque(maxlen=MAX_DURATIONS), init=False
@@ -26,13 +27,16 @@
     _typical: float | None = attrs.field(default=None, init=False)
 
     def record(self, seconds: float) -> None:
-        """Take note of the longest pause of a run."""
+        """Record the duration of a run, such as its longest pause.
+
+        :param seconds: duration in seconds
+        """
         self._recent.append(seconds)
         self._typical = None
 
     @property
     def typical(self) -> float | None:
-        """The longest pause of a usual run, in seconds, None if unknown."""
+        """The typical duration of a run, in seconds, None if unknown."""
         if len(self._recent) < MIN_DURATIONS:
             return None
         if self._typical is None:
--- a/packages/core/src/dunlintide_core/pipeline/endpoints.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpoints.py
@@ -12,19 +12,22 @@
 
 @attrs.frozen
 class Endpoint:
-    """One life of an endpoint.
+    """One incarnation of an endpoint.
 
-    :ivar name: this life of it; a restart has another one
+    :ivar name: name of this incarnation; a restarted endpoint has another
     :ivar address: ``host:port``
+    :ivar service: name of the service that it belongs to
+    :ivar domain: name of its failure domain
     :ivar slots: requests that it runs at once
-    :ivar draining: whether it leaves and takes no new requests
+    :ivar draining: whether it is shutting down and takes no new requests
     :ivar kind: kind of its card, empty for a plain service
     :ivar start: first layer that it holds
     :ivar end: layer behind the last one; equal to ``start`` for none
-    :ivar cold_ms: how much longer it stays slow after its start
-    :ivar identity: its id, which may outlast a life
-    :ivar born: start of this life, Unix milliseconds, None if not told
-    :ivar reports: number of its report in this life; it makes no difference
+    :ivar cold_ms: remaining time for which it is slow after its start
+    :ivar identity: its id, which may be the same for several incarnations
+    :ivar born: start of this incarnation, Unix milliseconds, None if unknown
+    :ivar reports: sequence number of its report in this incarnation; ignored
+        by comparisons
     """
 
     name: str
@@ -44,7 +47,7 @@
     reports: int = attrs.field(default=0, eq=False)
 
     def accepts_same_requests(self, other: 'Endpoint') -> bool:
-        """Tell whether it takes the same requests as another state of it."""
+        """Return whether another state of it accepts the same requests."""
         return (
             self.draining == other.draining
             and self.address == other.address
@@ -54,10 +57,10 @@
         )
 
     def is_superseded_by(self, other: 'Endpoint') -> bool:
-        """Tell whether another life of it began later.
+        """Return whether another incarnation of it began later.
 
-        One that does not tell its birth is older than one that does: an
-        endpoint that tells it always does.
+        One without a start time is older than one with a start time: an
+        endpoint that reports its start time always does so.
         """
         if other.born is None:
             return False
@@ -65,9 +68,11 @@
 
 
 def name_incarnation(identity: str, born: int | None) -> str:
-    """Name one life of an endpoint, so that nothing is kept over lives.
+    """Return the name of one incarnation of an endpoint.
 
-    :param born: start of the life, None if it is not told
+    State kept under this name does not carry over to a restarted endpoint.
+
+    :param born: start of the incarnation, None if unknown
     """
     return identity if born is None else f'{identity}@{born}'
 
@@ -82,9 +87,9 @@
 
 
 def covers_exactly(hops: tuple[Hop, ...], layers: int) -> bool:
-    """Tell whether hops run each layer once, in order, as they are held.
+    """Return whether hops run each layer once, in order, where it is held.
 
-    :param layers: layers of the model
+    :param layers: number of layers of the model
     """
     position = 0
     seen = set()
