--- a/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
@@ -1,11 +1,11 @@
-"""Which endpoints are believed to work, from what requests show.
-
-A stalled chain accuses only those of its endpoints through which other
-streams should flow, of this entry or of others, and do not: the intersection
-names the culprit without a probe. Where it names most of the chain, nobody
-is accused. An accused endpoint is left out for a time that doubles with each
-failure, then one request at a time tries it, until something moves through
-it again.
+"""Outlier ejection of endpoints, from the outcome of requests.
+
+A stalled run suspects only those endpoints of its chain on which other
+streams, of this entry or of others, should make progress and do not: their
+intersection identifies the failed endpoint without a probe. If that covers
+most of the chain, no endpoint is suspected. A suspect is ejected for a time
+that doubles with each failure. Afterwards one request at a time probes it,
+until it makes progress again.
 """
 
 from typing import Iterable, Sequence
@@ -14,35 +14,36 @@
 
 __all__ = ['EndpointHealth']
 
-# First time for which an accused endpoint is left out, in seconds; a
-# restart takes some seconds, a mistake costs little with copies around.
+# Duration of the first ejection, in seconds: a restart takes a few seconds,
+# and a wrong ejection costs little while there are copies.
 FIRST_EJECTION_SECONDS = 1.0
-# Longest such time, in seconds, so that what recovers is soon in use.
+# Longest ejection, in seconds, so that an endpoint that recovers is soon in
+# use.
 MAX_EJECTION_SECONDS = 8.0
-# Failures this long ago don't count any more, in seconds.
+# Age from which on an ejection no longer counts as consecutive, in seconds.
 EJECTION_MEMORY_SECONDS = 20.0
-# Most endpoints that a still run accuses. Engines fail one at a time, or two
-# of a group; more without progress show only that few other requests share
-# the chain.
+# Maximum number of endpoints that a stalled run suspects. Engines fail one at
+# a time, or two of a group; more without progress only show that few other
+# requests share the chain.
 MAX_SUSPECTS = 2
-# Longest time for which an endpoint that goes on refusing is left out, in
-# seconds; one that died is not listed any more some seconds later.
+# Longest time for which an endpoint that keeps refusing is avoided, in
+# seconds; one that died is removed from the listing a few seconds later.
 MAX_REFUSAL_PAUSE_SECONDS = 2.4
-# How long another entry's word that its streams flow through an endpoint
-# counts, in seconds: a little longer than the pause between two messages.
+# How long another entry's report of progress on an endpoint counts, in
+# seconds: a little longer than the interval between two messages.
 PEER_PROGRESS_SECONDS = 0.2
-# How long what another entry tells counts, in seconds: it is repeated
-# while it holds, and own progress refutes it.
+# How long a report of another entry counts, in seconds: it is repeated while
+# it holds, and own progress refutes it.
 PEER_REPORT_SECONDS = 0.6
 
 
 class EndpointHealth:
-    """Belief in each endpoint of an entry."""
+    """Health of all endpoints, as one entry observes it."""
 
     def __init__(self) -> None:
         self._records: dict[str, healthrecords.HealthRecord] = {}
-        # Endpoints of which something bad is known, so that a choice among
-        # hundreds looks at these alone.
+        # Endpoints with a sign of failure or refusal, so that a choice among
+        # hundreds examines only these.
         self._flagged: set[str] = set()
 
     def _get(self, name: str) -> healthrecords.HealthRecord:
@@ -52,12 +53,15 @@
         return record
 
     def _get_flagged(self, name: str) -> healthrecords.HealthRecord:
-        """Give the record of an endpoint of which something bad is told."""
+        """Return the record of an endpoint, marked for examination."""
         self._flagged.add(name)
         return self._get(name)
 
     def report_progress(self, names: Iterable[str], now: float) -> None:
-        """Take note that work moved through endpoints."""
+        """Record that a stream of this entry made progress on endpoints.
+
+        :param now: monotonic time in seconds
+        """
         for name in names:
             record = self._get(name)
             record.record_progress(now)
@@ -66,7 +70,7 @@
                 record.is_probing = False
 
     def find_stalled(self, names: Iterable[str], since: float) -> list[str]:
-        """List the endpoints through which nothing has moved since."""
+        """List the endpoints without any progress since a time."""
         return [
             name for name in names if self._get(name).last_progress_at <= since
         ]
@@ -74,10 +78,11 @@
     def find_suspects(
         self, names: Sequence[str], since: float, now: float, has_events: bool
     ) -> list[str]:
-        """List the endpoints that a run which stands still accuses.
+        """List the endpoints that a stalled run suspects.
 
-        :param since: when the silence that counts began
-        :param flows: whether the run has made an event
+        :param names: endpoints of its chain
+        :param since: monotonic start of the silence that counts, in seconds
+        :param has_events: whether the run has produced an event
         """
         suspects = []
         for name in self.find_stalled(names, since):
@@ -91,9 +96,9 @@
     def find_ejected(self, names: Iterable[str], now: float) -> list[str]:
         """List the endpoints that other runs have just shown to fail.
 
-        Where all chains of a failure domain share an engine that dies, the
-        first run that stands still names it; the others see their whole
-        chain still, since it has no other use, and would name nobody.
+        If all chains of a failure domain share an engine that dies, the first
+        stalled run identifies it. For the others the whole chain is stalled,
+        since it has no other use, and they could not identify any engine.
         """
         return [
             name
@@ -102,9 +107,9 @@
         ]
 
     def eject(self, name: str, now: float) -> bool:
-        """Leave an endpoint out for a while.
+        """Eject an endpoint for a while.
 
-        :returns: whether it was in use until now
+        :returns: whether it was not ejected before
         """
         record = self._get_flagged(name)
         record.record_suspicion(now)
@@ -122,7 +127,7 @@
         return True
 
     def is_usable(self, name: str, now: float) -> bool:
-        """Tell whether an endpoint may get a request."""
+        """Return whether an endpoint may get a request."""
         record = self._records.get(name)
         if record is None:
             return True
@@ -133,7 +138,7 @@
         return record.ejected_until <= now and not record.is_probing
 
     def list_unusable(self, now: float) -> set[str]:
-        """Name the endpoints that may get no request, or would refuse it."""
+        """Return the endpoints that are ejected or expected to refuse."""
         self._flagged = {
             name
             for name in self._flagged
@@ -147,9 +152,9 @@
         }
 
     def record_accepted(self, names: Iterable[str], sent: float) -> None:
-        """Take note that endpoints run a request, which flows from now on.
+        """Record that endpoints run a request, which is active from now on.
 
-        :param sent: when it was sent to them
+        :param sent: monotonic time at which it was sent to them, in seconds
         """
         for name in names:
             record = self._get(name)
@@ -159,15 +164,15 @@
     def record_refusal(
         self, name: str, now: float, had_capacity: bool = False
     ) -> float:
-        """Take note that an endpoint refused a request, or was blamed.
+        """Record that an endpoint refused a request, or caused a refusal.
 
-        It is full, leaves or is dead. A full one goes on with what it runs,
-        a dead one refuses all there is until it is not listed any more. One
-        that leaves does both, and each request sent to it in vain takes a
-        second send.
+        It is full, draining or dead. A full endpoint continues its streams; a
+        dead one refuses all requests until it is removed from the listing. A
+        draining one does both, and each request sent to it in vain takes a
+        retry.
 
-        :param roomy: whether it is far from full by what is known of it
-        :returns: how long it is left at most, in seconds
+        :param had_capacity: whether its known usage is far from full
+        :returns: maximum time for which it is avoided, in seconds
         """
         record = self._get_flagged(name)
         if record.has_accepted_since(record.refused_at):
@@ -186,7 +191,7 @@
         return pause
 
     def expects_refusal(self, name: str, now: float) -> bool:
-        """Tell whether an endpoint is expected to refuse requests."""
+        """Return whether an endpoint is expected to refuse requests."""
         record = self._records.get(name)
         if record is None:
             return False
@@ -199,7 +204,7 @@
         )
 
     def receive_ejection(self, name: str, now: float) -> None:
-        """Take note that another entry leaves an endpoint out."""
+        """Record that another entry ejects an endpoint."""
         record = self._get_flagged(name)
         if now >= record.peer_ejected_until:
             record.peer_ejected_since = now
@@ -207,13 +212,14 @@
         record.peer_ejected_until = now + PEER_REPORT_SECONDS
 
     def receive_full(self, name: str, now: float, part: float) -> None:
-        """Take note that an endpoint refused another entry as full.
+        """Record that an endpoint refused another entry as full.
 
-        Where dozens of entries know of each other's use late, each would
-        find out by a refusal of its own, and pay for another send.
+        Usage reports between dozens of entries arrive late. Without this
+        report each entry would learn of it by a refusal of its own, and pay
+        for a retry.
 
-        :param part: of the usual pause that is kept; entries draw it, so
-            that they do not return together
+        :param part: fraction of the usual pause to keep; entries draw it at
+            random, so that they do not return at the same time
         """
         record = self._get_flagged(name)
         record.peer_full_until = now + healthrecords.FULL_SECONDS * part
@@ -229,16 +235,16 @@
         ]
 
     def receive_refusing(self, name: str, now: float) -> None:
-        """Take note that an endpoint goes on refusing another entry."""
+        """Record that an endpoint keeps refusing another entry."""
         record = self._get_flagged(name)
         if now >= record.peer_refusing_until:
             record.peer_refusing_since = now
         record.peer_refusing_until = now + PEER_REPORT_SECONDS
 
     def get_refusing_seconds(self, name: str, now: float) -> float:
-        """Tell for how long an endpoint far from full has taken nothing.
+        """Return for how long an endpoint far from full has refused requests.
 
-        :returns: seconds, 0 if it takes requests as far as is known
+        :returns: seconds, 0 if it is not known to refuse
         """
         record = self._records.get(name)
         if record is None:
@@ -250,7 +256,7 @@
         return 0.0
 
     def list_refusing(self, now: float) -> list[str]:
-        """List the endpoints that go on refusing requests of this entry."""
+        """List the endpoints far from full that keep refusing this entry."""
         return [
             name
             for name, record in self._records.items()
@@ -258,7 +264,7 @@
         ]
 
     def get_suspicion_seconds(self, name: str, now: float) -> float:
-        """Tell for how long nothing but bad signs came, in seconds."""
+        """Return for how long there were only signs of failure, in seconds."""
         record = self._records.get(name)
         if (
             record is None
@@ -271,11 +277,11 @@
         return now - record.suspected_since
 
     def has_progressed_since(self, name: str, time: float) -> bool:
-        """Tell whether work moved through an endpoint after a time."""
+        """Return whether an own stream made progress after a time."""
         return self._get(name).has_progressed_since(time)
 
     def record_sent(self, names: Iterable[str]) -> None:
-        """Take note of a request sent, a trial at what was left out."""
+        """Record a request sent, which probes endpoints after an ejection."""
         for name in names:
             record = self._records.get(name)
             if record is not None and record.ejections:
@@ -284,24 +290,23 @@
     def record_finished(
         self, names: Iterable[str], was_accepted: bool
     ) -> None:
-        """Let the next request try what this one did not settle.
+        """End a request, so that the next one may probe its endpoints.
 
-        :param flowed: whether the request was accepted
+        :param was_accepted: whether the request was accepted
         """
         for name in names:
             record = self._records.get(name)
             if record is not None:
                 record.is_probing = False
-                # A record that was dropped meanwhile begins at none.
+                # A record that was dropped and recreated starts at zero.
                 record.active_streams = max(
                     0, record.active_streams - int(was_accepted)
                 )
 
     def list_progress_ages(self, now: float) -> dict[str, float]:
-        """Tell how long ago work moved through endpoints in use.
+        """Return the age of the last progress on endpoints in use.
 
-        :returns: seconds by name, for those through which streams of this
-            entry flow
+        :returns: seconds by name, for those on which streams of this entry run
         """
         return {
             name: now - record.own_progress_at
@@ -312,9 +317,9 @@
     def receive_progress(
         self, name: str, progress_at: float, now: float
     ) -> None:
-        """Take note that streams of another entry flow through an endpoint.
+        """Record that streams of another entry run on an endpoint.
 
-        :param moved: when they moved last, by this entry's clock
+        :param progress_at: time of their last progress, by this entry's clock
         """
         record = self._get(name)
         record.peer_progress_at = max(record.peer_progress_at, progress_at)
@@ -325,9 +330,10 @@
         self._records.pop(name, None)
 
     def list_ejected(self, now: float) -> list[str]:
-        """List the endpoints that are left out for what was seen here.
+        """List the endpoints that are avoided for this entry's observations.
 
-        What others told is not among them: told on, it would never end.
+        Reports of other entries are excluded: if entries repeated them to each
+        other, they would never expire.
         """
         return [
             name
@@ -336,7 +342,7 @@
         ]
 
     def list_ejected_by_peers(self, now: float) -> list[str]:
-        """List the endpoints that are left out for what others tell."""
+        """List the endpoints that are ejected for reports of other entries."""
         return [
             name
             for name, record in self._records.items()
--- a/packages/core/src/dunlintide_core/pipeline/failover.py
+++ b/packages/core/src/dunlintide_core/pipeline/failover.py
@@ -1,4 +1,4 @@
-"""When a run that stands still is left for another chain."""
+"""Decision when a stalled run moves to another chain."""
 
 import enum
 from typing import Sequence
@@ -15,41 +15,43 @@
     'decide',
 ]
 
-# Part of the target for the first event, or of the longest allowed pause,
-# after which a still run may be moved.
+# Fraction of the target for the first event, or of the longest allowed pause,
+# after which a stalled run with suspects may be moved.
 STALL_FRACTION = 0.6
-# A run whose silence is unusual is looked at sooner: after so many times the
-# usual longest pause, and so much of its target at least. Its prompt has to be
-# read again within what is left.
+# A run whose silence is unusual is examined sooner: after this multiple of the
+# typical longest pause, but not before MIN_STALL_FRACTION of its target. The
+# new chain has to read its prompt again within the remaining time.
 UNUSUAL_FACTOR = 1.5
 MIN_STALL_FRACTION = 0.3
-# A run that stays still for so much longer is moved though nothing shows
-# which of its endpoints is at fault.
+# Multiple of the target after which a stalled run is moved even if nothing
+# shows which of its endpoints failed.
 MAX_STALL_FACTOR = 2.0
-# The same against the usual longest pause. When an engine on the only chain
-# of a failure domain dies, the whole chain is still and nobody is named; its
-# streams must be moved in time for their prompts to be read again.
+# The same as a multiple of the typical longest pause. When an engine on the
+# only chain of a failure domain dies, the whole chain stalls and there is no
+# suspect; its streams must be moved in time for their prompts to be read
+# again.
 UNCLEAR_FACTOR = 2.2
-# Part of a run's silence in which its endpoints must have moved nothing to
-# be suspected. Runs through a dead endpoint stop one by one, within the time
-# of an event, so all but the last see it move after their own last event, and
-# would not name it if their whole silence counted.
+# Latest fraction of a run's silence in which an endpoint must have made no
+# progress to be suspected. Runs through a dead endpoint stop one by one,
+# within the time of an event, so all but the last see progress on it after
+# their own last event, and would not suspect it if their entire silence
+# counted.
 RECENT_FRACTION = 0.5
-# Pause between two looks at a still run, in seconds: other runs move
-# through sound endpoints every few hundredths of a second, and until some
-# did nobody is suspected.
+# Interval between two examinations of a stalled run, in seconds: other runs
+# make progress on working endpoints every few hundredths of a second, and
+# until some did nothing can be suspected.
 RECHECK_SECONDS = 0.05
-# Pause before a still run looks for another chain again, in seconds: room
-# comes free as streams end.
+# Interval after which a stalled run searches for another chain again, in
+# seconds: capacity becomes free as streams end.
 SEARCH_RETRY_SECONDS = 0.2
 
 
 class Evidence(enum.StrEnum):
-    """What is known of the endpoints of a still run.
+    """State of the endpoints of a stalled run.
 
-    :cvar SUSPECTS: a few of them stand still for all who use them
-    :cvar UNCLEAR: some have not moved, but nobody else uses them
-    :cvar SOUND: work moves through each of them
+    :cvar SUSPECTS: a few of them are stalled for all streams on them
+    :cvar UNCLEAR: some made no progress, but no other streams use them
+    :cvar SOUND: all of them make progress
     """
 
     SUSPECTS = 'suspects'
@@ -59,10 +61,10 @@
 
 @attrs.frozen
 class Decision:
-    """What to do with a still run.
+    """What to do with a stalled run.
 
-    :ivar moves: whether to look for another chain now
-    :ivar limit: silence at which to judge again, in seconds
+    :ivar should_move: whether to search for another chain now
+    :ivar limit: silence at which to decide again, in seconds
     """
 
     should_move: bool
@@ -70,21 +72,22 @@
 
 
 def choose_stall_start(last_event: float, now: float) -> float:
-    """Tell since when an endpoint must have been still to be suspected.
+    """Return since when an endpoint must have been stalled to be suspected.
 
-    :param moved: monotonic time of the run's last event, in seconds
+    :param last_event: monotonic time of the run's last event, in seconds
+    :returns: monotonic time in seconds
     """
     return now - (now - last_event) * RECENT_FRACTION
 
 
 @attrs.frozen
 class StallLimits:
-    """How long a run may stand still, in seconds.
+    """Maximum silence of a run by the evidence, in seconds.
 
-    :ivar named: if few of its endpoints are suspected
-    :ivar unnamed: if nothing shows which is at fault, if any
-    :ivar sound: if all of them work. Such a run is late because they are
-        busy, and moving it makes them read its prompt once more.
+    :ivar suspected: if few of its endpoints are suspected
+    :ivar unclear: if nothing shows which endpoint failed, if any
+    :ivar sound: if all of them work. Such a run is late because they are busy,
+        and moving it makes them read its prompt once more.
     """
 
     suspected: float
@@ -93,10 +96,11 @@
 
 
 def choose_limits(target: float, typical: float | None) -> StallLimits:
-    """Tell how long a run may stand still.
+    """Return how long a run may be silent.
 
-    :param target: first event or longest pause allowed, in seconds
-    :param usual: longest pause of a usual run, in seconds, None if unknown
+    :param target: time allowed for the first event, or longest pause allowed,
+        in seconds
+    :param typical: longest pause of a typical run, in seconds, None if unknown
     """
     suspected = target * STALL_FRACTION
     longest = target * MAX_STALL_FACTOR
@@ -111,10 +115,10 @@
 def classify_evidence(
     suspects: Sequence[str], stalled: Sequence[str]
 ) -> Evidence:
-    """Tell what is known of the endpoints of a still run.
+    """Return the state of the endpoints of a stalled run.
 
-    :param suspects: those that stand still for all who use them
-    :param still: those through which nothing moved
+    :param suspects: endpoints that are stalled for all streams on them
+    :param stalled: endpoints without progress
     """
     if suspects:
         return Evidence.SUSPECTS
@@ -124,9 +128,10 @@
 def decide(
     silence: float, limits: StallLimits, evidence: Evidence
 ) -> Decision:
-    """Decide whether a still run is to be moved.
+    """Decide whether a stalled run is moved to another chain.
 
-    :param silence: how long it has stood still, in seconds
+    :param silence: time since its last event, in seconds
+    :param limits: maximum silence by the evidence
     """
     allowed = {
         Evidence.SUSPECTS: limits.suspected,
--- a/packages/core/src/dunlintide_core/pipeline/healthrecords.py
+++ b/packages/core/src/dunlintide_core/pipeline/healthrecords.py
@@ -1,4 +1,4 @@
-"""What one entry knows of one endpoint, and what follows from it."""
+"""Observations about one endpoint, and the states that follow from them."""
 
 import attrs
 
@@ -8,52 +8,56 @@
     'HealthRecord',
 ]
 
-# An endpoint is quiet that was still for so many times the usual pause
-# between two moves through it: one that few streams share is still for longer
-# than others, and would be left out whenever another one dies.
+# An endpoint counts as stalled after this multiple of its usual interval
+# between two progress events: an endpoint that few streams share pauses longer
+# than others, and would be ejected whenever another one fails.
 STALL_INTERVALS = 4.0
-# Weight of the last pause in the usual one; some ten count.
+# Weight of the latest interval in the moving average; about ten intervals
+# count.
 INTERVAL_WEIGHT = 0.1
-# Pauses beyond this don't count, in seconds: nothing was asked of it.
+# Longer intervals are ignored, in seconds: the endpoint was idle.
 MAX_INTERVAL_SECONDS = 0.5
 # How long an endpoint that refused a request as full gets no other one, in
-# seconds: the choice would fall on it again at once, as its use here looks
-# low. Requests that others gave up hold their places a while longer.
+# seconds. The next choice would fall on it again at once, as its known usage
+# is low: requests that other entries gave up hold their slots a little longer.
 FULL_SECONDS = 0.3
-# A sign that an endpoint does not work counts so long, in seconds: while it
-# is tried now and then, the next one comes sooner.
+# How long a sign of failure counts, in seconds: while a failed endpoint is
+# probed, the next sign comes sooner.
 SUSPICION_MEMORY_SECONDS = 3.0
-# An endpoint through which only other entries' streams flow is quiet after
-# so long, in seconds: news of its last move are up to two messages old.
+# An endpoint that only streams of other entries use counts as stalled after
+# this time, in seconds: reports of its progress are up to two messages old.
 PEER_STALL_SECONDS = 0.3
 
 
 @attrs.define
 class HealthRecord:
-    """What is known of one endpoint; times are monotonic, in seconds.
-
-    :ivar progress: when work of this entry moved through it last
-    :ivar flowing: streams of this entry that flow through it
-    :ivar told_progress: when streams of other entries moved, as they tell
-    :ivar told_flowing_until: until when such streams are believed to flow
-    :ivar interval: usual pause between two moves
-    :ivar banned_until: how long it is left out for what was seen here
-    :ivar accused: when it was left out last
-    :ivar failures: times that it was left out without a move since
-    :ivar trial: whether a request tries it after it was left out
-    :ivar heard_since: since when others leave it out
-    :ivar heard_until: how long their word counts
-    :ivar accepted: when a request was sent that it ran
-    :ivar refusing_since: when the refusals that go on began
-    :ivar refused: when it refused a request last
-    :ivar roomy: whether it was far from full then
-    :ivar told_full_until: how long it counts as full for others' refusals
-    :ivar told_refusing: since when it goes on refusing others
-    :ivar told_refusing_until: how long their word counts
-    :ivar refusing_until: how long it is left for its own refusals
-    :ivar refusals: refusals without an accepted request in between
-    :ivar doubted_since: when the bad signs that go on began
-    :ivar doubted: when the last one came
+    """Observations about one endpoint; times are monotonic, in seconds.
+
+    :ivar own_progress_at: last progress of a stream of this entry
+    :ivar active_streams: streams of this entry that run on it
+    :ivar peer_progress_at: last progress that other entries reported
+    :ivar peer_active_until: time until which other entries' streams are
+        assumed to run on it
+    :ivar mean_interval: moving average of the interval between progress events
+    :ivar ejected_until: end of the ejection by this entry
+    :ivar ejected_at: time of the last ejection by this entry
+    :ivar ejections: consecutive ejections without progress
+    :ivar is_probing: whether one request probes it after an ejection
+    :ivar peer_ejected_since: time since which other entries eject it
+    :ivar peer_ejected_until: time until which their reports count
+    :ivar accepted_at: time at which the last request that it accepted was sent
+    :ivar refusing_since: time of the first of the consecutive refusals
+    :ivar refused_at: time of the last refusal
+    :ivar had_capacity: whether it seemed far from full at the last refusal
+    :ivar peer_full_until: time until which it counts as full because it
+        refused other entries
+    :ivar peer_refusing_since: time since which it keeps refusing other entries
+    :ivar peer_refusing_until: time until which their reports count
+    :ivar refusing_until: time until which it is avoided for its refusals
+    :ivar refusals: consecutive refusals without an accepted request
+    :ivar suspected_since: time of the first of the consecutive signs of
+        failure
+    :ivar suspected_at: time of the last sign of failure
     """
 
     own_progress_at: float = float('-inf')
@@ -81,19 +85,19 @@
 
     @property
     def last_progress_at(self) -> float:
-        """When work moved through it last, of this entry or another."""
+        """Time of its last progress, for any entry."""
         return max(self.own_progress_at, self.peer_progress_at)
 
     def has_progressed_since(self, time: float) -> bool:
-        """Tell whether work of this entry moved through it.
+        """Return whether a stream of this entry made progress on it.
 
-        What others tell of their streams does not refute what is told
-        against it: they may have begun before it went bad.
+        Progress reported by other entries does not refute signs of failure: it
+        may date from before the failure.
         """
         return self.own_progress_at > time
 
     def record_progress(self, now: float) -> None:
-        """Take note that work moved through it."""
+        """Record that a stream of this entry made progress on it."""
         pause = now - self.own_progress_at
         if pause < MAX_INTERVAL_SECONDS:
             self.mean_interval += (
@@ -102,13 +106,13 @@
         self.own_progress_at = now
 
     def is_stalled(self, now: float, own_flow: int) -> bool:
-        """Tell whether streams that should flow through it stand still.
+        """Return whether streams that should make progress on it do not.
 
-        Without such streams its silence says nothing: one entry of many has
-        no other stream at most of its endpoints.
+        Without such streams the lack of progress means nothing: in a large
+        deployment an entry has no other stream on most of its endpoints.
 
-        :param own_flow: streams of this entry that flow through it, without
-            the one that is judged
+        :param own_flow: streams of this entry that run on it, except the one
+            under examination
         """
         still = now - self.last_progress_at
         if own_flow > 0:
@@ -116,34 +120,38 @@
         return now < self.peer_active_until and still >= PEER_STALL_SECONDS
 
     def record_suspicion(self, now: float) -> None:
-        """Take note of a sign that the endpoint does not work."""
+        """Record a sign that the endpoint has failed."""
         forgotten = now - self.suspected_at > SUSPICION_MEMORY_SECONDS
         if forgotten or self.has_progressed_since(self.suspected_since):
             self.suspected_since = now
         self.suspected_at = now
 
     def is_ejected_by_peer(self, now: float) -> bool:
+        """Return whether a peer ejects it, without own progress since."""
         heard = now < self.peer_ejected_until
         return heard and not self.has_progressed_since(self.peer_ejected_since)
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether it is left out and nothing has refuted it."""
+        """Return whether it is avoided and nothing has refuted the reason."""
         banned = now < self.ejected_until
         failed = banned and not self.has_progressed_since(self.ejected_at)
         return failed or self.is_ejected_by_peer(now) or self.is_refusing(now)
 
     def has_accepted_since(self, time: float) -> bool:
-        """Tell whether it takes requests again after a refusal.
+        """Return whether it accepts requests again after a refusal.
 
-        A full one takes one when what it runs moves on. One that leaves
-        also goes on with what it runs, so only a new request shows it.
+        A full endpoint accepts requests again once its streams make progress.
+        A draining one also continues its streams, so only an accepted request
+        counts.
+
+        :param time: monotonic time of the refusal, in seconds
         """
         if self.accepted_at > time:
             return True
         return not self.had_capacity and self.has_progressed_since(time)
 
     def has_active_findings(self, now: float) -> bool:
-        """Tell whether anything that was told of it may still count."""
+        """Return whether any sign of failure or refusal may still count."""
         until = max(
             self.peer_ejected_until,
             self.refused_at + FULL_SECONDS,
@@ -154,10 +162,12 @@
         return bool(self.ejections) or now < until
 
     def is_refusing(self, now: float) -> bool:
+        """Return whether it is expected to keep refusing this entry."""
         return now < self.refusing_until and not self.has_accepted_since(
             self.refused_at
         )
 
     def is_refusing_peers(self, now: float) -> bool:
+        """Return whether other entries report that it keeps refusing."""
         told = now < self.peer_refusing_until
         return told and self.accepted_at <= self.peer_refusing_since
