--- a/packages/core/src/dunlintide_core/pipeline/layout.py
+++ b/packages/core/src/dunlintide_core/pipeline/layout.py
@@ -1,9 +1,9 @@
-"""Which layers each engine is to hold.
+"""Assignment of layers to engines.
 
-Each failure domain holds the model by itself where its memory allows, since
-a chain that stays in one domain neither shares a pipe nor dies with another
-domain. Engines are placed one after the other where their layers gain most,
-then moved as long as that serves more streams.
+Each failure domain holds the complete model by itself if its memory allows,
+since a chain within one domain neither uses a shared pipe nor fails with
+another domain. Engines are placed one after the other where their layers gain
+most, then moved as long as that serves more streams.
 """
 
 from typing import Callable, Container, Iterable, Mapping, Sequence
@@ -21,22 +21,23 @@
     'plan_new',
 ]
 
-# Moves at a time in a failure domain: each takes its engine out for the time
-# of a load, and loads slow each other down.
+# Concurrent moves in a failure domain: each takes its engine out of use while
+# layers load, and loads slow each other down.
 MAX_MOVES = 2
-# Time over which a move must be worth more than the load that it takes, in
-# seconds: engines come and go, so a layout is not kept for much longer.
+# Time over which the gain of a move is weighed against its load, in seconds:
+# engines come and go, so a layout does not last much longer.
 MOVE_SECONDS = 10.0
-# Least worth of a move, in seconds of a domain's streams, so that weights
+# Minimum worth of a move, in seconds of a domain's streams, so that weights
 # are not loaded for a layout that is hardly better.
 MIN_WORTH_SECONDS = 0.1
-# Least worth while engines come and go, when one that returns may soon hold
-# what is scarce: that of a layer that nobody holds.
+# Minimum worth of a move while engines come and go, in the same unit: that of
+# a layer without any holder, as an engine that returns may soon hold any
+# scarce layer.
 MIN_UNSTABLE_WORTH_SECONDS = 5.0
-# Time for which streams go on to use the layers that an engine gives up, in
-# seconds; new ones are loaded after it.
+# Time for which streams still use the layers that an engine gives up, in
+# seconds; new layers load after it.
 RELEASE_SECONDS = 2.0
-# Rounds in which engines are placed again.
+# Maximum number of rounds in which engines are repositioned.
 MAX_ROUNDS = 6
 
 
@@ -58,8 +59,8 @@
 class _Domain:
     """A failure domain whose engines are placed.
 
-    :ivar plan: room of its cards
-    :ivar cover: holders of its layers
+    :ivar plan: cache plan of its cards
+    :ivar coverage_state: holders of its layers
     """
 
     plan: cacheplans.CachePlan
@@ -71,6 +72,7 @@
     holding: Iterable[Placement],
     domain: str,
 ) -> list[int]:
+    """Count the holders of each layer in other failure domains."""
     counts = [0] * profile.layers
     for each in holding:
         if each.endpoint.domain != domain:
@@ -86,11 +88,11 @@
     empty: Iterable[endpoints_module.Endpoint],
     demands: Mapping[str, float],
 ) -> _Domain:
-    """Prepare a failure domain with what its engines hold.
+    """Build a failure domain from the ranges that its engines hold.
 
     :param holding: ranges in all failure domains
     :param empty: its engines without layers
-    :param demands: tokens in flight by domain, where they are known
+    :param demands: tokens in flight by domain, where known
     """
     own = [each for each in holding if each.endpoint.domain == name]
     kinds = [each.endpoint.kind for each in own]
@@ -112,11 +114,11 @@
     empty: Iterable[endpoints_module.Endpoint],
     demands: Mapping[str, float] | None = None,
 ) -> list[Placement]:
-    """Give each empty engine a range.
+    """Assign a range to each engine without layers.
 
     :param holding: ranges that are held or ordered already
-    :param empty: engines without layers; large cards choose first
-    :param demands: tokens in flight by failure domain, as far as known
+    :param empty: engines without layers; large cards are placed first
+    :param demands: tokens in flight by failure domain, where known
     """
     known = [
         each
@@ -159,7 +161,7 @@
 def _reposition(
     coverage_state: coverage.Coverage, placed: Placement
 ) -> Placement:
-    """Move an engine to where it is worth most beside all others."""
+    """Move an engine to where it gains most beside all others."""
     kind = placed.endpoint.kind
     coverage_state.change(kind, placed.start, placed.end, -1)
     start, _ = coverage_state.choose_start(kind, placed.size, placed.start)
@@ -168,6 +170,7 @@
 
 
 def _make_order(profile: profiles.EngineProfile):
+    """Return a sort key that puts large and fast cards first."""
     kinds: Mapping[str, profiles.Accelerator] = profile.accelerators
 
     def order(engine: endpoints_module.Endpoint) -> tuple[float, float, str]:
@@ -179,7 +182,11 @@
 
 @attrs.frozen
 class _Move:
-    """A move and what it is worth, less the load that it takes."""
+    """A move of an engine.
+
+    :ivar net_worth: gain of the move minus the cost of its load, in seconds of
+        the domain's streams
+    """
 
     before: Placement
     after: Placement
@@ -196,18 +203,18 @@
 ) -> list[Placement]:
     """Move engines to layers that their failure domain lacks.
 
-    Where engines are replaced one after the other, a new one comes before
-    its old one leaves, and is given layers that are scarce then. When the old
-    one leaves, its own are scarce or held by nobody, and all chains of the
-    domain would cross pipes until something changes.
+    If engines are replaced one after the other, a new one starts before the
+    old one leaves, and gets layers that are scarce at that time. Once the old
+    one leaves, its own layers are scarce or without a holder, and all chains
+    of the domain would cross pipes until the layout changes.
 
     :param holding: ranges that are held or ordered
     :param movable: names of engines without an open order
-    :param count_use: requests in flight at an engine, by name; of equal
-        moves the least used engine moves
-    :param demands: tokens in flight by failure domain, as far as known
-    :param steady: whether no engine came or went for a while; otherwise only
-        layers that nobody holds are filled
+    :param count_use: returns the requests in flight on an engine, by name;
+        among equal moves the least used engine moves
+    :param demands: tokens in flight by failure domain, where known
+    :param is_stable: whether no engine came or went for a while; otherwise
+        only layers without a holder are filled
     """
     known = [
         each
@@ -243,10 +250,11 @@
     free: Iterable[Placement],
     count_use: Callable[[str], float],
 ) -> _Move | None:
-    """Find the move that is worth most, None if there is nothing to move.
+    """Return the move with the highest net worth, None if there is none.
 
-    An engine that alone holds a layer stays: its domain would have no whole
-    chain until another holds it, however much the move gives elsewhere.
+    An engine that is the only holder of a layer stays: its domain would have
+    no complete chain until another engine holds the layer, whatever the move
+    gains elsewhere.
     """
     counts = domain.coverage_state.counts
     spare = [
@@ -267,6 +275,7 @@
 def _evaluate_move(
     profile: profiles.EngineProfile, domain: _Domain, before: Placement
 ) -> _Move:
+    """Find the best new range of an engine and the net worth of the move."""
     coverage_state, kind = domain.coverage_state, before.endpoint.kind
     size = cacheplans.count_layers(profile, kind, domain.plan.cache_tokens)
     cost = coverage_state.cost
--- a/packages/core/src/dunlintide_core/pipeline/liveness.py
+++ b/packages/core/src/dunlintide_core/pipeline/liveness.py
@@ -1,29 +1,29 @@
-"""Which other entries answer, from messages asked and heard."""
+"""Detection of unresponsive entries, from messages sent and received."""
 
 import attrs
 
 __all__ = ['Liveness']
 
-# Messages without an answer, and the time over which, after which an entry
-# counts as silent, in seconds: single messages may be lost.
+# Number of unanswered messages, and minimum time since the first of them in
+# seconds, after which an entry counts as silent: single messages may be lost.
 SILENT_MESSAGES = 6
 SILENT_SECONDS = 0.3
-# Pause after which unanswered messages do not count any more, in seconds.
+# Pause after which earlier unanswered messages no longer count, in seconds.
 STALE_SECONDS = 1.0
-# How long an entry counts as alive without a message, in seconds, and the
-# pause between two messages to one that is silent.
+# How long an entry counts as alive after a message, in seconds, and the
+# interval between two messages to a silent entry.
 FRESH_SECONDS = 0.2
 PROBE_SECONDS = 0.1
 
 
 @attrs.define
 class _Contact:
-    """Messages to one entry.
+    """Messages sent to and received from one entry.
 
-    :ivar heard: monotonic time of the last message from it, in seconds
-    :ivar since: time of the first message that it left unanswered
-    :ivar asked: time of the last message to it
-    :ivar tries: messages that it left unanswered
+    :ivar received_at: monotonic time of the last message from it, in seconds
+    :ivar unanswered_since: time of the first message that it left unanswered
+    :ivar sent_at: time of the last message to it
+    :ivar unanswered: number of messages that it left unanswered
     """
 
     received_at: float = float('-inf')
@@ -32,7 +32,7 @@
     unanswered: int = 0
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether it leaves all messages unanswered."""
+        """Return whether it left enough messages unanswered."""
         return (
             self.unanswered >= SILENT_MESSAGES
             and now - self.unanswered_since >= SILENT_SECONDS
@@ -40,13 +40,13 @@
 
 
 class Liveness:
-    """Signs of life of other entries."""
+    """Responsiveness of other entries."""
 
     def __init__(self) -> None:
         self._contacts: dict[str, _Contact] = {}
 
     def record_sent(self, name: str, now: float) -> None:
-        """Record a message that an entry is to answer.
+        """Record a message that an entry is expected to answer.
 
         :param now: monotonic time in seconds
         """
@@ -65,12 +65,12 @@
         contact.unanswered = 0
 
     def is_silent(self, name: str, now: float) -> bool:
-        """Tell whether an entry leaves all messages unanswered."""
+        """Return whether an entry left enough messages unanswered."""
         contact = self._contacts.get(name)
         return contact is not None and contact.is_silent(now)
 
     def get_silence_seconds(self, name: str, now: float) -> float:
-        """Tell for how long an entry has left messages unanswered.
+        """Return for how long an entry has left messages unanswered.
 
         :returns: seconds, 0 if it left none unanswered
         """
@@ -80,12 +80,12 @@
         return now - contact.unanswered_since
 
     def needs_probe(self, name: str, now: float) -> bool:
-        """Tell whether an entry was not heard of lately."""
+        """Return whether an entry sent no message recently."""
         contact = self._contacts.get(name)
         return contact is None or now - contact.received_at > FRESH_SECONDS
 
     def list_due(self, now: float) -> list[str]:
-        """Name the silent entries that are to be asked again."""
+        """List the silent entries to which the next probe is due."""
         return [
             name
             for name, contact in self._contacts.items()
@@ -94,5 +94,5 @@
         ]
 
     def forget(self, name: str) -> None:
-        """Drop what is known of an entry that is gone."""
+        """Drop the record of an entry that is gone."""
         self._contacts.pop(name, None)
--- a/packages/core/src/dunlintide_core/pipeline/mechanisms.py
+++ b/packages/core/src/dunlintide_core/pipeline/mechanisms.py
@@ -1,7 +1,7 @@
-"""Mechanisms of an entry that experiments switch off, one by one.
+"""Mechanisms of an entry that experiments can switch off, one by one.
 
-What a mechanism is worth shows when the same load is played without it. All
-are on unless the settings name them.
+The effect of a mechanism is measured by running the same load without it. All
+mechanisms are on unless the settings name them.
 """
 
 import enum
@@ -10,26 +10,33 @@
 
 
 class Mechanism(enum.StrEnum):
-    """A mechanism by the name that settings give it.
+    """A mechanism, by its name in the settings.
 
-    :cvar RESCUE: a run that stands still is moved to another chain
-    :cvar USUAL_PAUSES: the time after which it is follows usual pauses
-    :cvar LEFT_OUT_NAMES: what another run named counts for a still one
-    :cvar ACCUSATION: an engine that failed a run gets nothing for a while
-    :cvar HEARSAY: what other entries accuse is left out here too
-    :cvar REFUSAL_PAUSES: an engine that refused is left for a while
-    :cvar TOLD_REFUSALS: other entries' refusals count here too
-    :cvar LOSS_QUESTIONS: doubted engines are asked, so that layers move
-    :cvar MOVES: spare engines move to layers that were lost
-    :cvar LEADING_ON: a leader leads on while the store is away
-    :cvar STANDING: streams under way wait before fresh and returned ones
-    :cvar HOPELESS: what can't be served in time is refused at once
-    :cvar RETURNED: callers that were refused before wait differently
-    :cvar HEDGES: slow calls that may be repeated are sent twice
-    :cvar KEPT_BUDGET: a part of second sends is kept for streams under way
-    :cvar CROSSING: chains cross a pipe only where none else has room
-    :cvar PACES: engines that tell that they are slow get fewer streams
-    :cvar FIRST_READING: early requests wait for the store's first reading
+    :cvar RESCUE: a stalled run is moved to another chain
+    :cvar USUAL_PAUSES: the time after which a run counts as stalled depends on
+        the typical pauses of other runs
+    :cvar LEFT_OUT_NAMES: a stalled run also suspects endpoints that other runs
+        have ejected
+    :cvar ACCUSATION: an endpoint that failed a run is ejected for a while
+    :cvar HEARSAY: endpoints that other entries ejected are ejected here too
+    :cvar REFUSAL_PAUSES: an endpoint that refused a request is avoided for a
+        while
+    :cvar TOLD_REFUSALS: refusals that other entries report count here too
+    :cvar LOSS_QUESTIONS: suspected engines are probed, so that the layers of
+        lost ones are reassigned
+    :cvar MOVES: spare engines are moved to layers that were lost
+    :cvar LEADING_ON: a leader keeps its role while the store is unavailable
+    :cvar STANDING: streams under way are queued before fresh requests, and
+        fresh ones before retried ones
+    :cvar HOPELESS: requests that can't be served in time are refused at once
+    :cvar RETURNED: requests that were refused before are queued as retried
+    :cvar HEDGES: slow repeatable calls are sent to a second endpoint
+    :cvar KEPT_BUDGET: part of the retry budget is reserved for streams under
+        way
+    :cvar CROSSING: chains cross a pipe only where no other has capacity
+    :cvar PACES: engines that report that they are slow get fewer streams
+    :cvar FIRST_READING: requests that arrive before the first read of the
+        store wait for it
     """
 
     RESCUE = 'rescue'
--- a/packages/core/src/dunlintide_core/pipeline/occupancy.py
+++ b/packages/core/src/dunlintide_core/pipeline/occupancy.py
@@ -1,8 +1,8 @@
-"""What endpoints carry: own reservations and those told by other entries.
+"""Usage of endpoints: own reservations and those of other entries.
 
-Each entry reserves memory for its own requests before it sends them and
-tells the others the sums a few times a second, so a choice errs by at
-most what the others began since their last message.
+Each entry reserves memory for its own requests before it sends them, and
+reports the sums to the other entries a few times a second. A choice therefore
+misses at most what other entries began since their last report.
 """
 
 from typing import Iterable, Mapping
@@ -17,23 +17,24 @@
     'Usage',
 ]
 
-# Sums of an entry that fell silent count for so many times the usual pause
-# between its messages, as some may be lost, and so long at least, in seconds.
-# Entries of other failure domains speak seldom where there are many; if
-# their sums lapsed between two messages, their engines would look idle and
-# all others would send there.
+# Sums of a silent entry count for this multiple of the interval between its
+# last messages, since messages may be lost, but at least for
+# MIN_REMOTE_SECONDS. In large deployments entries of other failure domains
+# report seldom; if their sums expired between two messages, their engines
+# would look idle and all other entries would send there.
 REMOTE_INTERVALS = 2.0
 MIN_REMOTE_SECONDS = 2.0
-# The longest that they count, in seconds: a dead entry's requests end soon.
+# Longest time for which they count, in seconds: a dead entry's requests end
+# soon.
 MAX_REMOTE_SECONDS = 20.0
 
 
 @attrs.define
 class Usage:
-    """What requests take of one endpoint.
+    """Resources of one endpoint or pipe that requests occupy.
 
     :ivar sequences: requests in flight
-    :ivar started: those whose chain begins there
+    :ivar started: requests whose chain begins on the endpoint
     :ivar cache: reserved memory, in tokens times layers
     """
 
@@ -42,30 +43,34 @@
     cache: int = 0
 
     def add(self, other: 'Usage', sign: int = 1) -> None:
-        """Add what another use takes, or take it off with -1."""
+        """Add another usage, or subtract it.
+
+        :param sign: 1 to add, -1 to subtract
+        """
         self.sequences += sign * other.sequences
         self.started += sign * other.started
         self.cache += sign * other.cache
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is in use."""
+        """Whether nothing is occupied."""
         return not (self.sequences or self.started or self.cache)
 
 
 @attrs.frozen(eq=False)
 class Reservation:
-    """What one run of a request takes, by name of endpoint."""
+    """Resources that one run of a request occupies, by endpoint or pipe."""
 
     parts: tuple[tuple[str, Usage], ...]
 
 
 @attrs.define
 class _Remote:
-    """Sums of another entry.
+    """Sums that another entry reported.
 
-    :ivar heard: when they were told, monotonic, in seconds
-    :ivar pause: time between its last two messages, in seconds
+    :ivar received_at: monotonic time of the report, in seconds
+    :ivar usages: usage by that entry, by name of the endpoint or pipe
+    :ivar interval: time between its last two reports, in seconds
     """
 
     received_at: float
@@ -73,7 +78,7 @@
     interval: float = 0.0
 
     def has_expired(self, now: float) -> bool:
-        """Tell whether its sender is silent for too long."""
+        """Return whether the entry has been silent for too long."""
         max_age = max(MIN_REMOTE_SECONDS, REMOTE_INTERVALS * self.interval)
         return now - self.received_at > min(max_age, MAX_REMOTE_SECONDS)
 
@@ -81,7 +86,7 @@
 def _add_usage(
     table: dict[str, Usage], name: str, part: Usage, sign: int
 ) -> None:
-    """Add a use to a table of those in use, or take it off with -1."""
+    """Add a usage to a table without empty rows, or subtract it with -1."""
     usage = table.get(name)
     if usage is None:
         usage = table[name] = Usage()
@@ -91,12 +96,12 @@
 
 
 class Occupancy:
-    """Use of all endpoints as one entry knows it."""
+    """Usage of all endpoints as one entry knows it."""
 
     def __init__(self) -> None:
         self._own: dict[str, Usage] = {}
         self._remote: dict[str, _Remote] = {}
-        # When each entry spoke last, also after its sums have lapsed.
+        # Time of each entry's last report, kept after its sums expired.
         self._received_at: dict[str, float] = {}
         self._sums: dict[str, Usage] = {}
 
@@ -106,10 +111,10 @@
         tokens: int,
         pipes: Iterable[str] = (),
     ) -> Reservation:
-        """Take memory and a place at each endpoint of a chain.
+        """Reserve memory and a slot on each endpoint of a chain.
 
-        :param tokens: tokens kept by each layer
-        :param pipes: pipes that the chain crosses, counted alike
+        :param tokens: tokens that each layer keeps
+        :param pipes: names of the pipes that the chain crosses
         """
         parts = []
         for pipe in pipes:
@@ -124,7 +129,7 @@
         return Reservation(tuple(parts))
 
     def release(self, reservation: Reservation) -> None:
-        """Give back what a run took."""
+        """Release the resources of a run."""
         for name, part in reservation.parts:
             self._change(name, part, -1)
 
@@ -134,24 +139,24 @@
 
     @property
     def usages(self) -> Mapping[str, Usage]:
-        """Use of endpoints and pipes by all entries; those in use only."""
+        """Usage of endpoints and pipes by all entries, without idle ones."""
         return self._sums
 
     def get(self, name: str) -> Usage:
-        """Give the use of an endpoint by all entries."""
+        """Return the usage of an endpoint by all entries."""
         return self._sums.get(name) or Usage()
 
     def list_own(self) -> Mapping[str, Usage]:
-        """Give the use by this entry, to tell the others."""
+        """Return the usage by this entry, as reported to the others."""
         return self._own
 
     def set_remote(
         self, entry: str, usages: Mapping[str, Usage], now: float
     ) -> bool:
-        """Take in what another entry tells of its own use.
+        """Replace the usage that another entry reported.
 
         :param now: monotonic time in seconds
-        :returns: whether it takes less of anything than it did
+        :returns: whether it occupies less of anything than before
         """
         before = self._remote.get(entry)
         freed = self._replace(before.usages if before else {}, usages)
@@ -163,11 +168,11 @@
     def _replace(
         self, before: Mapping[str, Usage], after: Mapping[str, Usage]
     ) -> bool:
-        """Put the sums of an entry in place of those it told before.
+        """Replace the sums of an entry by its latest ones.
 
         Most of them are the same from one message to the next.
 
-        :returns: whether less is taken of anything
+        :returns: whether less is occupied of anything
         """
         freed = False
         for name, new in after.items():
@@ -186,7 +191,7 @@
         return freed
 
     def drop_remote(self, entry: str) -> None:
-        """Forget an entry that is not listed any more."""
+        """Drop the usage of an entry that is no longer listed."""
         self._received_at.pop(entry, None)
         self._discard_remote(entry)
 
@@ -196,7 +201,7 @@
             self._replace(remote.usages, {})
 
     def expire(self, now: float) -> bool:
-        """Forget what entries told that have been silent for long.
+        """Drop the usage of entries that have been silent for too long.
 
         :returns: whether there were any
         """
--- a/packages/core/src/dunlintide_core/pipeline/paces.py
+++ b/packages/core/src/dunlintide_core/pipeline/paces.py
@@ -1,9 +1,10 @@
-"""Which engines are slow, as they tell when asked.
+"""Detection of slow engines from the pace that they report.
 
-An engine that turns slow holds up every stream whose chain goes through it,
-and neither fails nor stands still. Streams only show that some engine of a
-chain is slow, so the engines of such a chain are asked, each by few entries
-and not often.
+The pace of an engine is the time of its work as a multiple of the published
+one. An engine that becomes slow delays every stream whose chain includes it,
+without failing or stalling. Streams only show that some engine of a chain is
+slow, so the engines of such a chain are asked for their pace, each by few
+entries and not often.
 """
 
 import enum
@@ -13,32 +14,33 @@
 
 __all__ = ['Paces', 'is_slow_run']
 
-# Time of an engine's work against the published one from which on it counts
-# as slow; less is within what load makes of it.
+# Pace from which on an engine counts as slow; lower ones are normal under
+# load.
 MIN_SLOW_PACE = 1.5
-# Pause between two questions to an engine, in seconds.
+# Interval between two questions to an engine, in seconds.
 ASK_SECONDS = 0.6
-# Pause between two questions to one that is slow, in seconds: it may be sound
-# again, and gets no streams that would show it.
+# Interval between two questions to a slow engine, in seconds: it may have
+# recovered, and gets no streams that would show it.
 ASK_SLOW_SECONDS = 0.8
-# How long an answer counts, in seconds: a slow engine is asked twice in it.
+# How long an answer counts, in seconds: a slow engine is asked twice within
+# it.
 ANSWER_SECONDS = 2.0
-# Time of an event, or until the first one, against the usual one from which
+# Multiple of the typical time of an event, or until the first one, from which
 # on some engine of the chain is suspected to be slow.
 SLOW_FACTOR = 2.0
 
 
 def is_slow_run(seconds: float, usual: float | None) -> bool:
-    """Tell whether a run shows that an engine of its chain may be slow.
+    """Return whether a run suggests that an engine of its chain is slow.
 
-    :param seconds: its mean pause between events, or time to the first one
-    :param usual: the same of usual runs, None if unknown
+    :param seconds: its mean interval between events, or time to the first one
+    :param usual: the same of typical runs, None if unknown
     """
     return usual is not None and seconds > usual * SLOW_FACTOR
 
 
 class _Source(enum.Enum):
-    """Who asked an engine."""
+    """Entry that asked an engine: this one or another."""
 
     OWN = enum.auto()
     OTHER = enum.auto()
@@ -46,7 +48,10 @@
 
 @attrs.define
 class _Answer:
-    """What an engine told of its pace, 1 for the published one."""
+    """Pace that an engine reported.
+
+    :ivar received_at: monotonic time of the report, in seconds
+    """
 
     pace: float
     received_at: float
@@ -61,7 +66,7 @@
         self._asked: dict[str, float] = {}
 
     def list_due(self, names: Iterable[str], now: float) -> list[str]:
-        """Choose the engines to ask, and record that they are asked.
+        """List the engines to ask now, and record that they are asked.
 
         :param names: engines that may be slow
         :param now: monotonic time in seconds
@@ -78,7 +83,7 @@
         return answer is None or now - answer.received_at >= ASK_SECONDS
 
     def list_slow_due(self, now: float) -> list[str]:
-        """Choose the slow engines that this entry is to ask again."""
+        """List the slow engines that this entry is to ask again."""
         slow = [
             name
             for name, answer in self._answers.items()
@@ -89,11 +94,11 @@
         return self.list_due(slow, now)
 
     def record(self, name: str, pace: float, now: float) -> None:
-        """Record what an engine told this entry."""
+        """Record the pace that an engine reported to this entry."""
         self._answers[name] = _Answer(pace, now, _Source.OWN)
 
     def receive(self, name: str, pace: float, now: float) -> None:
-        """Record what an engine told another entry."""
+        """Record the pace that an engine reported to another entry."""
         known = self._answers.get(name)
         if known is not None and known.source is _Source.OWN:
             if now - known.received_at < ASK_SECONDS:
@@ -101,7 +106,7 @@
         self._answers[name] = _Answer(pace, now, _Source.OTHER)
 
     def list_slow(self, now: float) -> Mapping[str, float]:
-        """Give the paces of the engines that are slow, by name."""
+        """Return the paces of the slow engines, by name."""
         self._expire(now)
         return {
             name: answer.pace
@@ -110,9 +115,10 @@
         }
 
     def list_own(self, now: float) -> Mapping[str, float]:
-        """Give what engines told this entry lately, for other entries.
+        """Return the paces recently reported to this entry, for other entries.
 
-        Sound ones are among them, so that others need not ask them.
+        Engines that are not slow are included, so that others need not ask
+        them.
         """
         self._expire(now)
         return {
@@ -122,7 +128,7 @@
         }
 
     def forget(self, name: str) -> None:
-        """Drop what is known of an engine that is gone."""
+        """Drop the record of an engine that is gone."""
         self._answers.pop(name, None)
         self._asked.pop(name, None)
 
