--- a/packages/core/src/dunlintide_core/pipeline/permits.py
+++ b/packages/core/src/dunlintide_core/pipeline/permits.py
@@ -1,11 +1,11 @@
 """Permits for requests to endpoints that name a rate limit.
 
-For each limited endpoint one entry coordinates: the others ask it for a
-permit before each request. So the sum of all entries keeps the limit however
-the load is spread over them, and none of it is lost in unused shares. The
-coordinator is the entry with the highest hash of its name and the endpoint's
-among those that answer. Nothing here sends or waits: callers carry the
-messages and keep the time.
+For each limited endpoint one entry is the coordinator: the others request a
+permit from it before each request. The sum over all entries thus keeps the
+limit however the load is spread, and no part of it is lost in unused shares.
+The coordinator is the entry with the lowest hash of its name and the
+endpoint's among the responsive ones. This module neither sends nor waits:
+callers carry the messages and keep the time.
 """
 
 import enum
@@ -28,33 +28,39 @@
     'list_limits',
 ]
 
-# Rate at which an endpoint that takes nothing is asked, in requests a second:
-# only its answers tell that the limit has ended.
+# Rate of requests to an endpoint with a limit of zero, in requests per second:
+# only its answers show that the limit has ended.
 MIN_RATE = 0.1
-# Unused permits that are kept, as the time in seconds in which they come up,
-# and in any case.
+# Unused permits that are kept, as the time in seconds in which they accrue,
+# and their minimum number.
 BURST_SECONDS = 0.4
 MIN_BURST = 2.0
-# Part of the limit that is granted in place of an entry that fell silent
-# only so many seconds ago: that one may still grant the whole of it.
+# Fraction of the limit that is granted in place of a coordinator that became
+# silent less than TAKEOVER_SECONDS ago: it may still grant the full limit.
 TAKEOVER_FRACTION = 0.5
 TAKEOVER_SECONDS = 2.0
-# Pause of an entry before it asks again for an endpoint that has no permit
-# left, in seconds, and its spread, so that entries do not ask together.
+# Bounds of the pause of an entry before it requests another permit for an
+# endpoint that has none left, in seconds, and its random spread, so that
+# entries do not ask at the same time.
 PAUSE_SECONDS = (0.02, 0.3)
 PAUSE_SPREAD = (1.0, 1.5)
-# The same where the asked entry does not coordinate, or none answered.
+# The same if the asked entry is not the coordinator, or no entry replied.
 REDIRECT_PAUSE_SECONDS = 0.1
-# Pauses between the messages of one ask, in seconds; the last one repeats.
+# Intervals between the messages of one permit request, in seconds; the last
+# one repeats.
 RETRY_SECONDS = (0.03, 0.05, 0.07)
-# Longest time for an answer, in seconds.
+# Time after which a permit request without a reply is denied, in seconds.
 REPLY_TIMEOUT_SECONDS = 0.6
-# How long an answer is kept for repeated messages of the same ask, in seconds.
+# How long a reply is kept for repeated messages of the same permit request, in
+# seconds.
 REPLY_CACHE_SECONDS = 1.0
 
 
 class Verdict(enum.StrEnum):
-    """What became of an ask; ELSEWHERE if another entry coordinates."""
+    """Result of a permit request.
+
+    :cvar ELSEWHERE: another entry is the coordinator
+    """
 
     GRANTED = 'granted'
     DENIED = 'denied'
@@ -63,11 +69,11 @@
 
 @attrs.frozen
 class PermitRequest:
-    """An entry asks for one permit, or, without an endpoint, for an answer.
+    """Request for one permit or, without an endpoint, for a sign of life.
 
-    :ivar number: names the ask for its sender
-    :ivar limit: requests a second by what the sender knows
-    :ivar age: of its knowledge, in seconds
+    :ivar number: identifies the request at its sender
+    :ivar limit: requests per second, as the sender knows the limit
+    :ivar age: age of the sender's observation, in seconds
     """
 
     sender: str
@@ -79,11 +85,11 @@
 
 @attrs.frozen
 class PermitReply:
-    """What the asked entry answers.
+    """Reply to a permit request.
 
-    :ivar pause: seconds before the next ask, unless granted
-    :ivar limit: requests a second by what the sender knows
-    :ivar age: of its knowledge, in seconds
+    :ivar pause: seconds before the next request, unless granted
+    :ivar limit: requests per second, as the sender knows the limit
+    :ivar age: age of the sender's observation, in seconds
     """
 
     sender: str
@@ -99,7 +105,7 @@
 class LimitUpdate:
     """Limits that an entry observed itself.
 
-    :ivar limits: endpoint, requests a second, None for no limit any more,
+    :ivar limits: endpoint, requests per second or None if the limit has ended,
         and the age of the observation in seconds
     """
 
@@ -113,7 +119,7 @@
 
 
 def list_limits(message: Message) -> Sequence[tuple[str, float | None, float]]:
-    """List what a message tells of limits: endpoint, limit and age."""
+    """List the limits in a message, as endpoint, limit and age."""
     if isinstance(message, LimitUpdate):
         return message.limits
     if not message.endpoint:
@@ -123,13 +129,14 @@
 
 @attrs.define(eq=False)
 class Ticket:
-    """An ask that is under way.
+    """A permit request in progress.
 
     :ivar began: monotonic time in seconds
-    :ivar due: when :meth:`Permits.advance` is to be called again
+    :ivar due: monotonic time at which to call :meth:`Permits.advance` again
+    :ivar tries: messages sent
     :ivar verdict: None while it is open
     :ivar source: entry that decided, empty if none did
-    :ivar pause: how long the endpoint gets nothing from here, in seconds
+    :ivar pause: how long this entry sends the endpoint nothing, in seconds
     """
 
     number: int
@@ -149,7 +156,7 @@
 
 @attrs.define
 class _Bucket:
-    """Permits of an endpoint that are left; a new one has none.
+    """Token bucket with the permits of an endpoint; it starts empty.
 
     An entry that takes over does not know what was granted before.
     """
@@ -159,7 +166,7 @@
     tokens: float = 0.0
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what came up at the former rate, and set the new one."""
+        """Add the permits accrued at the previous rate, and set a new rate."""
         self.tokens += (now - self.updated) * self.rate
         self.updated = now
         self.rate = rate
@@ -169,7 +176,7 @@
     def take(self) -> float:
         """Take a permit.
 
-        :returns: 0, or the seconds until there is one
+        :returns: 0, or the seconds until a permit is available
         """
         if self.tokens >= 1.0:
             self.tokens -= 1.0
@@ -178,14 +185,15 @@
 
 
 def _score_entry(endpoint: str, entry: str) -> bytes:
+    """Return the hash by which entries are ranked for an endpoint."""
     text = f'{endpoint}\0{entry}'.encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
 class Permits:
-    """Permits that one entry asks for and grants.
+    """Permits that one entry requests and grants.
 
-    :ivar liveness: which other entries answer
+    :ivar liveness: responsiveness of other entries
     """
 
     def __init__(
@@ -208,27 +216,27 @@
         self._number = random.getrandbits(40)
 
     def add_member(self, name: str) -> None:
-        """Take in another entry, which may coordinate from now on."""
+        """Add another entry, which may be the coordinator from now on."""
         if name not in self._members:
             self._members.add(name)
             self._rankings.clear()
 
     def remove_member(self, name: str) -> None:
-        """Drop another entry that is gone."""
+        """Remove another entry that is gone."""
         if name != self._name and name in self._members:
             self._members.remove(name)
             self._rankings.clear()
             self.liveness.forget(name)
 
     def choose_coordinator(self, endpoint: str, now: float) -> str:
-        """Name the entry that grants the permits of an endpoint."""
+        """Return the entry that grants the permits of an endpoint."""
         for name in self._rank_entries(endpoint):
             if name == self._name or not self.liveness.is_silent(name, now):
                 return name
         return self._name
 
     def _rank_entries(self, endpoint: str) -> list[str]:
-        """List all entries in the order in which they coordinate."""
+        """List all entries by their precedence as coordinator."""
         ranking = self._rankings.get(endpoint)
         if ranking is None:
             ranking = self._rankings[endpoint] = sorted(
@@ -237,7 +245,7 @@
         return ranking
 
     def _is_taking_over(self, endpoint: str, now: float) -> bool:
-        """Tell whether an entry that goes before this one just fell silent."""
+        """Return whether an entry of higher precedence just became silent."""
         ranking = self._rank_entries(endpoint)
         before = ranking[: ranking.index(self._name)]
         return any(
@@ -246,11 +254,11 @@
         )
 
     def list_paused(self, now: float) -> set[str]:
-        """Name the endpoints for which no permit is to be had now."""
+        """Return the endpoints for which no permit is available now."""
         return {name for name, end in self._paused.items() if end > now}
 
     def make_update(self, now: float) -> LimitUpdate | None:
-        """Tell what this entry observed of limits lately, if anything."""
+        """Return the limits that this entry observed recently, if any."""
         recent = self._limits.list_recent(now)
         if not recent:
             return None
@@ -260,17 +268,17 @@
         return LimitUpdate(self._name, tuple(told))
 
     def open(self, endpoint: str, now: float) -> Ticket:
-        """Begin to ask for a permit."""
+        """Begin a permit request."""
         self._number += 1
         ticket = Ticket(self._number, endpoint, now, now)
         self._tickets[ticket.number] = ticket
         return ticket
 
     def advance(self, ticket: Ticket, now: float) -> Outgoing:
-        """Do what is due for an open ask.
+        """Advance a permit request.
 
-        :returns: messages to send; unless the ticket has a verdict then, it
-            is to be advanced again when it is due
+        :returns: messages to send; if the ticket has no verdict then, call
+            this again when it is due
         """
         endpoint = ticket.endpoint
         limit = self._limits.get(endpoint)
@@ -278,7 +286,7 @@
             self._close(ticket, Verdict.GRANTED, self._name, 0.0, now)
             return []
         paused = self._paused.get(endpoint, now) - now
-        # A try under way may have been granted.
+        # A message that was already sent may have been granted.
         if paused > 0 and not ticket.tries:
             self._close(ticket, Verdict.DENIED, self._name, paused, now)
             return []
@@ -304,14 +312,14 @@
         return [(coordinator, request), *self._probe(now)]
 
     def _probe(self, now: float) -> Outgoing:
-        """Ask silent entries whether they are back."""
+        """Send probes to silent entries."""
         due = self.liveness.list_due(now)
         for name in due:
             self.liveness.record_sent(name, now)
         return [(name, PermitRequest(self._name, 0)) for name in due]
 
     def cancel(self, ticket: Ticket) -> None:
-        """Drop an ask that is not waited for any more."""
+        """Drop a permit request whose caller no longer waits."""
         self._tickets.pop(ticket.number, None)
 
     def _close(
@@ -332,7 +340,7 @@
     def _grant(self, endpoint: str, limit: float, now: float) -> float:
         """Take a permit as the coordinator.
 
-        :returns: 0, or for how long not to ask, in seconds
+        :returns: 0, or the pause before the next request, in seconds
         """
         if self._is_taking_over(endpoint, now):
             limit *= TAKEOVER_FRACTION
@@ -349,7 +357,7 @@
         return min(most, max(least, missing) * spread)
 
     def receive(self, message: Message, now: float) -> Outgoing:
-        """Take in a message of another entry.
+        """Process a message of another entry.
 
         :returns: messages to send
         """
@@ -378,7 +386,8 @@
         outgoing: Outgoing = []
         verdict, pause = Verdict.GRANTED, 0.0
         if limit is None:
-            # A newer observation than the sender's shows that it has ended.
+            # A newer observation than the sender's shows that the limit has
+            # ended.
             pass
         elif coordinator == self._name:
             pause = self._grant(request.endpoint, limit, now)
@@ -405,9 +414,9 @@
         return [(request.sender, reply), *outgoing]
 
     def expire(self, now: float, endpoints: Iterable[str]) -> None:
-        """Drop what is not needed any more.
+        """Drop expired replies and pauses, and endpoints that are gone.
 
-        :param endpoints: names of all that are listed
+        :param endpoints: names of all listed endpoints
         """
         listed = set(endpoints)
         for key, (at, _) in list(self._replies.items()):
@@ -421,5 +430,5 @@
                 del table[name]
 
     def list_coordinated(self) -> Sequence[str]:
-        """Name the endpoints for which this entry granted permits."""
+        """List the endpoints for which this entry granted permits."""
         return sorted(self._buckets)
--- a/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
+++ b/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
@@ -1,9 +1,9 @@
-"""Requests that seem to crash each endpoint that runs them.
+"""Detection of poison requests, which crash the endpoints that run them.
 
-A run that breaks without an answer counts against the request's
-fingerprint; a whole answer clears it. Counts are shared by all entries,
-since such a request comes again at any of them. An endpoint that answers
-later did not crash: it is cleared of the runs that broke there before.
+A run that breaks without an answer counts against the request's fingerprint; a
+complete answer clears it. Entries share their counts, since such a request is
+repeated at any of them. An endpoint that answers later did not crash: runs
+that broke there before are cleared.
 """
 
 import collections
@@ -13,12 +13,12 @@
 
 __all__ = ['PoisonRequests']
 
-# Broken runs at as many endpoints after which a request is refused: two
-# happen by chance while endpoints fail, and three retries are allowed.
+# Number of endpoints with a broken run from which on a request is refused: two
+# occur by chance while endpoints fail, and three retries are allowed.
 MAX_BROKEN = 3
 # How long a broken run counts, in seconds.
 MEMORY_SECONDS = 60.0
-# Most fingerprints that are kept.
+# Maximum number of fingerprints that are kept.
 MAX_REQUESTS = 2048
 
 
@@ -26,22 +26,23 @@
 class _BrokenRun:
     """A broken run.
 
-    A cleared one is kept, so that older news of it does not count again.
+    A cleared one is kept, so that older reports of it do not count again.
 
-    :ivar seen: when it broke or was first heard of, monotonic seconds
-    :ivar cleared: whether it is known that the request did no harm
+    :ivar first_seen: when it broke or was first reported, monotonic seconds
+    :ivar cleared: whether the request is known not to have caused it
     """
 
     first_seen: float
     cleared: bool = False
 
     def is_counted(self, now: float) -> bool:
+        """Return whether the run counts against its request."""
         return not self.cleared and now - self.first_seen <= MEMORY_SECONDS
 
 
 @attrs.define
 class _RequestRuns:
-    """Broken runs of a request by endpoint."""
+    """Broken runs of one request, by endpoint."""
 
     by_endpoint: dict[str, _BrokenRun] = attrs.field(factory=dict)
 
@@ -52,7 +53,7 @@
 
 
 class PoisonRequests:
-    """Broken runs by fingerprint."""
+    """Broken runs by fingerprint of the request."""
 
     def __init__(self) -> None:
         self._requests: collections.OrderedDict[str, _RequestRuns] = (
@@ -62,10 +63,10 @@
     def record_broken_run(
         self, fingerprint: str, endpoint: str, now: float
     ) -> int:
-        """Count a broken run of this entry.
+        """Record a broken run of this entry.
 
         :param now: monotonic time in seconds
-        :returns: endpoints at which it broke, within the memory
+        :returns: number of endpoints with a broken run that counts
         """
         runs = self._find(fingerprint)
         runs.by_endpoint[endpoint] = _BrokenRun(now)
@@ -74,10 +75,10 @@
     def receive_broken_run(
         self, fingerprint: str, endpoint: str, now: float
     ) -> None:
-        """Count a broken run that another entry tells of.
+        """Record a broken run that another entry reported.
 
-        News that is repeated is as old as when it was first heard;
-        otherwise entries would keep it alive by telling it each other.
+        A repeated report keeps the time of the first one; otherwise entries
+        would renew it forever by reporting it to each other.
         """
         by_endpoint = self._find(fingerprint).by_endpoint
         known = by_endpoint.get(endpoint)
@@ -92,19 +93,19 @@
         return runs
 
     def clear(self, fingerprint: str) -> bool:
-        """Clear a request that got a whole answer.
+        """Clear a request that got a complete answer.
 
-        :returns: whether anything was held against it
+        :returns: whether any broken run was not cleared before
         """
         runs = self._requests.get(fingerprint)
         return runs is not None and _clear(runs.by_endpoint.values()) > 0
 
     def clear_endpoint_runs(self, endpoint: str, since: float) -> int:
-        """Clear the runs that broke at an endpoint that is still there.
+        """Clear the runs that broke on an endpoint that still answers.
 
-        :param since: when a request was sent there that it answered,
-            monotonic seconds
-        :returns: broken runs that don't count any more
+        :param since: monotonic time at which a request that it answered was
+            sent, in seconds
+        :returns: number of runs that were not cleared before
         """
         found = [
             runs.by_endpoint[endpoint]
@@ -114,12 +115,12 @@
         return _clear(each for each in found if each.first_seen < since)
 
     def is_poison(self, fingerprint: str, now: float) -> bool:
-        """Tell whether a request has broken too many runs."""
+        """Return whether the runs of a request broke on too many endpoints."""
         runs = self._requests.get(fingerprint)
         return runs is not None and runs.count(now) >= MAX_BROKEN
 
     def list_recent(self, since: float) -> list[tuple[str, str]]:
-        """List fingerprints and endpoints of runs broken since."""
+        """List fingerprint and endpoint of the runs broken since a time."""
         return [
             (fingerprint, endpoint)
             for fingerprint, runs in self._requests.items()
@@ -129,7 +130,7 @@
 
 
 def _clear(by_endpoint: Iterable[_BrokenRun]) -> int:
-    """Clear broken runs, and return how many still counted."""
+    """Clear broken runs, and return how many were not cleared before."""
     held = [each for each in by_endpoint if not each.cleared]
     for each in held:
         each.cleared = True
--- a/packages/core/src/dunlintide_core/pipeline/profiles.py
+++ b/packages/core/src/dunlintide_core/pipeline/profiles.py
@@ -1,4 +1,4 @@
-"""What is published of engines: cost of steps, memory and links."""
+"""Published cost model of engines: steps, memory and links."""
 
 from typing import Mapping
 
@@ -20,8 +20,8 @@
     """One kind of card.
 
     :ivar memory_mb: memory for layers and for requests together
-    :ivar step_factor: time of a step against the published one
-    :ivar read_factor: time of reading a prompt against the published one
+    :ivar step_factor: time of a step relative to the published one
+    :ivar read_factor: time of reading a prompt relative to the published one
     """
 
     name: str
@@ -34,8 +34,8 @@
 class EngineProfile:
     """Cost model of the engines of one service.
 
-    Times are for all layers on a card of factor 1; a part of the layers
-    takes its share of them.
+    Times are for all layers on a card of factor 1; a range of layers takes its
+    proportion of them.
 
     :ivar layers: layers of the model, numbered from 0
     :ivar layer_mb: memory of one layer
@@ -43,14 +43,15 @@
     :ivar step_ms: fixed time of one token step
     :ivar sequence_ms: time that each sequence in a batch adds to a step
     :ivar context_ms: time that 1,000 tokens of context add to a step
-    :ivar read_per_second: prompt tokens read in a second
+    :ivar read_per_second: prompt tokens read per second
     :ivar slots: sequences that a first endpoint takes at once
-    :ivar stride: steps of a pass, so tokens between two events at least
-    :ivar activation_bytes: what one token passes on to the next endpoint
+    :ivar stride: steps of a pass, the minimum number of tokens between two
+        events
+    :ivar activation_bytes: size of the activations of one token
     :ivar link_mbps: bandwidth of an endpoint's own link
-    :ivar pipe_mbps: bandwidth that all share between two failure domains
-    :ivar load_seconds: time to load all layers, alone
-    :ivar loads_at_once: loads beyond which each slows down
+    :ivar pipe_mbps: shared bandwidth between two failure domains
+    :ivar load_seconds: time to load all layers without concurrent loads
+    :ivar loads_at_once: concurrent loads beyond which each slows down
     :ivar usual_prompt: mean prompt, in tokens
     :ivar usual_answer: mean answer, in tokens
     :ivar accelerators: kinds of card by name
@@ -77,23 +78,23 @@
     delays_ms: Mapping[tuple[str, str], float]
 
     def count_max_layers(self, kind: str) -> int:
-        """Tell how many layers a card's memory holds, 0 if unknown."""
+        """Return how many layers fit into a card's memory, 0 if unknown."""
         card = self.accelerators.get(kind)
         return int(card.memory_mb // self.layer_mb) if card else 0
 
     def can_hold(self, kind: str, start: int, end: int) -> bool:
-        """Tell whether a card can hold a range of the model's layers.
+        """Return whether a card can hold a range of the model's layers.
 
-        Answers entries that are sound by themselves and still make no
-        sense: a range beyond the last layer ends the search for chains.
+        A listed range may be well-formed and still impossible; a range beyond
+        the last layer would make the search for chains fail.
         """
         within = 0 <= start <= end <= self.layers
         return within and end - start <= self.count_max_layers(kind)
 
     def get_cache_capacity(self, kind: str, held: int) -> float:
-        """Tell the room for requests, in tokens times layers.
+        """Return the memory for requests, in tokens times layers.
 
-        :param held: layers that the card holds
+        :param held: number of layers that the card holds
         """
         card = self.accelerators.get(kind)
         if card is None:
@@ -102,7 +103,7 @@
         return free_mb * _BYTES_PER_MB / (self.token_bytes / self.layers)
 
     def get_transfer_ms(self, tokens: float, across: bool) -> float:
-        """Tell how long activations take to the next endpoint, in ms.
+        """Return the transfer time of activations to the next endpoint, in ms.
 
         :param across: whether they leave the failure domain
         """
@@ -113,7 +114,7 @@
         return bits / (mbps * _BYTES_PER_MB) * _MS_PER_SECOND
 
     def get_delay_ms(self, one: str, other: str) -> float:
-        """Give the delay between two failure domains, in ms."""
+        """Return the one-way delay between two failure domains, in ms."""
         found = self.delays_ms.get((one, other))
         if found is None:
             found = self.delays_ms.get((other, one), 0.0)
@@ -125,7 +126,7 @@
     """A service that requests are routed to.
 
     :ivar health_path: path of its health check
-    :ivar max_connections: connections that each endpoint takes
+    :ivar max_connections: maximum number of connections to each endpoint
     :ivar engine: cost model of its engines, None for a plain service
     """
 
--- a/packages/core/src/dunlintide_core/pipeline/ratelimits.py
+++ b/packages/core/src/dunlintide_core/pipeline/ratelimits.py
@@ -1,7 +1,7 @@
-"""Rate limits that endpoints name, as one entry knows them.
+"""Rate limits of endpoints, as one entry knows them.
 
-An endpoint names its limit in its answers, so each entry observes it at
-other times. The newest observation counts, whoever made it.
+An endpoint names its limit in its answers, so entries observe it at different
+times. The newest observation counts, whichever entry made it.
 """
 
 from typing import Iterable
@@ -13,8 +13,8 @@
     'RateLimits',
 ]
 
-# How long the end of a limit is remembered, in seconds, so that older news
-# of other entries does not bring the limit back.
+# How long the end of a limit is remembered, in seconds, so that older reports
+# of other entries do not restore the limit.
 ENDED_SECONDS = 30.0
 # How long an observation is repeated to other entries, in seconds.
 REPEAT_SECONDS = 5.0
@@ -22,9 +22,9 @@
 
 @attrs.frozen
 class Observation:
-    """What an endpoint said of its limit.
+    """A limit that an endpoint named.
 
-    :ivar limit: requests a second from all entries, None for no limit
+    :ivar limit: requests per second from all entries, None for no limit
     :ivar at: monotonic time of the observation, in seconds
     :ivar is_own: whether this entry made it
     """
@@ -35,23 +35,23 @@
 
 
 class RateLimits:
-    """Newest observation of each endpoint that named a limit."""
+    """Newest observation of each endpoint that has named a limit."""
 
     def __init__(self) -> None:
         self._known: dict[str, Observation] = {}
 
     def get(self, name: str) -> float | None:
-        """Give the limit of an endpoint in requests a second, if any."""
+        """Return the limit of an endpoint in requests per second, if any."""
         known = self._known.get(name)
         return known.limit if known else None
 
     def get_age(self, name: str, now: float) -> float:
-        """Tell how old the observation of an endpoint is, in seconds."""
+        """Return the age of the observation of an endpoint, in seconds."""
         known = self._known.get(name)
         return now - known.at if known else float('inf')
 
     def list_limited(self) -> dict[str, float]:
-        """Give the limits by name of the endpoint."""
+        """Return the limits by name of the endpoint."""
         return {
             name: known.limit
             for name, known in self._known.items()
@@ -59,7 +59,7 @@
         }
 
     def list_recent(self, now: float) -> dict[str, Observation]:
-        """Give the own observations that other entries should know."""
+        """Return the own observations to send to other entries."""
         return {
             name: known
             for name, known in self._known.items()
@@ -69,15 +69,15 @@
     def record(
         self, name: str, limit: float | None, sent: float, now: float
     ) -> bool:
-        """Record what an answer of an endpoint says.
+        """Record the limit in an answer of an endpoint.
 
-        :param limit: None if the answer names none
-        :param sent: when the answered request was sent
+        :param limit: requests per second, None if the answer names no limit
+        :param sent: monotonic time at which the request was sent, in seconds
         :returns: whether the limit has changed
         """
         known = self._known.get(name)
-        # Answers overtake each other: one to an earlier request can't tell
-        # that a limit has ended.
+        # Answers overtake each other: an answer without a limit ends a limit
+        # only if its request was sent after the limit was observed.
         if limit is None and (known is None or sent <= known.at):
             return False
         return self._replace(name, Observation(limit, now))
@@ -85,9 +85,9 @@
     def receive(
         self, name: str, limit: float | None, age: float, now: float
     ) -> bool:
-        """Record what another entry observed.
+        """Record an observation of another entry.
 
-        :param age: of its observation, in seconds
+        :param age: age of the observation, in seconds
         :returns: whether the limit has changed
         """
         at = now - age
@@ -104,9 +104,9 @@
         return before != new.limit
 
     def expire(self, now: float, endpoints: Iterable[str]) -> None:
-        """Forget limits that ended long ago, or of endpoints that are gone.
+        """Drop limits that ended long ago, or of endpoints that are gone.
 
-        :param endpoints: names of all that are listed
+        :param endpoints: names of all listed endpoints
         """
         listed = set(endpoints)
         for name, known in list(self._known.items()):
@@ -115,5 +115,5 @@
                 del self._known[name]
 
     def forget(self, name: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Drop the limit of an endpoint that is gone."""
         self._known.pop(name, None)
--- a/packages/core/src/dunlintide_core/pipeline/refusalhistory.py
+++ b/packages/core/src/dunlintide_core/pipeline/refusalhistory.py
@@ -1,9 +1,9 @@
-"""Which requests have been refused before, and when to come back.
+"""Recently refused requests, and the retry delay for refused callers.
 
-A caller that was told to come back asks another entry, so entries tell
-each other whom they refused. How long it is to stay away follows from how
-many are refused just now: while most are, a short pause would only bring
-it into the same crowd.
+A caller that was refused retries at another entry, so entries report their
+refusals to each other. The delay grows with the share of requests that is
+refused: while most are, a short delay would only bring the caller back into
+the same overload.
 """
 
 import collections
@@ -15,23 +15,24 @@
     'choose_shutdown_delay',
 ]
 
-# How long a refusal is remembered, in seconds: longer than any pause that
-# callers are told.
+# How long a refusal is remembered, in seconds: longer than any delay that
+# callers are given.
 MEMORY_SECONDS = 8.0
-# Time over which refusals are weighed against requests, in seconds.
+# Window over which refusals are counted against requests, in seconds.
 WINDOW_SECONDS = 2.0
-# Pause when hardly any request is refused, in seconds: streams end and
-# free their room within it.
+# Delay when hardly any request is refused, in seconds: streams end and free
+# capacity within it.
 MIN_DELAY_SECONDS = 0.4
-# What is added to the pause when all are refused, in seconds: a lost
-# engine's layers are loaded elsewhere by then.
+# Additional delay when all requests are refused, in seconds: a lost engine's
+# layers are loaded elsewhere by then.
 OVERLOAD_DELAY_SECONDS = 4.0
-# Most refusals that are kept.
+# Maximum number of refusals that are kept.
 MAX_REFUSALS = 4096
-# Part of the time left that a caller waits at most before it returns.
+# Upper bound of the delay, as a fraction of the time left until the caller's
+# deadline.
 MAX_DELAY_FRACTION = 1 / 3
-# When to return to an entry that stops while others serve, in seconds: at
-# once, to one of them.
+# Delay of a caller that an entry refuses while it shuts down and others serve,
+# in seconds: it retries at once, at one of them.
 OTHER_ENTRY_DELAY_SECONDS = 0.1
 # Time from the end of an entry's process until the next one serves, in
 # seconds, half of it the platform's delay.
@@ -40,7 +41,7 @@
 
 @attrs.define
 class RefusalHistory:
-    """Refusals of one entry and those that others told."""
+    """Refusals of this entry and those that other entries reported."""
 
     _refused_at: collections.OrderedDict[int, float] = attrs.field(
         factory=collections.OrderedDict, init=False
@@ -53,7 +54,7 @@
     )
 
     def record_request(self, now: float) -> None:
-        """Take note of a request.
+        """Record a request.
 
         :param now: monotonic time in seconds
         """
@@ -61,29 +62,32 @@
         self._expire(now)
 
     def record_refusal(self, digest: int, now: float) -> None:
-        """Take note of a request that is refused here."""
+        """Record a request that this entry refuses.
+
+        :param digest: identifies repetitions of the request
+        """
         self._own_refusals.append((now, digest))
         self.receive_refusal(digest, now)
         self._expire(now)
 
     def receive_refusal(self, digest: int, now: float) -> None:
-        """Take note of a request that was refused anywhere."""
+        """Record a request that any entry refused."""
         self._refused_at[digest] = now
         self._refused_at.move_to_end(digest)
         if len(self._refused_at) > MAX_REFUSALS:
             self._refused_at.popitem(last=False)
 
     def was_refused(self, digest: int, now: float) -> bool:
-        """Tell whether a request was refused a short time ago."""
+        """Return whether a request was refused a short time ago."""
         refused = self._refused_at.get(digest)
         return refused is not None and now - refused < MEMORY_SECONDS
 
     def list_recent(self, since: float) -> list[int]:
-        """List the requests refused here since a time."""
+        """List the requests that this entry refused since a time."""
         return [digest for at, digest in self._own_refusals if at >= since]
 
     def choose_retry_delay(self, now: float) -> float:
-        """Tell after how many seconds a refused caller is to return."""
+        """Return the delay before a refused caller retries, in seconds."""
         self._expire(now)
         share = len(self._own_refusals) / max(
             1, len(self._requests), len(self._own_refusals)
@@ -101,14 +105,15 @@
 
 
 def choose_shutdown_delay(others: int, remaining: float) -> float:
-    """Tell after how many seconds to return to an entry that stops.
+    """Return the retry delay for callers of an entry that shuts down.
 
-    Where all entries are stopped in turn, each before the one before it is
-    back, callers that return at once meet another entry that stops, and have
-    no further try.
+    If entries are restarted one after the other, each before the previous one
+    serves again, callers that retry at once reach another entry that shuts
+    down, and have no retry left.
 
-    :param others: other entries that are listed
-    :param left: time until the process ends at the latest, in seconds
+    :param others: number of other listed entries
+    :param remaining: time until the process ends at the latest, in seconds
+    :returns: delay in seconds
     """
     if others:
         return OTHER_ENTRY_DELAY_SECONDS
--- a/packages/core/src/dunlintide_core/pipeline/regions.py
+++ b/packages/core/src/dunlintide_core/pipeline/regions.py
@@ -1,7 +1,7 @@
-"""Engines among which chains are sought, prepared once for each listing.
+"""Engines available to chains, prepared once for each listing.
 
 Cuts, holders of each segment and times of cards change only when an engine
-comes, goes or is given other layers, while a choice is made for each request.
+comes, goes or gets other layers, while a chain is chosen for each request.
 """
 
 import itertools
@@ -33,20 +33,21 @@
 Endpoint = endpoints_module.Endpoint
 
 
-# Part of an engine's memory that is free as long as its cost is time alone.
+# Fraction of an engine's memory that must be free for its cost to be its time
+# alone.
 AMPLE_FREE = 0.5
-# Part below which less free memory raises its cost no further.
+# Fraction of free memory below which its cost increases no further.
 MIN_FREE = 0.05
 
 _UNUSED = occupancy.Usage()
 
 
 class _Row(NamedTuple):
-    """What is fixed of one engine; a tuple, since each choice reads all.
+    """Constant properties of one engine; a tuple, since each choice reads all.
 
-    :ivar step: time of a layer's step against the published one
+    :ivar step: step time of a layer relative to a full published step
     :ivar read: time of reading a prompt token on a layer, in ms
-    :ivar capacity: memory that is given out, in tokens times layers
+    :ivar capacity: memory that is allocated, in tokens times layers
     """
 
     name: str
@@ -70,12 +71,12 @@
 
 @attrs.frozen(eq=False)
 class Weights:
-    """What engines cost and take at one moment, by index.
+    """Cost and free memory of engines at one moment, by index.
 
-    :ivar rates: time of one layer for the whole request, in ms, dearer where
-        memory is scarce
-    :ivar rooms: layers for which memory is free, 0 if out of use or full
-    :ivar full: engines at which no further chain may begin
+    :ivar rates: time of one layer for the complete request, in ms, with a
+        surcharge where memory is scarce
+    :ivar rooms: layers for which memory is free, 0 if unusable or full
+    :ivar full: engines on which no further chain may begin
     """
 
     rates: list[float]
@@ -101,7 +102,7 @@
     def from_engines(
         cls, profile: profiles.EngineProfile, engines: Iterable[Endpoint]
     ) -> 'EngineSet':
-        """Prepare engines, leaving out those without layers."""
+        """Prepare engines, without those that hold no layers."""
         engines = tuple(each for each in engines if each.end > each.start)
         return cls(
             engines,
@@ -122,10 +123,10 @@
         usages: Mapping[str, occupancy.Usage],
         unusable: AbstractSet[str],
     ) -> Weights:
-        """Tell what each engine costs a request and how much it takes.
+        """Return the cost and the free memory of all engines for a request.
 
         :param tokens: tokens for which each layer reserves memory
-        :param usages: use of engines, by name
+        :param usages: usage of engines, by name
         :param unusable: names of engines that get no request
         """
         weights = self.make_unusable_weights(usages)
@@ -136,7 +137,7 @@
     def make_unusable_weights(
         self, usages: Mapping[str, occupancy.Usage]
     ) -> Weights:
-        """Begin with all engines out of use."""
+        """Return weights that mark all engines as unusable."""
         full = frozenset(
             index
             for index, name in self._firsts
@@ -154,7 +155,7 @@
         usages: Mapping[str, occupancy.Usage],
         unusable: AbstractSet[str],
     ) -> None:
-        """Set what some of the engines cost and take.
+        """Set the cost and the free memory of some engines.
 
         :param members: their indices
         """
@@ -169,8 +170,8 @@
             running = usage.sequences
             busy = 1.0 + running / chaincosts.SEQUENCES_TO_DOUBLE
             work = ((steps + sequence * running) * step + prompt * read) * busy
-            # Fast engines fill first. Streams that could run elsewhere would
-            # leave no room to those that can't.
+            # Fast engines fill first. Without a surcharge, streams that could
+            # run elsewhere would take the memory of those that can't.
             scarcity = AMPLE_FREE * capacity / max(free, capacity * MIN_FREE)
             rates[index] = work * max(1.0, scarcity)
             rooms[index] = free / tokens
@@ -181,10 +182,10 @@
         members: Container[int],
         paces: Mapping[str, float],
     ) -> None:
-        """Raise what slow engines cost.
+        """Increase the cost of slow engines.
 
         :param members: indices of the engines that were just weighed
-        :param paces: time of work against the published one, by name
+        :param paces: time of work as a multiple of the published one, by name
         """
         for name, pace in paces.items():
             index = self.indices.get(name)
@@ -192,7 +193,7 @@
                 weights.rates[index] *= pace
 
     def find_min_times(self, holders: Iterable[Sequence[int]]) -> 'MinTimes':
-        """Tell what engines without requests need at least.
+        """Return a lower bound on the time of chains of idle engines.
 
         :param holders: indices of the engines that hold a layer, by layer
         """
@@ -205,9 +206,9 @@
 
 @attrs.frozen
 class MinTimes:
-    """What a chain takes at least, whatever else runs.
+    """Lower bound on the time of a chain, whatever else runs.
 
-    :ivar step: time of a step of all layers against the published one
+    :ivar step: time of a step of all layers relative to the published one
     :ivar read: time of reading a prompt token on all layers, in ms
     """
 
@@ -215,21 +216,22 @@
     read: float
 
     def bound(self, times: chaincosts.LayerTimes) -> float:
-        """Give the least time of a request, in ms."""
+        """Return the lower bound on the time of a request, in ms."""
         return times.steps * self.step + times.prompt * self.read
 
 
 @attrs.frozen(eq=False)
 class Region:
-    """Engines that chains may be made of, those of one domain or of all.
+    """Engines that chains may consist of, of one domain or of all.
 
     :ivar engines: all engines of the service, by index
     :ivar cuts: layers at which some range begins or ends, in order
-    :ivar holders: indices of its engines that hold a segment, by segment
-    :ivar members: indices of its engines
-    :ivar domains: names of its failure domains
-    :ivar places: index of the failure domain, by engine
-    :ivar lengths: layers that it holds, by engine
+    :ivar holders: indices of the region's engines that hold a segment, by
+        segment
+    :ivar members: indices of the region's engines
+    :ivar domains: names of the region's failure domains
+    :ivar domain_indices: index of the failure domain, by engine
+    :ivar lengths: number of layers that it holds, by engine
     """
 
     engines: tuple[Endpoint, ...]
@@ -249,7 +251,7 @@
         """Prepare the engines of some failure domains.
 
         :param engines: all engines of the service, by index
-        :param layers: layers of the model
+        :param layers: number of layers of the model
         """
         domain_indices = {name: index for index, name in enumerate(domains)}
         own = [
@@ -287,19 +289,18 @@
         return all(self.holders)
 
     def list_layer_holders(self) -> Iterator[tuple[int, ...]]:
-        """Give the indices of the engines that hold each layer."""
+        """Return the indices of the engines that hold each layer."""
         for length, holders in self._segments:
             yield from itertools.repeat(holders, length)
 
     def bound(self, weights: Weights, passing: float) -> list[float]:
-        """Tell what chains cost at least from each cut on, in ms.
+        """Return lower bounds on the cost of chains from each cut on, in ms.
 
-        Much quicker than a search, it spares those in failure domains that
-        have no room or are dearer than a chain that is known.
+        The bounds are much faster than a search, and avoid it for failure
+        domains without capacity or with higher costs than a known chain.
 
-        :param passing: least cost of passing a request on, in ms
-        :returns: costs by index of the cut; infinite from the first one if
-            there is no chain
+        :param passing: minimum cost of a handoff, in ms
+        :returns: costs by index of the cut; all infinite if there is no chain
         """
         rates, rooms = weights.rates, weights.rooms
         total = 0.0
@@ -329,10 +330,10 @@
 
 
 def _count_handoffs(reaches: Sequence[int]) -> tuple[int, ...]:
-    """Count how often the shortest way from each cut on is passed on.
+    """Count the handoffs of the shortest route from each cut to the end.
 
     :param reaches: last cut that an engine reaches from a segment, by the
-        segment; 0 if nobody holds it
+        segment; 0 if it has no holder
     """
     parts = [0] * (len(reaches) + 1)
     for segment in reversed(range(len(reaches))):
--- a/packages/core/src/dunlintide_core/pipeline/retrybudget.py
+++ b/packages/core/src/dunlintide_core/pipeline/retrybudget.py
@@ -1,8 +1,8 @@
-"""How many second sends one entry may make, of a budget for all.
+"""Retry budget of one entry, of a budget for all entries together.
 
-The budget of a service is a share of its requests in a window plus a
-fixed number. The share needs no talk between entries, since each earns
-it by its own requests; the fixed number is divided among them.
+The budget of a service is a ratio of its requests in a window plus a fixed
+number. The ratio needs no communication between entries, since each earns it
+by its own requests; the fixed number is divided among them.
 """
 
 import collections
@@ -11,15 +11,15 @@
 
 __all__ = ['RetryBudget']
 
-# Part of the share of requests that is used: each entry earns it by its own
-# requests, and the rest covers windows that differ by clock.
+# Fraction of the ratio that is used: each entry earns it by its own requests,
+# and the rest covers windows that differ by clock.
 RATIO_FRACTION = 0.9
-# Part of the fixed number that is used: entries that restart forget what they
-# sent, and all of them may restart once within a window.
+# Fraction of the fixed number that is used: a restarted entry does not know
+# its earlier retries, and all entries may restart once within a window.
 SLACK_FRACTION = 0.5
-# Part of the budget that is kept for streams under way. Answers this
-# pattern: engines that leave refuse hundreds of first sends, whose second
-# ones then leave nothing to rescue streams with.
+# Fraction of the budget that is reserved for streams under way: engines that
+# drain refuse hundreds of first sends, and their retries would leave nothing
+# to move streams with.
 RESERVED_FRACTION = 0.3
 
 
@@ -27,10 +27,10 @@
 class RetryBudget:
     """Sends beyond the first of each request, over a sliding window.
 
-    :ivar ratio: sends allowed for each request in the window
-    :ivar slack: sends allowed besides, for all entries together
+    :ivar ratio: retries allowed for each request in the window
+    :ivar slack: additional retries allowed, for all entries together
     :ivar window: length of the window, in seconds
-    :ivar entries: entries that share the slack
+    :ivar entries: number of entries that share the slack
     """
 
     ratio: float
@@ -50,14 +50,14 @@
                 times.popleft()
 
     def record_request(self, now: float) -> None:
-        """Take note of a request.
+        """Record a request, which adds to the budget.
 
         :param now: monotonic time in seconds
         """
         self._requests.append(now)
 
     def count_left(self, now: float) -> float:
-        """Tell how many sends are left now."""
+        """Return the number of retries left now."""
         self._expire(now)
         return self._count_allowed() - len(self._retries)
 
@@ -66,10 +66,10 @@
         return allowed + self.slack / max(1, self.entries) * SLACK_FRACTION
 
     def can_spend(self, now: float, under_way: bool = True) -> bool:
-        """Tell whether a second send is left.
+        """Return whether a retry is left.
 
-        :param under_way: whether the request may have run; others leave a
-            part of the budget to those that may have
+        :param under_way: whether the request may have run; others may not use
+            the reserved part of the budget
         """
         reserved = (
             0.0 if under_way else self._count_allowed() * RESERVED_FRACTION
@@ -77,7 +77,7 @@
         return self.count_left(now) >= 1.0 + reserved
 
     def spend(self, now: float, under_way: bool = True) -> bool:
-        """Take one second send; False when none is left for it."""
+        """Take one retry from the budget, and return whether one was left."""
         if not self.can_spend(now, under_way):
             return False
         self._retries.append(now)
--- a/packages/core/src/dunlintide_core/pipeline/settings.py
+++ b/packages/core/src/dunlintide_core/pipeline/settings.py
@@ -18,10 +18,10 @@
 
 @attrs.frozen
 class Retries:
-    """Second sends that a service may get, of all entries together.
+    """Retry budget of a service, for all entries together.
 
-    :ivar ratio: for each request
-    :ivar slack: besides, in any window
+    :ivar ratio: retries for each request
+    :ivar slack: additional retries in any window
     :ivar window: length of the window, in seconds
     """
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Experiments:
-    """What is tried out; nothing on a deployment that serves.
+    """Settings for experiments, empty in production.
 
     :ivar off: mechanisms that are switched off
     """
@@ -44,17 +44,21 @@
 class EdgeSettings:
     """Settings of one entry; addresses are ``host:port``.
 
-    :ivar listen: where callers ask
-    :ivar ready_listen: where the balancer asks whether the entry is ready
-    :ivar admin_listen: operators' port, also asked by other entries
-    :ivar metrics_listen: where the metrics alone are served
-    :ivar gossip_listen: where datagrams of other entries arrive
+    :ivar role: role of the process
+    :ivar name: name of the entry
+    :ivar failure_domain: failure domain of the entry
+    :ivar listen: address for callers
+    :ivar ready_listen: address of the readiness check for load balancers
+    :ivar admin_listen: admin port, also used by other entries
+    :ivar metrics_listen: address that serves only metrics
+    :ivar gossip_listen: address for datagrams of other entries
     :ivar store: address of the platform's store
-    :ivar drain: longest time that a leaving endpoint may get new requests,
-        in seconds
+    :ivar drain: longest time for which a draining endpoint may get new
+        requests, in seconds
     :ivar grace: time from SIGTERM to SIGKILL, in seconds
-    :ivar log_rate: log lines a second
-    :ivar experiments: what is switched off to measure its worth
+    :ivar retries: retry budget of each service
+    :ivar log_rate: log lines per second
+    :ivar experiments: mechanisms that are switched off to measure their effect
     """
 
     role: str
@@ -79,8 +83,8 @@
     """Read the settings of an entry.
 
     :param text: JSON with comments
-    :param file: its name, for messages
-    :returns: the settings, or every problem that was found
+    :param file: file name, for messages
+    :returns: the settings, or all problems found
     """
     parsed = jsonc.parse(text, file)
     if parsed.is_err():
--- a/packages/core/src/dunlintide_core/pipeline/shortfalls.py
+++ b/packages/core/src/dunlintide_core/pipeline/shortfalls.py
@@ -1,8 +1,8 @@
-"""Why requests were not served in time, read from the entries' own logs.
+"""Why requests were not served in time, from the logs of entries.
 
-Each request falls short for one cause: the first that applies, from the
-gravest. Lines of one entry carry its steady clock; moments are told from the
-start of the entry's process.
+Each request gets one cause: the first that applies, from the gravest. Log
+lines carry the monotonic clock of their entry; times are reported relative to
+the start of the entry's process.
 """
 
 import collections
@@ -22,14 +22,14 @@
 
 Line = Mapping[str, Any]
 
-# What collectors of logs put before a line: its time and its host.
+# Prefix that log collectors put before a line: its time and its host.
 _PREFIX = re.compile(r'\s*[\d.:TZ+-]+\s+\S+\s+(?={)')
-# Lines that begin the record of a request.
+# Events that begin the record of a request.
 _SENT = ('stream sent', 'call sent')
 
 
 class Cause(enum.StrEnum):
-    """Why a request was not served in time."""
+    """Reason why a request was not served in time."""
 
     ENTRY_ENDED = 'the entry ended under it'
     NO_ROOM = 'refused: no chain had room'
@@ -51,6 +51,9 @@
 class Shortfall:
     """A request that was not served in time.
 
+    :ivar request: id of the request
+    :ivar host: host of the entry
+    :ivar cause: reason why it was not served in time
     :ivar at: when it ended, in seconds from the start of the process
     :ivar seconds: how late it was, 0 if it was not answered
     """
@@ -64,11 +67,12 @@
 
 @attrs.define
 class Report:
-    """What logs show.
+    """Summary of the logs.
 
     :ivar served: requests answered in time
     :ivar read: lines that were read
-    :ivar unreadable: lines that are no lines of a log
+    :ivar unreadable: lines that are not log lines
+    :ivar shortfalls: requests that were not served in time
     """
 
     served: int = 0
@@ -79,8 +83,8 @@
     def count(self) -> list[tuple[Cause, int, float, str]]:
         """List causes, the most frequent first.
 
-        :returns: cause, requests, the worst delay in seconds, and the host
-            and second of the process at which most of them ended
+        :returns: cause, number of requests, longest delay in seconds, and the
+            host and second of the process at which most of them ended
         """
         groups = collections.defaultdict(list)
         for each in self.shortfalls:
@@ -99,10 +103,11 @@
 
 @attrs.define
 class _Process:
-    """One process of an entry, as its lines tell.
+    """One process of an entry, reconstructed from its log lines.
 
-    :ivar began: its steady clock at the first line
-    :ivar last: its steady clock at the last line
+    :ivar began: monotonic clock at the first line
+    :ivar last: monotonic clock at the last line
+    :ivar requests: lines of the requests in progress, by id
     """
 
     host: str
@@ -112,13 +117,14 @@
 
 
 class _Reader:
-    """Sorts lines by process and request."""
+    """Groups log lines by process and request."""
 
     def __init__(self) -> None:
         self.report = Report()
         self._processes: dict[str, _Process] = {}
 
     def take(self, text: str) -> None:
+        """Process a line."""
         line = _parse(text)
         if line is None:
             self.report.unreadable += 1
@@ -141,12 +147,13 @@
             self._judge(process, name)
 
     def close(self) -> Report:
+        """Return the report, with the requests that were still in progress."""
         for process in self._processes.values():
             self._close(process)
         return self.report
 
     def _close(self, process: _Process) -> None:
-        """Count what was under way when a process ended."""
+        """Count the requests in progress when a process ended."""
         for name, lines in process.requests.items():
             if any(line['event'] in _SENT for line in lines):
                 at = process.last - process.began
@@ -156,6 +163,7 @@
         process.requests.clear()
 
     def _judge(self, process: _Process, name: str) -> None:
+        """Count a request that ended."""
         lines = process.requests.pop(name)
         cause, seconds = _find_cause(lines)
         if cause is None:
@@ -168,6 +176,7 @@
 
 
 def _parse(text: str) -> Line | None:
+    """Return the fields of a log line, None if it is not one."""
     prefix = _PREFIX.match(text)
     try:
         line = json.loads(text[prefix.end() :] if prefix else text)
@@ -197,7 +206,7 @@
 
 
 def _find_cause(lines: list[Line]) -> tuple[Cause | None, float]:
-    """Tell why a request fell short, and by how many seconds."""
+    """Return why a request was not served in time, and its delay, in s."""
     end = lines[-1]
     if end['event'] == 'request denied':
         if end.get('status') != 503:
@@ -212,6 +221,7 @@
 
 
 def _find_refusal(lines: list[Line]) -> Cause:
+    """Return the cause from the last refusal of a request."""
     for line in reversed(lines):
         if line['event'] == 'request refused':
             return _REFUSALS.get(line.get('reason'), Cause.REFUSED)
@@ -219,6 +229,7 @@
 
 
 def _find_delay(lines: list[Line], end: Line) -> tuple[Cause | None, float]:
+    """Return the cause and the delay of a request that was answered late."""
     moved = any(line['event'] == 'run ended early' for line in lines)
     first = end.get('first_event') or end.get('seconds') or 0.0
     late = first - (end.get('target') or float('inf'))
@@ -231,7 +242,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Report:
-    """Read the logs of entries, those of each host in their order."""
+    """Read log lines of entries, those of each host in their order."""
     reader = _Reader()
     for text in lines:
         if text.strip():
--- a/packages/core/src/dunlintide_core/pipeline/waits.py
+++ b/packages/core/src/dunlintide_core/pipeline/waits.py
@@ -1,9 +1,8 @@
-"""How long a stream waits for a chain, by what is at stake for it.
+"""Queue class and maximum wait of a stream.
 
-A caller gets full value only from a first event within its target, so a
-fresh stream that can't be on time makes room for the next one. A stream that
-lost its chain midway has most of its work behind it, so it is tried as long
-as its caller stays.
+A caller gets full value only from a first event within its target, so a fresh
+stream that can't be on time makes way for the next one. An interrupted stream
+has most of its work behind it, so it waits as long as its caller stays.
 """
 
 import attrs
@@ -15,27 +14,27 @@
     'choose_wait',
 ]
 
-# Part of the target within which a stream must have found its chain to be
+# Fraction of the target within which a stream must have found its chain to be
 # on time: reading its prompt takes the rest.
 ON_TIME_FRACTION = 0.6
-# How long a stream waits that was refused before, in seconds: it can't be
-# on time any more, and its caller does not ask a third time. Callers leave
-# after two seconds without an event, and the prompt is still to be read.
+# How long a stream that was refused before waits, in seconds: it can't be on
+# time, and its caller does not retry a second time. Callers leave after two
+# seconds without an event, and the prompt must still be read.
 RETRIED_SECONDS = 1.2
-# Callers of a stream leave after a silence of so many seconds, of so many
-# times the target or of so many times the longest pause, whichever is the
-# longest; the platform's pages state all three.
+# Callers of a stream leave after the longest of this silence in seconds, this
+# multiple of the target and this multiple of the longest pause, as the
+# platform's documentation states.
 MIN_SILENCE_SECONDS = 2.0
 TARGETS_OF_SILENCE = 4.0
 PAUSES_OF_SILENCE = 8.0
-# What a stream under way waits beyond that, in seconds, so that it is never
-# cut while its caller still waits: news of the caller's leaving comes late.
+# Additional wait of a stream under way, in seconds, so that it is never ended
+# while its caller still waits: the entry notices late that a caller left.
 MARGIN_SECONDS = 0.5
 
 
 @attrs.frozen
 class QueueWait:
-    """Where in the queue a stream waits, and until when.
+    """Queue class of a stream, and how long it waits.
 
     :ivar expires: monotonic time, in seconds
     """
@@ -52,12 +51,13 @@
     under_way: bool,
     returned: bool,
 ) -> QueueWait:
-    """Tell what is at stake for a stream and until when it waits.
+    """Return the queue class of a stream and how long it waits.
 
     :param arrived: monotonic time of the request, in seconds
+    :param now: monotonic time in seconds
     :param target: time for the first event, in seconds
     :param pause: longest pause between events, in seconds
-    :param under_way: whether it ran already
+    :param under_way: whether it has run already
     :param returned: whether it was refused before
     """
     if under_way:
