--- a/packages/core/src/dunlintide_core/pipeline/availability.py
+++ b/packages/core/src/dunlintide_core/pipeline/availability.py
@@ -33,29 +33,29 @@
 
 def _get_working_probability(holders: int, working: int) -> float:
     """Return the probability that ``working`` holders are available."""
-    ways = math.comb(holders, working)
+    combinations = math.comb(holders, working)
     return (
-        ways
+        combinations
         * (1 - OUTAGE_FRACTION) ** working
         * OUTAGE_FRACTION ** (holders - working)
     )
 
 
 @functools.lru_cache(maxsize=4096)
-def tabulate_refused_shares(load: float, most: int) -> Sequence[float]:
+def tabulate_refused_shares(load: float, max_holders: int) -> Sequence[float]:
     """List the expected share of refused streams by number of holders.
 
     :param load: ratio of demand to the capacity of one holder
-    :param most: largest number of holders; the list starts at zero
+    :param max_holders: largest number of holders; the list starts at zero
     """
     by_working = [1.0]
     by_working += [
-        estimate_refused_share(load / n) for n in range(1, most + 1)
+        estimate_refused_share(load / n) for n in range(1, max_holders + 1)
     ]
     return [
         sum(
             _get_working_probability(holders, working) * by_working[working]
             for working in range(holders + 1)
         )
-        for holders in range(most + 1)
+        for holders in range(max_holders + 1)
     ]
--- a/packages/core/src/dunlintide_core/pipeline/cacheplans.py
+++ b/packages/core/src/dunlintide_core/pipeline/cacheplans.py
@@ -113,11 +113,13 @@
     first_tokens = min(
         float(cache_tokens), slots * _count_usual_tokens(profile)
     )
-    held = sum(count_layers(profile, kind, cache_tokens) for kind in kinds)
-    holds_many = held >= MIN_COPIES_FOR_FIRST * profile.layers
+    held_layers = sum(
+        count_layers(profile, kind, cache_tokens) for kind in kinds
+    )
+    holds_many = held_layers >= MIN_COPIES_FOR_FIRST * profile.layers
     return CachePlan(
         cache_tokens,
-        held / max(1, len(kinds)),
+        held_layers / max(1, len(kinds)),
         availability.tabulate_refused_shares(
             demand / cache_tokens, MAX_HOLDERS
         ),
--- a/packages/core/src/dunlintide_core/pipeline/coverage.py
+++ b/packages/core/src/dunlintide_core/pipeline/coverage.py
@@ -132,11 +132,11 @@
             for layer, cost in enumerate(self._costs)
         )
         sums = [0.0, *itertools.accumulate(gains)]
-        edges = [0.0 if count else EDGE_COST for count in self._edges]
+        edge_costs = [0.0 if count else EDGE_COST for count in self._edges]
         gains_by_start = [
             after - before - begin - end
             for before, after, begin, end in zip(
-                sums, sums[size:], edges, edges[size:]
+                sums, sums[size:], edge_costs, edge_costs[size:]
             )
         ]
         best = current
--- a/packages/core/src/dunlintide_core/pipeline/demandpeaks.py
+++ b/packages/core/src/dunlintide_core/pipeline/demandpeaks.py
@@ -26,13 +26,13 @@
     """Maximum of the tokens in flight in a failure domain.
 
     :ivar tokens: decaying maximum
-    :ivar began: monotonic time of the first stream, in seconds
-    :ivar seen: monotonic time of the last observation, in seconds
+    :ivar first_stream_at: monotonic time of the first stream, in seconds
+    :ivar observed_at: monotonic time of the last observation, in seconds
     """
 
     tokens: float
-    began: float
-    seen: float
+    first_stream_at: float
+    observed_at: float
 
 
 class DemandPeaks:
@@ -52,9 +52,9 @@
             if tokens > 0:
                 self._peaks[domain] = _Peak(tokens, now, now)
             return
-        faded = 0.5 ** ((now - peak.seen) / HALF_LIFE_SECONDS)
-        peak.tokens = max(tokens, peak.tokens * faded)
-        peak.seen = now
+        decay = 0.5 ** ((now - peak.observed_at) / HALF_LIFE_SECONDS)
+        peak.tokens = max(tokens, peak.tokens * decay)
+        peak.observed_at = now
 
     def list_peaks(self) -> Mapping[str, float]:
         """Return the rounded peaks of the domains observed for long enough."""
@@ -62,7 +62,7 @@
             domain: ROUNDING_FACTOR
             ** math.ceil(math.log(peak.tokens, ROUNDING_FACTOR))
             for domain, peak in self._peaks.items()
-            if peak.seen - peak.began >= MIN_OBSERVED_SECONDS
+            if peak.observed_at - peak.first_stream_at >= MIN_OBSERVED_SECONDS
         }
 
     def clear(self) -> None:
--- a/packages/core/src/dunlintide_core/pipeline/endpoints.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpoints.py
@@ -92,11 +92,11 @@
     :param layers: number of layers of the model
     """
     position = 0
-    seen = set()
+    used = set()
     for hop in hops:
-        held = hop.endpoint.start <= hop.start < hop.end <= hop.endpoint.end
-        if hop.start != position or not held or hop.endpoint.name in seen:
+        is_held = hop.endpoint.start <= hop.start < hop.end <= hop.endpoint.end
+        if hop.start != position or not is_held or hop.endpoint.name in used:
             return False
-        seen.add(hop.endpoint.name)
+        used.add(hop.endpoint.name)
         position = hop.end
     return position == layers
--- a/packages/core/src/dunlintide_core/pipeline/healthrecords.py
+++ b/packages/core/src/dunlintide_core/pipeline/healthrecords.py
@@ -105,36 +105,40 @@
             ) * INTERVAL_WEIGHT
         self.own_progress_at = now
 
-    def is_stalled(self, now: float, own_flow: int) -> bool:
+    def is_stalled(self, now: float, other_streams: int) -> bool:
         """Return whether streams that should make progress on it do not.
 
         Without such streams the lack of progress means nothing: in a large
         deployment an entry has no other stream on most of its endpoints.
 
-        :param own_flow: streams of this entry that run on it, except the one
-            under examination
+        :param other_streams: streams of this entry that run on it, except the
+            one under examination
         """
-        still = now - self.last_progress_at
-        if own_flow > 0:
-            return still >= self.mean_interval * STALL_INTERVALS
-        return now < self.peer_active_until and still >= PEER_STALL_SECONDS
+        silence = now - self.last_progress_at
+        if other_streams > 0:
+            return silence >= self.mean_interval * STALL_INTERVALS
+        return now < self.peer_active_until and silence >= PEER_STALL_SECONDS
 
     def record_suspicion(self, now: float) -> None:
         """Record a sign that the endpoint has failed."""
-        forgotten = now - self.suspected_at > SUSPICION_MEMORY_SECONDS
-        if forgotten or self.has_progressed_since(self.suspected_since):
+        is_expired = now - self.suspected_at > SUSPICION_MEMORY_SECONDS
+        if is_expired or self.has_progressed_since(self.suspected_since):
             self.suspected_since = now
         self.suspected_at = now
 
     def is_ejected_by_peer(self, now: float) -> bool:
         """Return whether a peer ejects it, without own progress since."""
-        heard = now < self.peer_ejected_until
-        return heard and not self.has_progressed_since(self.peer_ejected_since)
+        is_reported = now < self.peer_ejected_until
+        return is_reported and not self.has_progressed_since(
+            self.peer_ejected_since
+        )
 
     def is_ejected(self, now: float) -> bool:
         """Return whether it is avoided and nothing has refuted the reason."""
-        banned = now < self.ejected_until
-        failed = banned and not self.has_progressed_since(self.ejected_at)
+        is_in_ejection = now < self.ejected_until
+        failed = is_in_ejection and not self.has_progressed_since(
+            self.ejected_at
+        )
         return failed or self.is_ejected_by_peer(now) or self.is_refusing(now)
 
     def has_accepted_since(self, time: float) -> bool:
@@ -169,5 +173,5 @@
 
     def is_refusing_peers(self, now: float) -> bool:
         """Return whether other entries report that it keeps refusing."""
-        told = now < self.peer_refusing_until
-        return told and self.accepted_at <= self.peer_refusing_since
+        is_reported = now < self.peer_refusing_until
+        return is_reported and self.accepted_at <= self.peer_refusing_since
--- a/packages/core/src/dunlintide_core/pipeline/layout.py
+++ b/packages/core/src/dunlintide_core/pipeline/layout.py
@@ -226,9 +226,9 @@
     for name in sorted({each.endpoint.domain for each in known}):
         domain = _make_domain(profile, name, known, (), demands or {})
         held = [each for each in known if each.endpoint.domain == name]
-        opened = sum(each.endpoint.name not in movable for each in held)
+        open_orders = sum(each.endpoint.name not in movable for each in held)
         free = [each for each in held if each.endpoint.name in movable]
-        for _ in range(MAX_MOVES - opened):
+        for _ in range(MAX_MOVES - open_orders):
             move = _find_move(profile, domain, free, count_use)
             if move is None or move.net_worth < least:
                 break
@@ -257,13 +257,13 @@
     gains elsewhere.
     """
     counts = domain.coverage_state.counts
-    spare = [
+    candidates = [
         each
         for each in free
         if all(counts[layer] > 1 for layer in range(each.start, each.end))
     ]
     return max(
-        (_evaluate_move(profile, domain, each) for each in spare),
+        (_evaluate_move(profile, domain, each) for each in candidates),
         key=lambda move: (
             move.net_worth,
             -count_use(move.before.endpoint.name),
@@ -280,13 +280,15 @@
     size = cacheplans.count_layers(profile, kind, domain.plan.cache_tokens)
     cost = coverage_state.cost
     coverage_state.change(kind, before.start, before.end, -1)
-    alone = coverage_state.cost
+    cost_without = coverage_state.cost
     start, gain = coverage_state.choose_start(
         kind, size, min(before.start, profile.layers - size)
     )
     coverage_state.change(kind, before.start, before.end)
     after = Placement(before.endpoint, start, start + size)
     # Until the new layers are loaded, the engine takes no new streams.
-    away = RELEASE_SECONDS + profile.load_seconds * size / profile.layers
-    net_worth = (cost - alone + gain) * MOVE_SECONDS - (alone - cost) * away
+    downtime = RELEASE_SECONDS + profile.load_seconds * size / profile.layers
+    net_worth = (cost - cost_without + gain) * MOVE_SECONDS - (
+        cost_without - cost
+    ) * downtime
     return _Move(before, after, net_worth)
--- a/packages/core/src/dunlintide_core/pipeline/paces.py
+++ b/packages/core/src/dunlintide_core/pipeline/paces.py
@@ -71,10 +71,10 @@
         :param names: engines that may be slow
         :param now: monotonic time in seconds
         """
-        due = [name for name in names if self._is_due(name, now)]
-        for name in due:
+        due_names = [name for name in names if self._is_due(name, now)]
+        for name in due_names:
             self._asked[name] = now
-        return due
+        return due_names
 
     def _is_due(self, name: str, now: float) -> bool:
         if now - self._asked.get(name, float('-inf')) < ASK_SECONDS:
@@ -133,10 +133,10 @@
         self._asked.pop(name, None)
 
     def _expire(self, now: float) -> None:
-        old = [
+        expired = [
             name
             for name, answer in self._answers.items()
             if now - answer.received_at >= ANSWER_SECONDS
         ]
-        for name in old:
+        for name in expired:
             del self._answers[name]
--- a/packages/core/src/dunlintide_core/pipeline/permits.py
+++ b/packages/core/src/dunlintide_core/pipeline/permits.py
@@ -247,10 +247,10 @@
     def _is_taking_over(self, endpoint: str, now: float) -> bool:
         """Return whether an entry of higher precedence just became silent."""
         ranking = self._rank_entries(endpoint)
-        before = ranking[: ranking.index(self._name)]
+        predecessors = ranking[: ranking.index(self._name)]
         return any(
             self.liveness.get_silence_seconds(name, now) < TAKEOVER_SECONDS
-            for name in before
+            for name in predecessors
         )
 
     def list_paused(self, now: float) -> set[str]:
@@ -262,10 +262,11 @@
         recent = self._limits.list_recent(now)
         if not recent:
             return None
-        told = (
-            (name, seen.limit, now - seen.at) for name, seen in recent.items()
+        observed = (
+            (name, observation.limit, now - observation.at)
+            for name, observation in recent.items()
         )
-        return LimitUpdate(self._name, tuple(told))
+        return LimitUpdate(self._name, tuple(observed))
 
     def open(self, endpoint: str, now: float) -> Ticket:
         """Begin a permit request."""
@@ -419,8 +420,8 @@
         :param endpoints: names of all listed endpoints
         """
         listed = set(endpoints)
-        for key, (at, _) in list(self._replies.items()):
-            if now - at > REPLY_CACHE_SECONDS:
+        for key, (replied_at, _) in list(self._replies.items()):
+            if now - replied_at > REPLY_CACHE_SECONDS:
                 del self._replies[key]
         for name, end in list(self._paused.items()):
             if end <= now:
--- a/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
+++ b/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
@@ -131,7 +131,7 @@
 
 def _clear(by_endpoint: Iterable[_BrokenRun]) -> int:
     """Clear broken runs, and return how many were not cleared before."""
-    held = [each for each in by_endpoint if not each.cleared]
-    for each in held:
+    uncleared = [each for each in by_endpoint if not each.cleared]
+    for each in uncleared:
         each.cleared = True
-    return len(held)
+    return len(uncleared)
--- a/packages/core/src/dunlintide_core/pipeline/regions.py
+++ b/packages/core/src/dunlintide_core/pipeline/regions.py
@@ -60,12 +60,12 @@
         cls, profile: profiles.EngineProfile, engine: Endpoint
     ) -> '_Row':
         held = engine.end - engine.start
-        room = profile.get_cache_capacity(engine.kind, held)
+        capacity_tokens = profile.get_cache_capacity(engine.kind, held)
         return cls(
             engine.name,
             chaincosts.get_layer_step(profile, engine.kind),
             chaincosts.get_layer_read_ms(profile, engine.kind),
-            room * chaincosts.MEMORY_FRACTION,
+            capacity_tokens * chaincosts.MEMORY_FRACTION,
         )
 
 
--- a/packages/core/src/dunlintide_core/pipeline/shortfalls.py
+++ b/packages/core/src/dunlintide_core/pipeline/shortfalls.py
@@ -91,13 +91,13 @@
             groups[each.cause].append(each)
         rows = []
         for cause, found in groups.items():
-            moments = collections.Counter(
+            counts = collections.Counter(
                 (each.host, int(each.at)) for each in found
             )
-            (host, second), most = moments.most_common(1)[0]
+            (host, second), most = counts.most_common(1)[0]
             worst = max(each.seconds for each in found)
-            moment = f'{host} at {second} s: {most}'
-            rows.append((cause, len(found), worst, moment))
+            peak = f'{host} at {second} s: {most}'
+            rows.append((cause, len(found), worst, peak))
         return sorted(rows, key=lambda row: (-row[1], row[0]))
 
 
@@ -123,7 +123,7 @@
         self.report = Report()
         self._processes: dict[str, _Process] = {}
 
-    def take(self, text: str) -> None:
+    def add_line(self, text: str) -> None:
         """Process a line."""
         line = _parse(text)
         if line is None:
@@ -144,7 +144,7 @@
             return
         process.requests.setdefault(name, []).append(line)
         if line['event'] in ('request ended', 'request denied'):
-            self._judge(process, name)
+            self._finish_request(process, name)
 
     def close(self) -> Report:
         """Return the report, with the requests that were still in progress."""
@@ -162,7 +162,7 @@
                 )
         process.requests.clear()
 
-    def _judge(self, process: _Process, name: str) -> None:
+    def _finish_request(self, process: _Process, name: str) -> None:
         """Count a request that ended."""
         lines = process.requests.pop(name)
         cause, seconds = _find_cause(lines)
@@ -184,9 +184,9 @@
         return None
     if not isinstance(line, dict):
         return None
-    sound = isinstance(line.get('at'), (int, float))
-    sound = sound and isinstance(line.get('host'), str)
-    return line if sound and isinstance(line.get('event'), str) else None
+    is_valid = isinstance(line.get('at'), (int, float))
+    is_valid = is_valid and isinstance(line.get('host'), str)
+    return line if is_valid and isinstance(line.get('event'), str) else None
 
 
 _OUTCOMES = {
@@ -246,5 +246,5 @@
     reader = _Reader()
     for text in lines:
         if text.strip():
-            reader.take(text)
+            reader.add_line(text)
     return reader.close()
