--- a/packages/core/src/dunlintide_core/pipeline/backlog.py
+++ b/packages/core/src/dunlintide_core/pipeline/backlog.py
@@ -53,6 +53,7 @@
 
 
 def _rank(waiter: Waiter) -> tuple[int, int, int]:
+    """Return the sort key of a waiting request."""
     return (waiter.priority, waiter.queue_class, waiter.arrival)
 
 
--- a/packages/core/src/dunlintide_core/pipeline/cacheplans.py
+++ b/packages/core/src/dunlintide_core/pipeline/cacheplans.py
@@ -85,6 +85,7 @@
 
 
 def _count_usual_tokens(profile: profiles.EngineProfile) -> int:
+    """Return the tokens that a mean request takes."""
     return max(1, profile.usual_prompt + profile.usual_answer)
 
 
@@ -109,6 +110,12 @@
     cache_tokens: int,
     demand: float,
 ) -> CachePlan:
+    """Build the plan for one cache size.
+
+    :param kinds: kind of each card in the domain
+    :param cache_tokens: tokens for which each layer reserves memory
+    :param demand: tokens in flight that each layer must hold
+    """
     slots = profile.slots * chaincosts.SLOT_FRACTION
     first_tokens = min(
         float(cache_tokens), slots * _count_usual_tokens(profile)
--- a/packages/core/src/dunlintide_core/pipeline/chaincosts.py
+++ b/packages/core/src/dunlintide_core/pipeline/chaincosts.py
@@ -130,6 +130,7 @@
     tokens = demand.prompt + demand.answer
 
     def calculate(one: str, other: str) -> float:
+        """Return the cost of a handoff from one domain to another."""
         across = one != other
         cost = profile.get_transfer_ms(tokens, across)
         if across:
@@ -143,6 +144,7 @@
         return cost + demand.answer * per_token
 
     def look_up(one: str, other: str) -> float:
+        """Return the cost of a handoff, calculated once for each pair."""
         if (one, other) not in known:
             known[one, other] = calculate(one, other)
         return known[one, other]
--- a/packages/core/src/dunlintide_core/pipeline/chainsearch.py
+++ b/packages/core/src/dunlintide_core/pipeline/chainsearch.py
@@ -253,6 +253,7 @@
 
 
 def _merge_exclusions(excluded: _Exclusions, more: _Exclusions) -> _Exclusions:
+    """Return the union of two sets of exclusions."""
     merged = dict(excluded)
     for segment, holders in more.items():
         merged[segment] = merged.get(segment, _NO_ENGINES) | holders
@@ -262,6 +263,7 @@
 def _make_path(
     region: regions.Region, cost: float, parts: list[tuple[int, int, int]]
 ) -> Path:
+    """Convert hops of engine indices to a path."""
     hops = tuple(
         endpoints_module.Hop(region.engines[engine], begin, end)
         for engine, begin, end in parts
--- a/packages/core/src/dunlintide_core/pipeline/coverage.py
+++ b/packages/core/src/dunlintide_core/pipeline/coverage.py
@@ -88,6 +88,7 @@
             )
 
     def _get_speed(self, kind: str) -> float:
+        """Return a card's speed, weighted for the power mean."""
         return self._profile.accelerators[kind].step_factor ** -SPEED_POWER
 
     def _get_layer_cost(self, layer: int, count: int, speed: float) -> float:
--- a/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
@@ -47,6 +47,7 @@
         self._flagged: set[str] = set()
 
     def _get(self, name: str) -> healthrecords.HealthRecord:
+        """Return the record of an endpoint, created if there is none."""
         record = self._records.get(name)
         if record is None:
             record = self._records[name] = healthrecords.HealthRecord()
--- a/packages/core/src/dunlintide_core/pipeline/occupancy.py
+++ b/packages/core/src/dunlintide_core/pipeline/occupancy.py
@@ -134,6 +134,7 @@
             self._change(name, part, -1)
 
     def _change(self, name: str, part: Usage, sign: int) -> None:
+        """Change own usage and the sums of all entries."""
         for table in (self._own, self._sums):
             _add_usage(table, name, part, sign)
 
@@ -196,6 +197,7 @@
         self._discard_remote(entry)
 
     def _discard_remote(self, entry: str) -> None:
+        """Remove another entry's usage from the sums."""
         remote = self._remote.pop(entry, None)
         if remote is not None:
             self._replace(remote.usages, {})
--- a/packages/core/src/dunlintide_core/pipeline/paces.py
+++ b/packages/core/src/dunlintide_core/pipeline/paces.py
@@ -77,6 +77,7 @@
         return due_names
 
     def _is_due(self, name: str, now: float) -> bool:
+        """Return whether an engine was neither asked nor reported lately."""
         if now - self._asked.get(name, float('-inf')) < ASK_SECONDS:
             return False
         answer = self._answers.get(name)
@@ -133,6 +134,7 @@
         self._asked.pop(name, None)
 
     def _expire(self, now: float) -> None:
+        """Drop answers that no longer count."""
         expired = [
             name
             for name, answer in self._answers.items()
--- a/packages/core/src/dunlintide_core/pipeline/permits.py
+++ b/packages/core/src/dunlintide_core/pipeline/permits.py
@@ -331,6 +331,7 @@
         pause: float,
         now: float,
     ) -> None:
+        """Set the verdict of a ticket, and pause its endpoint if denied."""
         self._tickets.pop(ticket.number, None)
         ticket.verdict = verdict
         ticket.source = source
@@ -377,6 +378,7 @@
         return []
 
     def _receive_request(self, request: PermitRequest, now: float) -> Outgoing:
+        """Reply to a permit request of another entry."""
         if not request.endpoint:
             return [(request.sender, PermitReply(self._name, request.number))]
         key = (request.sender, request.number)
--- a/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
+++ b/packages/core/src/dunlintide_core/pipeline/poisonrequests.py
@@ -47,6 +47,7 @@
     by_endpoint: dict[str, _BrokenRun] = attrs.field(factory=dict)
 
     def count(self, now: float) -> int:
+        """Count the endpoints with a broken run that counts."""
         return sum(
             1 for each in self.by_endpoint.values() if each.is_counted(now)
         )
@@ -86,6 +87,7 @@
             by_endpoint[endpoint] = _BrokenRun(now)
 
     def _find(self, fingerprint: str) -> _RequestRuns:
+        """Return the runs of a request, and mark it as recently used."""
         runs = self._requests.setdefault(fingerprint, _RequestRuns())
         self._requests.move_to_end(fingerprint)
         if len(self._requests) > MAX_REQUESTS:
--- a/packages/core/src/dunlintide_core/pipeline/ratelimits.py
+++ b/packages/core/src/dunlintide_core/pipeline/ratelimits.py
@@ -99,6 +99,7 @@
         return self._replace(name, Observation(limit, at, is_own=False))
 
     def _replace(self, name: str, new: Observation) -> bool:
+        """Store an observation, and return whether the limit has changed."""
         before = self.get(name)
         self._known[name] = new
         return before != new.limit
--- a/packages/core/src/dunlintide_core/pipeline/refusalhistory.py
+++ b/packages/core/src/dunlintide_core/pipeline/refusalhistory.py
@@ -95,6 +95,7 @@
         return MIN_DELAY_SECONDS + OVERLOAD_DELAY_SECONDS * share
 
     def _expire(self, now: float) -> None:
+        """Drop requests and refusals older than the window."""
         while self._requests and self._requests[0] <= now - WINDOW_SECONDS:
             self._requests.popleft()
         while (
--- a/packages/core/src/dunlintide_core/pipeline/regions.py
+++ b/packages/core/src/dunlintide_core/pipeline/regions.py
@@ -59,6 +59,7 @@
     def from_engine(
         cls, profile: profiles.EngineProfile, engine: Endpoint
     ) -> '_Row':
+        """Derive the properties of an engine from its cost model."""
         held = engine.end - engine.start
         capacity_tokens = profile.get_cache_capacity(engine.kind, held)
         return cls(
@@ -322,6 +323,7 @@
 
 
 def _cut_layers(engines: Iterable[Endpoint], layers: int) -> tuple[int, ...]:
+    """Return the layers at which some range begins or ends, in order."""
     cuts = {0, layers}
     for engine in engines:
         cuts.add(engine.start)
--- a/packages/core/src/dunlintide_core/pipeline/retrybudget.py
+++ b/packages/core/src/dunlintide_core/pipeline/retrybudget.py
@@ -45,6 +45,7 @@
     )
 
     def _expire(self, now: float) -> None:
+        """Drop requests and retries older than the window."""
         for times in (self._requests, self._retries):
             while times and times[0] <= now - self.window:
                 times.popleft()
@@ -62,6 +63,7 @@
         return self._count_allowed() - len(self._retries)
 
     def _count_allowed(self) -> float:
+        """Return the number of retries allowed within the window."""
         allowed = self.ratio * len(self._requests) * RATIO_FRACTION
         return allowed + self.slack / max(1, self.entries) * SLACK_FRACTION
 
