--- a/packages/core/src/dunlintide_core/pipeline/permits.py
+++ b/packages/core/src/dunlintide_core/pipeline/permits.py
@@ -28,8 +28,8 @@
     'list_limits',
 ]
 
-# Rate of requests to an endpoint with a limit of zero, in requests per second:
-# only its answers show that the limit has ended.
+# Minimum rate of requests to an endpoint, in requests per second, even if its
+# limit is zero: only its answers show that the limit has ended.
 MIN_RATE = 0.1
 # Unused permits that are kept, as the time in seconds in which they accrue,
 # and their minimum number.
@@ -331,7 +331,7 @@
         pause: float,
         now: float,
     ) -> None:
-        """Set the verdict of a ticket, and pause its endpoint if denied."""
+        """Set the verdict of a ticket; unless granted, pause its endpoint."""
         self._tickets.pop(ticket.number, None)
         ticket.verdict = verdict
         ticket.source = source
