--- a/packages/core/src/dunlintide_core/pipeline/availability.py
+++ b/packages/core/src/dunlintide_core/pipeline/availability.py
@@ -1,50 +1,61 @@
-"""How many streams find no room, by the number of engines that hold a layer.
+"""Expected share of refused streams, by the number of holders of a layer.
 
-Any engine may be out of use for a while: it crashes, is replaced, turns slow
-or loads layers. What the others can take then decides how many streams are
-refused.
+Any engine may be unavailable for a while: it crashes, is replaced, slows down
+or loads layers. The capacity of the remaining holders of a layer then
+determines the share of streams that is refused.
 """
 
 import functools
 import math
 from typing import Sequence
 
-__all__ = ['refused_share', 'tabulate']
+__all__ = [
+    'estimate_refused_share',
+    'tabulate_refused_shares',
+]
 
-# Share of the time for which an engine is out of use.
-OUTAGE = 0.1
-# Demand against its estimate, at times of equal length. Bursts exceed it.
+# Fraction of the time for which an engine is unavailable.
+OUTAGE_FRACTION = 0.1
+# Ratios of actual to estimated demand, equally likely. Bursts exceed the
+# estimate.
 DEMAND_SPREAD = (0.7, 1.0, 1.5)
 
 
-def refused_share(load: float) -> float:
-    """Tell which share of streams finds no room.
+def estimate_refused_share(load: float) -> float:
+    """Return the expected share of streams that are refused.
 
-    :param load: estimated demand against what there is room for; infinite
-        if there is none
+    :param load: ratio of estimated demand to capacity; infinite without
+        capacity
     """
     shares = [max(0.0, 1.0 - 1.0 / (load * part)) for part in DEMAND_SPREAD]
     return sum(shares) / len(shares)
 
 
-def _outage_odds(holders: int, working: int) -> float:
-    ways = math.comb(holders, working)
-    return ways * (1 - OUTAGE) ** working * OUTAGE ** (holders - working)
+def _get_working_probability(holders: int, working: int) -> float:
+    """Return the probability that ``working`` holders are available."""
+    combinations = math.comb(holders, working)
+    return (
+        combinations
+        * (1 - OUTAGE_FRACTION) ** working
+        * OUTAGE_FRACTION ** (holders - working)
+    )
 
 
 @functools.lru_cache(maxsize=4096)
-def tabulate(load: float, most: int) -> Sequence[float]:
+def tabulate_refused_shares(load: float, max_holders: int) -> Sequence[float]:
     """List the expected share of refused streams by number of holders.
 
-    :param load: demand against what one holder has room for
-    :param most: holders up to which the list goes, from none
+    :param load: ratio of demand to the capacity of one holder
+    :param max_holders: largest number of holders; the list starts at zero
     """
     by_working = [1.0]
-    by_working += [refused_share(load / n) for n in range(1, most + 1)]
+    by_working += [
+        estimate_refused_share(load / n) for n in range(1, max_holders + 1)
+    ]
     return [
         sum(
-            _outage_odds(holders, working) * by_working[working]
+            _get_working_probability(holders, working) * by_working[working]
             for working in range(holders + 1)
         )
-        for holders in range(most + 1)
+        for holders in range(max_holders + 1)
     ]
--- a/packages/core/src/dunlintide_core/pipeline/scarcity.py
+++ b/packages/core/src/dunlintide_core/pipeline/bottlenecks.py
@@ -1,4 +1,4 @@
-"""Why no chain was found: the layers for which nobody has room."""
+"""Layers without free capacity, which explain why no chain was found."""
 
 from typing import AbstractSet, Mapping
 
@@ -11,18 +11,18 @@
 from dunlintide_core.pipeline import regions
 
 __all__ = [
-    'Scarce',
-    'find_scarce',
+    'Bottleneck',
+    'find_bottlenecks',
 ]
 
 
 @attrs.frozen
-class Scarce:
-    """Layers that no endpoint takes now.
+class Bottleneck:
+    """A range of layers that no endpoint can take.
 
     :ivar start: first layer
     :ivar end: layer behind the last one
-    :ivar holders: names of the endpoints in use that hold them
+    :ivar holders: names of the usable endpoints that hold the range
     """
 
     start: int
@@ -33,18 +33,20 @@
         return f'{self.start}-{self.end} of {len(self.holders)} holders'
 
 
-def find_scarce(
+def find_bottlenecks(
     table: chaintable.ChainTable,
     region: regions.Region,
     demand: chains.Demand,
     usages: Mapping[str, occupancy.Usage],
     unusable: AbstractSet[str] = frozenset(),
-) -> list[Scarce]:
-    """List the layers that no endpoint has room for.
-
-    :param region: endpoints of the table that are looked at
-    :returns: none if each layer has room somewhere; then first endpoints
-        lack places, or a pipe is full
+) -> list[Bottleneck]:
+    """List the ranges of layers for which no endpoint has free capacity.
+
+    :param region: endpoints of the table to examine
+    :param usages: usage of endpoints, by name
+    :param unusable: names of endpoints that get no request
+    :returns: empty if every layer has free capacity somewhere; then all first
+        endpoints lack slots, or a pipe is full
     """
     times = chaincosts.LayerTimes.from_demand(table.profile, demand)
     weights = table.engines.weigh(times, demand.tokens, usages, unusable)
@@ -55,5 +57,5 @@
             continue
         names = (region.engines[index].name for index in holders)
         usable = tuple(name for name in names if name not in unusable)
-        found.append(Scarce(start, end, usable))
+        found.append(Bottleneck(start, end, usable))
     return found
--- a/packages/core/src/dunlintide_core/pipeline/chaintable.py
+++ b/packages/core/src/dunlintide_core/pipeline/chaintable.py
@@ -1,8 +1,8 @@
 """Choice of the chain of engines that serves one request.
 
-A chain within one failure domain is taken wherever there is one, since pipes
-between domains are narrow and shared. So each domain is searched by itself,
-and all of them together only where none has room.
+A chain within one failure domain is preferred to any other, since the pipes
+between domains are narrow and shared. Each domain is therefore searched
+separately, and all of them together only if no domain has capacity.
 """
 
 import functools
@@ -27,20 +27,20 @@
 
 @attrs.frozen(eq=False)
 class ChainTable:
-    """Engines of a service, prepared for choices of chains.
+    """Engines of a service, prepared for choosing chains.
 
-    :ivar profile: their cost model
+    :ivar profile: cost model of the engines
     :ivar engines: the engines that hold layers
     :ivar domains: engines of each failure domain that holds all layers
-    :ivar floors: least times of chains within these domains
-    :ivar everywhere: engines of all domains
+    :ivar min_times: lower bounds on the time of chains within these domains
+    :ivar all_domains: engines of all failure domains
     """
 
     profile: profiles.EngineProfile
     engines: regions.EngineSet
     domains: Mapping[str, regions.Region]
-    floors: Mapping[str, regions.Floor]
-    everywhere: regions.Region
+    min_times: Mapping[str, regions.MinTimes]
+    all_domains: regions.Region
 
     @classmethod
     def from_engines(
@@ -50,7 +50,7 @@
     ) -> 'ChainTable':
         """Prepare the engines of a listing.
 
-        :param engines: those that are listed and do not leave
+        :param engines: engines that are listed and not draining
         """
         chosen = regions.EngineSet.from_engines(profile, engines)
         names = sorted({each.domain for each in chosen.engines})
@@ -58,15 +58,17 @@
             regions.Region.from_domains, chosen.engines, layers=profile.layers
         )
         built = {name: make([name]) for name in names}
-        whole = {name: each for name, each in built.items() if each.is_whole}
-        floors = {
-            name: chosen.find_floor(each.list_layer_holders())
-            for name, each in whole.items()
+        complete = {
+            name: each for name, each in built.items() if each.is_complete
         }
-        return cls(profile, chosen, whole, floors, make(names))
+        min_times = {
+            name: chosen.find_min_times(each.list_layer_holders())
+            for name, each in complete.items()
+        }
+        return cls(profile, chosen, complete, min_times, make(names))
 
     def make_region(self, domain: str) -> regions.Region:
-        """Prepare the engines of one domain, whole or not."""
+        """Prepare the engines of one domain, even if it lacks layers."""
         return regions.Region.from_domains(
             self.engines.engines, [domain], self.profile.layers
         )
@@ -79,66 +81,66 @@
         avoids_pipes: bool = True,
         paces: Mapping[str, float] = types.MappingProxyType({}),
     ) -> chains.Hops | None:
-        """Find the chain with the least expected time, None without room.
+        """Return the chain with the least expected time, None if all are full.
 
-        :param usages: use of engines and of pipes, by name
+        :param usages: usage of engines and of pipes, by name
         :param unusable: names of engines that get no request now
-        :param avoids_pipes: whether a chain crosses a pipe only where no
-            other has room
-        :param paces: time of work against the published one, of engines
-            that are slow, by name
+        :param avoids_pipes: whether a chain crosses a pipe only where no other
+            has capacity
+        :param paces: measured time of work as a multiple of the published one,
+            of slow engines, by name
         """
         times = chaincosts.LayerTimes.from_demand(self.profile, demand)
-        crossing = chaincosts.make_crossing(
+        crossing = chaincosts.make_handoff_cost(
             self.profile, demand, usages, avoids_pipes
         )
 
-        weights = self.engines.begin_weights(usages)
-        weighed: set[int] = set()
+        weights = self.engines.make_unusable_weights(usages)
+        weighed_engines: set[int] = set()
 
         def find(
-            region: regions.Region, least: float = math.inf
+            region: regions.Region, max_cost: float = math.inf
         ) -> chainsearch.Path | None:
-            members = region.members.difference(weighed)
-            weighed.update(members)
+            members = region.members.difference(weighed_engines)
+            weighed_engines.update(members)
             self.engines.weigh_members(
                 weights, members, times, demand.tokens, usages, unusable
             )
-            self.engines.slow_down(weights, members, paces)
+            self.engines.apply_paces(weights, members, paces)
             return chainsearch.find_path(
-                region, weights, crossing, demand.domain, least
+                region, weights, crossing, demand.domain, max_cost
             )
 
         best = None
         if avoids_pipes:
-            best = self._find_within(demand.domain, times, find)
-        if best is None and self.everywhere.is_whole:
-            best = find(self.everywhere)
+            best = self._find_within_domain(demand.domain, times, find)
+        if best is None and self.all_domains.is_complete:
+            best = find(self.all_domains)
         return best.hops if best else None
 
-    def _find_within(
+    def _find_within_domain(
         self,
         domain: str,
         times: chaincosts.LayerTimes,
         find: Callable[..., chainsearch.Path | None],
     ) -> chainsearch.Path | None:
-        """Find the best chain that stays within a failure domain.
+        """Return the best chain that stays within one failure domain.
 
-        :param domain: that of the caller
-        :param find: takes a region and the cost from which on a chain is of
-            no use
+        :param domain: failure domain of the caller
+        :param find: takes a region and the cost from which on a chain is
+            discarded
         """
         own = self.domains.get(domain)
         best = find(own) if own else None
-        least = math.inf
+        max_cost = math.inf
         if best is not None:
-            least = best.cost / chaincosts.OTHER_DOMAIN_FACTOR
+            max_cost = best.cost / chaincosts.OTHER_DOMAIN_FACTOR
         for name, region in self.domains.items():
-            # Engines of a domain that could not do better if they were idle
-            # are not looked at.
-            if region is own or self.floors[name].bound(times) >= least:
+            # A domain is skipped if even its idle engines would be slower
+            # than the best chain so far.
+            if region is own or self.min_times[name].bound(times) >= max_cost:
                 continue
-            found = find(region, least)
+            found = find(region, max_cost)
             if found is not None:
-                best, least = found, found.cost
+                best, max_cost = found, found.cost
         return best
--- a/packages/core/src/dunlintide_core/pipeline/coverage.py
+++ b/packages/core/src/dunlintide_core/pipeline/coverage.py
@@ -1,33 +1,33 @@
-"""Which engines of one failure domain hold each layer, and what that costs.
+"""Engines of one failure domain that hold each layer, and the cost of gaps.
 
-The cost falls with every engine that holds a layer, most with the first ones
-and with fast cards, so a range is best where its layers gain most.
+The cost of a layer falls with every engine that holds it, most with the first
+ones and with fast cards. A range is therefore best where its layers gain most.
 """
 
 import itertools
 from typing import Sequence
 
+from dunlintide_core.pipeline import cacheplans
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import rooms
 
 __all__ = ['Coverage']
 
-# Share of streams under way that lose their chain or their entry in a second,
-# so that shorter chains count beside engines to spare.
+# Fraction of the streams in flight that lose their chain or their entry in a
+# second. It weighs shorter chains against spare engines.
 LOSS_RATE = 0.1
-# Power at which the speeds of a layer's holders add up: the fastest one takes
-# most of the streams.
+# Power mean by which the speeds of a layer's holders are combined: the fastest
+# one takes most of the streams.
 SPEED_POWER = 4.0
-# Cost of a layer that no engine of any failure domain holds, against one that
-# only this domain lacks: no stream is served at all.
-NOWHERE_COST = 10.0
+# Extra cost of a layer that no engine of any failure domain holds, relative to
+# one that only this domain lacks: no stream is served at all.
+UNHELD_COST = 10.0
 # Cost of each first endpoint that a failure domain lacks.
-FIRST_COST = 0.2
-# Cost of an edge at which no other range begins or ends. Where ranges join,
-# chains have fewer parts and are found sooner.
+MISSING_FIRST_COST = 0.2
+# Cost of a range boundary at which no other range begins or ends. Where ranges
+# join, chains have fewer hops and are found sooner.
 EDGE_COST = 0.005
-# Least gain for which a range is preferred to one that begins sooner.
-_LEAST_GAIN = 1e-9
+# Minimum gain by which a range is preferred to one that begins sooner.
+_MIN_GAIN = 1e-9
 
 
 class Coverage:
@@ -36,27 +36,30 @@
     def __init__(
         self,
         profile: profiles.EngineProfile,
-        plan: rooms.RoomPlan,
+        plan: cacheplans.CachePlan,
         elsewhere: Sequence[int],
     ) -> None:
-        """Begin without holders.
+        """Start without holders.
 
-        :param plan: room of the domain's cards and what holders are worth
+        :param plan: cache plan of the domain's cards, with the value of
+            holders
         :param elsewhere: holders in other failure domains, by layer
         """
         self._profile = profile
         self._plan = plan
         self._elsewhere = elsewhere
-        self._most = len(plan.refused) - 1
+        self._max_holders = len(plan.refused_shares) - 1
         step = profile.usual_answer * profile.step_ms / 1000.0
         self._time_cost = LOSS_RATE * step / profile.layers
         self._counts = [0] * profile.layers
         self._speeds = [0.0] * profile.layers
-        # Ranges that begin or end before a layer; the model's ends are free.
+        # Number of range boundaries before each layer; those at the model's
+        # ends cost nothing.
         self._edges = [0] * (profile.layers + 1)
         self._edges[0] = self._edges[-1] = 1
         self._costs = [
-            self._measure(layer, 0, 0.0) for layer in range(profile.layers)
+            self._get_layer_cost(layer, 0, 0.0)
+            for layer in range(profile.layers)
         ]
 
     @property
@@ -66,67 +69,79 @@
 
     @property
     def cost(self) -> float:
-        """What the domain's streams lose, as a share of them."""
+        """Expected loss of the domain's streams, as a share of them."""
         return sum(self._costs)
 
     def change(self, kind: str, start: int, end: int, sign: int = 1) -> None:
-        """Add a holder of a range, or take it off with -1."""
-        speed = sign * self._weigh_speed(kind)
+        """Add a holder of a range, or remove it.
+
+        :param sign: 1 to add, -1 to remove
+        """
+        speed = sign * self._get_speed(kind)
         self._edges[start] += sign
         self._edges[end] += sign
         for layer in range(start, end):
             self._counts[layer] += sign
             self._speeds[layer] += speed
-            self._costs[layer] = self._measure(
+            self._costs[layer] = self._get_layer_cost(
                 layer, self._counts[layer], self._speeds[layer]
             )
 
-    def _weigh_speed(self, kind: str) -> float:
+    def _get_speed(self, kind: str) -> float:
+        """Return a card's speed, weighted for the power mean."""
         return self._profile.accelerators[kind].step_factor ** -SPEED_POWER
 
-    def _measure(self, layer: int, count: int, speed: float) -> float:
-        """Tell what a layer costs with so many holders.
+    def _get_layer_cost(self, layer: int, count: int, speed: float) -> float:
+        """Return the cost of a layer for a number of holders.
 
-        :param speed: sum of their weighed speeds
+        :param speed: sum of their weighted speeds
         """
         plan = self._plan
-        count = min(max(0, count), self._most)
+        count = min(max(0, count), self._max_holders)
         if count:
-            # The layers of a part of a chain are lost together.
-            cost = plan.refused[count] / plan.part
+            # A lost engine takes all layers of its hop with it, so the
+            # refused share is spread over them.
+            cost = plan.refused_shares[count] / plan.mean_layers
             cost += self._time_cost * speed ** (-1.0 / SPEED_POWER)
         else:
-            cost = 1.0 if self._elsewhere[layer] else 1.0 + NOWHERE_COST
+            cost = 1.0 if self._elsewhere[layer] else 1.0 + UNHELD_COST
         if not layer:
-            cost += plan.refused_first[count]
-            cost += FIRST_COST * max(0, plan.least_first - count)
+            cost += plan.first_refused_shares[count]
+            cost += MISSING_FIRST_COST * max(
+                0, plan.min_first_endpoints - count
+            )
         return cost
 
     def choose_start(
         self, kind: str, size: int, current: int = 0
     ) -> tuple[int, float]:
-        """Find the range at which one more engine is worth most.
+        """Find the range at which one more engine gains most.
 
-        :param size: layers that it is to hold
-        :param current: start that is kept unless another is better
-        :returns: its first layer, and what it is worth
+        :param size: number of layers that the engine is to hold
+        :param current: start that is kept unless another one is better
+        :returns: first layer of the range and its gain
         """
-        speed = self._weigh_speed(kind)
-        counts, speeds, measure = self._counts, self._speeds, self._measure
+        speed = self._get_speed(kind)
+        counts, speeds, get_layer_cost = (
+            self._counts,
+            self._speeds,
+            self._get_layer_cost,
+        )
         gains = (
-            cost - measure(layer, counts[layer] + 1, speeds[layer] + speed)
+            cost
+            - get_layer_cost(layer, counts[layer] + 1, speeds[layer] + speed)
             for layer, cost in enumerate(self._costs)
         )
         sums = [0.0, *itertools.accumulate(gains)]
-        edges = [0.0 if count else EDGE_COST for count in self._edges]
-        worth = [
+        edge_costs = [0.0 if count else EDGE_COST for count in self._edges]
+        gains_by_start = [
             after - before - begin - end
             for before, after, begin, end in zip(
-                sums, sums[size:], edges, edges[size:]
+                sums, sums[size:], edge_costs, edge_costs[size:]
             )
         ]
         best = current
-        for start, gain in enumerate(worth):
-            if gain > worth[best] + _LEAST_GAIN:
+        for start, gain in enumerate(gains_by_start):
+            if gain > gains_by_start[best] + _MIN_GAIN:
                 best = start
-        return best, worth[best]
+        return best, gains_by_start[best]
--- a/packages/core/src/dunlintide_core/pipeline/layout.py
+++ b/packages/core/src/dunlintide_core/pipeline/layout.py
@@ -1,19 +1,19 @@
-"""Which layers each engine is to hold.
+"""Assignment of layers to engines.
 
-Each failure domain holds the model by itself where its memory allows, since
-a chain that stays in one domain neither shares a pipe nor dies with another
-domain. Engines are placed one after the other where their layers gain most,
-then moved as long as that serves more streams.
+Each failure domain holds the complete model by itself if its memory allows,
+since a chain within one domain neither uses a shared pipe nor fails with
+another domain. Engines are placed one after the other where their layers gain
+most, then moved as long as that serves more streams.
 """
 
 from typing import Callable, Container, Iterable, Mapping, Sequence
 
 import attrs
 
+from dunlintide_core.pipeline import cacheplans
 from dunlintide_core.pipeline import coverage
 from dunlintide_core.pipeline import endpoints as endpoints_module
 from dunlintide_core.pipeline import profiles
-from dunlintide_core.pipeline import rooms
 
 __all__ = [
     'Placement',
@@ -21,22 +21,23 @@
     'plan_new',
 ]
 
-# Moves at a time in a failure domain: each takes its engine out for the time
-# of a load, and loads slow each other down.
+# Concurrent moves in a failure domain: each takes its engine out of use while
+# layers load, and loads slow each other down.
 MAX_MOVES = 2
-# Time over which a move must be worth more than the load that it takes, in
-# seconds: engines come and go, so a layout is not kept for much longer.
+# Time over which the gain of a move is weighed against its load, in seconds:
+# engines come and go, so a layout does not last much longer.
 MOVE_SECONDS = 10.0
-# Least worth of a move, in seconds of a domain's streams, so that weights
+# Minimum worth of a move, in seconds of a domain's streams, so that weights
 # are not loaded for a layout that is hardly better.
-LEAST_WORTH = 0.1
-# Least worth while engines come and go, when one that returns may soon hold
-# what is scarce: that of a layer that nobody holds.
-GAP_WORTH = 5.0
-# Time for which streams go on to use the layers that an engine gives up, in
-# seconds; new ones are loaded after it.
+MIN_WORTH_SECONDS = 0.1
+# Minimum worth of a move while engines come and go, in the same unit: that of
+# a layer without any holder, as an engine that returns may soon hold any
+# scarce layer.
+MIN_UNSTABLE_WORTH_SECONDS = 5.0
+# Time for which streams still use the layers that an engine gives up, in
+# seconds; new layers load after it.
 RELEASE_SECONDS = 2.0
-# Rounds in which engines are placed again.
+# Maximum number of rounds in which engines are repositioned.
 MAX_ROUNDS = 6
 
 
@@ -58,12 +59,12 @@
 class _Domain:
     """A failure domain whose engines are placed.
 
-    :ivar plan: room of its cards
-    :ivar cover: holders of its layers
+    :ivar plan: cache plan of its cards
+    :ivar coverage_state: holders of its layers
     """
 
-    plan: rooms.RoomPlan
-    cover: coverage.Coverage
+    plan: cacheplans.CachePlan
+    coverage_state: coverage.Coverage
 
 
 def _count_elsewhere(
@@ -71,6 +72,7 @@
     holding: Iterable[Placement],
     domain: str,
 ) -> list[int]:
+    """Count the holders of each layer in other failure domains."""
     counts = [0] * profile.layers
     for each in holding:
         if each.endpoint.domain != domain:
@@ -86,24 +88,24 @@
     empty: Iterable[endpoints_module.Endpoint],
     demands: Mapping[str, float],
 ) -> _Domain:
-    """Prepare a failure domain with what its engines hold.
+    """Build a failure domain from the ranges that its engines hold.
 
     :param holding: ranges in all failure domains
     :param empty: its engines without layers
-    :param demands: tokens in flight by domain, where they are known
+    :param demands: tokens in flight by domain, where known
     """
     own = [each for each in holding if each.endpoint.domain == name]
     kinds = [each.endpoint.kind for each in own]
     kinds += [each.kind for each in empty]
     # A domain also takes the streams of others that lose their chains.
-    estimate = rooms.estimate_demand(profile, kinds)
+    estimate = cacheplans.estimate_demand(profile, kinds)
     demand = max(estimate, demands.get(name, 0.0))
-    plan = rooms.plan_room(profile, kinds, demand)
+    plan = cacheplans.plan_cache(profile, kinds, demand)
     elsewhere = _count_elsewhere(profile, holding, name)
-    cover = coverage.Coverage(profile, plan, elsewhere)
+    coverage_state = coverage.Coverage(profile, plan, elsewhere)
     for each in own:
-        cover.change(each.endpoint.kind, each.start, each.end)
-    return _Domain(plan, cover)
+        coverage_state.change(each.endpoint.kind, each.start, each.end)
+    return _Domain(plan, coverage_state)
 
 
 def plan_new(
@@ -112,11 +114,11 @@
     empty: Iterable[endpoints_module.Endpoint],
     demands: Mapping[str, float] | None = None,
 ) -> list[Placement]:
-    """Give each empty engine a range.
+    """Assign a range to each engine without layers.
 
     :param holding: ranges that are held or ordered already
-    :param empty: engines without layers; large cards choose first
-    :param demands: tokens in flight by failure domain, as far as known
+    :param empty: engines without layers; large cards are placed first
+    :param demands: tokens in flight by failure domain, where known
     """
     known = [
         each
@@ -129,41 +131,46 @@
         new = [each for each in usable if each.domain == name]
         held = [*known, *placements]
         domain = _make_domain(profile, name, held, new, demands or {})
-        placements += _place(profile, domain, new)
+        placements += _place_new(profile, domain, new)
     return placements
 
 
-def _place(
+def _place_new(
     profile: profiles.EngineProfile,
     domain: _Domain,
     empty: Iterable[endpoints_module.Endpoint],
 ) -> list[Placement]:
     """Place the empty engines of a failure domain, then improve on it."""
-    cover = domain.cover
+    coverage_state = domain.coverage_state
     placed = []
     for engine in sorted(empty, key=_make_order(profile)):
-        size = rooms.count_layers(profile, engine.kind, domain.plan.room)
-        start, _ = cover.choose_start(engine.kind, size)
-        cover.change(engine.kind, start, start + size)
+        size = cacheplans.count_layers(
+            profile, engine.kind, domain.plan.cache_tokens
+        )
+        start, _ = coverage_state.choose_start(engine.kind, size)
+        coverage_state.change(engine.kind, start, start + size)
         placed.append(Placement(engine, start, start + size))
     for _ in range(MAX_ROUNDS):
-        again = [_place_again(cover, each) for each in placed]
+        again = [_reposition(coverage_state, each) for each in placed]
         if again == placed:
             break
         placed = again
     return placed
 
 
-def _place_again(cover: coverage.Coverage, placed: Placement) -> Placement:
-    """Move an engine to where it is worth most beside all others."""
+def _reposition(
+    coverage_state: coverage.Coverage, placed: Placement
+) -> Placement:
+    """Move an engine to where it gains most beside all others."""
     kind = placed.endpoint.kind
-    cover.change(kind, placed.start, placed.end, -1)
-    start, _ = cover.choose_start(kind, placed.size, placed.start)
-    cover.change(kind, start, start + placed.size)
+    coverage_state.change(kind, placed.start, placed.end, -1)
+    start, _ = coverage_state.choose_start(kind, placed.size, placed.start)
+    coverage_state.change(kind, start, start + placed.size)
     return Placement(placed.endpoint, start, start + placed.size)
 
 
 def _make_order(profile: profiles.EngineProfile):
+    """Return a sort key that puts large and fast cards first."""
     kinds: Mapping[str, profiles.Accelerator] = profile.accelerators
 
     def order(engine: endpoints_module.Endpoint) -> tuple[float, float, str]:
@@ -175,11 +182,15 @@
 
 @attrs.frozen
 class _Move:
-    """A move and what it is worth, less the load that it takes."""
+    """A move of an engine.
+
+    :ivar net_worth: gain of the move minus the cost of its load, in seconds of
+        the domain's streams
+    """
 
     before: Placement
     after: Placement
-    worth: float
+    net_worth: float
 
 
 def plan_moves(
@@ -188,43 +199,47 @@
     movable: Container[str],
     count_use: Callable[[str], float],
     demands: Mapping[str, float] | None = None,
-    steady: bool = True,
+    is_stable: bool = True,
 ) -> list[Placement]:
     """Move engines to layers that their failure domain lacks.
 
-    Where engines are replaced one after the other, a new one comes before
-    its old one leaves, and is given layers that are scarce then. When the old
-    one leaves, its own are scarce or held by nobody, and all chains of the
-    domain would cross pipes until something changes.
+    If engines are replaced one after the other, a new one starts before the
+    old one leaves, and gets layers that are scarce at that time. Once the old
+    one leaves, its own layers are scarce or without a holder, and all chains
+    of the domain would cross pipes until the layout changes.
 
     :param holding: ranges that are held or ordered
     :param movable: names of engines without an open order
-    :param count_use: requests in flight at an engine, by name; of equal
-        moves the least used engine moves
-    :param demands: tokens in flight by failure domain, as far as known
-    :param steady: whether no engine came or went for a while; otherwise only
-        layers that nobody holds are filled
+    :param count_use: returns the requests in flight on an engine, by name;
+        among equal moves the least used engine moves
+    :param demands: tokens in flight by failure domain, where known
+    :param is_stable: whether no engine came or went for a while; otherwise
+        only layers without a holder are filled
     """
     known = [
         each
         for each in holding
         if each.endpoint.kind in profile.accelerators and each.size > 0
     ]
-    least = LEAST_WORTH if steady else GAP_WORTH
+    least = MIN_WORTH_SECONDS if is_stable else MIN_UNSTABLE_WORTH_SECONDS
     moves: list[Placement] = []
     for name in sorted({each.endpoint.domain for each in known}):
         domain = _make_domain(profile, name, known, (), demands or {})
         held = [each for each in known if each.endpoint.domain == name]
-        opened = sum(each.endpoint.name not in movable for each in held)
+        open_orders = sum(each.endpoint.name not in movable for each in held)
         free = [each for each in held if each.endpoint.name in movable]
-        for _ in range(MAX_MOVES - opened):
+        for _ in range(MAX_MOVES - open_orders):
             move = _find_move(profile, domain, free, count_use)
-            if move is None or move.worth < least:
+            if move is None or move.net_worth < least:
                 break
             free.remove(move.before)
             kind = move.before.endpoint.kind
-            domain.cover.change(kind, move.before.start, move.before.end, -1)
-            domain.cover.change(kind, move.after.start, move.after.end)
+            domain.coverage_state.change(
+                kind, move.before.start, move.before.end, -1
+            )
+            domain.coverage_state.change(
+                kind, move.after.start, move.after.end
+            )
             moves.append(move.after)
     return moves
 
@@ -235,41 +250,45 @@
     free: Iterable[Placement],
     count_use: Callable[[str], float],
 ) -> _Move | None:
-    """Find the move that is worth most, None if there is nothing to move.
+    """Return the move with the highest net worth, None if there is none.
 
-    An engine that alone holds a layer stays: its domain would have no whole
-    chain until another holds it, however much the move gives elsewhere.
+    An engine that is the only holder of a layer stays: its domain would have
+    no complete chain until another engine holds the layer, whatever the move
+    gains elsewhere.
     """
-    counts = domain.cover.counts
-    spare = [
+    counts = domain.coverage_state.counts
+    candidates = [
         each
         for each in free
         if all(counts[layer] > 1 for layer in range(each.start, each.end))
     ]
     return max(
-        (_weigh_move(profile, domain, each) for each in spare),
+        (_evaluate_move(profile, domain, each) for each in candidates),
         key=lambda move: (
-            move.worth,
+            move.net_worth,
             -count_use(move.before.endpoint.name),
         ),
         default=None,
     )
 
 
-def _weigh_move(
+def _evaluate_move(
     profile: profiles.EngineProfile, domain: _Domain, before: Placement
 ) -> _Move:
-    cover, kind = domain.cover, before.endpoint.kind
-    size = rooms.count_layers(profile, kind, domain.plan.room)
-    cost = cover.cost
-    cover.change(kind, before.start, before.end, -1)
-    alone = cover.cost
-    start, gain = cover.choose_start(
+    """Find the best new range of an engine and the net worth of the move."""
+    coverage_state, kind = domain.coverage_state, before.endpoint.kind
+    size = cacheplans.count_layers(profile, kind, domain.plan.cache_tokens)
+    cost = coverage_state.cost
+    coverage_state.change(kind, before.start, before.end, -1)
+    cost_without = coverage_state.cost
+    start, gain = coverage_state.choose_start(
         kind, size, min(before.start, profile.layers - size)
     )
-    cover.change(kind, before.start, before.end)
+    coverage_state.change(kind, before.start, before.end)
     after = Placement(before.endpoint, start, start + size)
     # Until the new layers are loaded, the engine takes no new streams.
-    away = RELEASE_SECONDS + profile.load_seconds * size / profile.layers
-    worth = (cost - alone + gain) * MOVE_SECONDS - (alone - cost) * away
-    return _Move(before, after, worth)
+    downtime = RELEASE_SECONDS + profile.load_seconds * size / profile.layers
+    net_worth = (cost - cost_without + gain) * MOVE_SECONDS - (
+        cost_without - cost
+    ) * downtime
+    return _Move(before, after, net_worth)
--- a/packages/core/src/dunlintide_core/pipeline/permits.py
+++ b/packages/core/src/dunlintide_core/pipeline/permits.py
@@ -1,11 +1,11 @@
 """Permits for requests to endpoints that name a rate limit.
 
-For each limited endpoint one entry coordinates: the others ask it for a
-permit before each request. So the sum of all entries keeps the limit however
-the load is spread over them, and none of it is lost in unused shares. The
-coordinator is the entry with the highest hash of its name and the endpoint's
-among those that answer. Nothing here sends or waits: callers carry the
-messages and keep the time.
+For each limited endpoint one entry is the coordinator: the others request a
+permit from it before each request. The sum over all entries thus keeps the
+limit however the load is spread, and no part of it is lost in unused shares.
+The coordinator is the entry with the lowest hash of its name and the
+endpoint's among the responsive ones. This module neither sends nor waits:
+callers carry the messages and keep the time.
 """
 
 import enum
@@ -19,42 +19,48 @@
 from dunlintide_core.pipeline import ratelimits
 
 __all__ = [
-    'Answer',
-    'Ask',
-    'News',
+    'LimitUpdate',
+    'PermitReply',
+    'PermitRequest',
     'Permits',
     'Ticket',
     'Verdict',
     'list_limits',
 ]
 
-# Rate at which an endpoint that takes nothing is asked, in requests a second:
-# only its answers tell that the limit has ended.
-LEAST_RATE = 0.1
-# Unused permits that are kept, as the time in seconds in which they come up,
-# and in any case.
+# Minimum rate of requests to an endpoint, in requests per second, even if its
+# limit is zero: only its answers show that the limit has ended.
+MIN_RATE = 0.1
+# Unused permits that are kept, as the time in seconds in which they accrue,
+# and their minimum number.
 BURST_SECONDS = 0.4
-LEAST_BURST = 2.0
-# Part of the limit that is granted in place of an entry that fell silent
-# only so many seconds ago: that one may still grant the whole of it.
-STAND_IN_PART = 0.5
-STAND_IN_SECONDS = 2.0
-# Pause of an entry before it asks again for an endpoint that has no permit
-# left, in seconds, and its spread, so that entries do not ask together.
+MIN_BURST = 2.0
+# Fraction of the limit that is granted in place of a coordinator that became
+# silent less than TAKEOVER_SECONDS ago: it may still grant the full limit.
+TAKEOVER_FRACTION = 0.5
+TAKEOVER_SECONDS = 2.0
+# Bounds of the pause of an entry before it requests another permit for an
+# endpoint that has none left, in seconds, and its random spread, so that
+# entries do not ask at the same time.
 PAUSE_SECONDS = (0.02, 0.3)
 PAUSE_SPREAD = (1.0, 1.5)
-# The same where the asked entry does not coordinate, or none answered.
-ELSEWHERE_SECONDS = 0.1
-# Pauses between the messages of one ask, in seconds; the last one repeats.
+# The same if the asked entry is not the coordinator, or no entry replied.
+REDIRECT_PAUSE_SECONDS = 0.1
+# Intervals between the messages of one permit request, in seconds; the last
+# one repeats.
 RETRY_SECONDS = (0.03, 0.05, 0.07)
-# Longest time for an answer, in seconds.
-PATIENCE_SECONDS = 0.6
-# How long an answer is kept for repeated messages of the same ask, in seconds.
-ANSWERED_SECONDS = 1.0
+# Time after which a permit request without a reply is denied, in seconds.
+REPLY_TIMEOUT_SECONDS = 0.6
+# How long a reply is kept for repeated messages of the same permit request, in
+# seconds.
+REPLY_CACHE_SECONDS = 1.0
 
 
 class Verdict(enum.StrEnum):
-    """What became of an ask; ELSEWHERE if another entry coordinates."""
+    """Result of a permit request.
+
+    :cvar ELSEWHERE: another entry is the coordinator
+    """
 
     GRANTED = 'granted'
     DENIED = 'denied'
@@ -62,12 +68,12 @@
 
 
 @attrs.frozen
-class Ask:
-    """An entry asks for one permit, or, without an endpoint, for an answer.
+class PermitRequest:
+    """Request for one permit or, without an endpoint, for a sign of life.
 
-    :ivar number: names the ask for its sender
-    :ivar limit: requests a second by what the sender knows
-    :ivar age: of its knowledge, in seconds
+    :ivar number: identifies the request at its sender
+    :ivar limit: requests per second, as the sender knows the limit
+    :ivar age: age of the sender's observation, in seconds
     """
 
     sender: str
@@ -78,12 +84,12 @@
 
 
 @attrs.frozen
-class Answer:
-    """What the asked entry answers.
+class PermitReply:
+    """Reply to a permit request.
 
-    :ivar pause: seconds before the next ask, unless granted
-    :ivar limit: requests a second by what the sender knows
-    :ivar age: of its knowledge, in seconds
+    :ivar pause: seconds before the next request, unless granted
+    :ivar limit: requests per second, as the sender knows the limit
+    :ivar age: age of the sender's observation, in seconds
     """
 
     sender: str
@@ -96,10 +102,10 @@
 
 
 @attrs.frozen
-class News:
+class LimitUpdate:
     """Limits that an entry observed itself.
 
-    :ivar limits: endpoint, requests a second, None for no limit any more,
+    :ivar limits: endpoint, requests per second or None if the limit has ended,
         and the age of the observation in seconds
     """
 
@@ -107,14 +113,14 @@
     limits: tuple[tuple[str, float | None, float], ...]
 
 
-Message = Ask | Answer | News
+Message = PermitRequest | PermitReply | LimitUpdate
 # Receiver and message.
-Sends = list[tuple[str, Message]]
+Outgoing = list[tuple[str, Message]]
 
 
 def list_limits(message: Message) -> Sequence[tuple[str, float | None, float]]:
-    """List what a message tells of limits: endpoint, limit and age."""
-    if isinstance(message, News):
+    """List the limits in a message, as endpoint, limit and age."""
+    if isinstance(message, LimitUpdate):
         return message.limits
     if not message.endpoint:
         return ()
@@ -123,13 +129,14 @@
 
 @attrs.define(eq=False)
 class Ticket:
-    """An ask that is under way.
+    """A permit request in progress.
 
     :ivar began: monotonic time in seconds
-    :ivar due: when :meth:`Permits.advance` is to be called again
+    :ivar due: monotonic time at which to call :meth:`Permits.advance` again
+    :ivar tries: messages sent
     :ivar verdict: None while it is open
     :ivar source: entry that decided, empty if none did
-    :ivar pause: how long the endpoint gets nothing from here, in seconds
+    :ivar pause: how long this entry sends the endpoint nothing, in seconds
     """
 
     number: int
@@ -149,7 +156,7 @@
 
 @attrs.define
 class _Bucket:
-    """Permits of an endpoint that are left; a new one has none.
+    """Token bucket with the permits of an endpoint; it starts empty.
 
     An entry that takes over does not know what was granted before.
     """
@@ -159,17 +166,17 @@
     tokens: float = 0.0
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what came up at the former rate, and set the new one."""
+        """Add the permits accrued at the previous rate, and set a new rate."""
         self.tokens += (now - self.updated) * self.rate
         self.updated = now
         self.rate = rate
-        most = max(LEAST_BURST, self.rate * BURST_SECONDS)
+        most = max(MIN_BURST, self.rate * BURST_SECONDS)
         self.tokens = min(self.tokens, most)
 
     def take(self) -> float:
         """Take a permit.
 
-        :returns: 0, or the seconds until there is one
+        :returns: 0, or the seconds until a permit is available
         """
         if self.tokens >= 1.0:
             self.tokens -= 1.0
@@ -177,15 +184,16 @@
         return (1.0 - self.tokens) / self.rate
 
 
-def _rank(endpoint: str, entry: str) -> bytes:
+def _score_entry(endpoint: str, entry: str) -> bytes:
+    """Return the hash by which entries are ranked for an endpoint."""
     text = f'{endpoint}\0{entry}'.encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
 class Permits:
-    """Permits that one entry asks for and grants.
+    """Permits that one entry requests and grants.
 
-    :ivar liveness: which other entries answer
+    :ivar liveness: responsiveness of other entries
     """
 
     def __init__(
@@ -198,79 +206,80 @@
         self._limits = limits
         self._random = random
         self._members = {name}
-        self._orders: dict[str, list[str]] = {}
+        self._rankings: dict[str, list[str]] = {}
         self.liveness = liveness.Liveness()
         self._buckets: dict[str, _Bucket] = {}
         self._tickets: dict[int, Ticket] = {}
         self._paused: dict[str, float] = {}
-        self._answered: dict[tuple[str, int], tuple[float, Answer]] = {}
+        self._replies: dict[tuple[str, int], tuple[float, PermitReply]] = {}
         # Random, so that a restarted entry does not repeat a number.
         self._number = random.getrandbits(40)
 
     def add_member(self, name: str) -> None:
-        """Take in another entry, which may coordinate from now on."""
+        """Add another entry, which may be the coordinator from now on."""
         if name not in self._members:
             self._members.add(name)
-            self._orders.clear()
+            self._rankings.clear()
 
     def remove_member(self, name: str) -> None:
-        """Drop another entry that is gone."""
+        """Remove another entry that is gone."""
         if name != self._name and name in self._members:
             self._members.remove(name)
-            self._orders.clear()
+            self._rankings.clear()
             self.liveness.forget(name)
 
     def choose_coordinator(self, endpoint: str, now: float) -> str:
-        """Name the entry that grants the permits of an endpoint."""
-        for name in self._list_order(endpoint):
+        """Return the entry that grants the permits of an endpoint."""
+        for name in self._rank_entries(endpoint):
             if name == self._name or not self.liveness.is_silent(name, now):
                 return name
         return self._name
 
-    def _list_order(self, endpoint: str) -> list[str]:
-        """List all entries in the order in which they coordinate."""
-        order = self._orders.get(endpoint)
-        if order is None:
-            order = self._orders[endpoint] = sorted(
-                self._members, key=lambda entry: _rank(endpoint, entry)
+    def _rank_entries(self, endpoint: str) -> list[str]:
+        """List all entries by their precedence as coordinator."""
+        ranking = self._rankings.get(endpoint)
+        if ranking is None:
+            ranking = self._rankings[endpoint] = sorted(
+                self._members, key=lambda entry: _score_entry(endpoint, entry)
             )
-        return order
+        return ranking
 
-    def _is_stand_in(self, endpoint: str, now: float) -> bool:
-        """Tell whether an entry that goes before this one just fell silent."""
-        order = self._list_order(endpoint)
-        before = order[: order.index(self._name)]
+    def _is_taking_over(self, endpoint: str, now: float) -> bool:
+        """Return whether an entry of higher precedence just became silent."""
+        ranking = self._rank_entries(endpoint)
+        predecessors = ranking[: ranking.index(self._name)]
         return any(
-            self.liveness.measure_silence(name, now) < STAND_IN_SECONDS
-            for name in before
+            self.liveness.get_silence_seconds(name, now) < TAKEOVER_SECONDS
+            for name in predecessors
         )
 
     def list_paused(self, now: float) -> set[str]:
-        """Name the endpoints for which no permit is to be had now."""
+        """Return the endpoints for which no permit is available now."""
         return {name for name, end in self._paused.items() if end > now}
 
-    def make_news(self, now: float) -> News | None:
-        """Tell what this entry observed of limits lately, if anything."""
+    def make_update(self, now: float) -> LimitUpdate | None:
+        """Return the limits that this entry observed recently, if any."""
         recent = self._limits.list_recent(now)
         if not recent:
             return None
-        told = (
-            (name, seen.limit, now - seen.at) for name, seen in recent.items()
+        observed = (
+            (name, observation.limit, now - observation.at)
+            for name, observation in recent.items()
         )
-        return News(self._name, tuple(told))
+        return LimitUpdate(self._name, tuple(observed))
 
     def open(self, endpoint: str, now: float) -> Ticket:
-        """Begin to ask for a permit."""
+        """Begin a permit request."""
         self._number += 1
         ticket = Ticket(self._number, endpoint, now, now)
         self._tickets[ticket.number] = ticket
         return ticket
 
-    def advance(self, ticket: Ticket, now: float) -> Sends:
-        """Do what is due for an open ask.
+    def advance(self, ticket: Ticket, now: float) -> Outgoing:
+        """Advance a permit request.
 
-        :returns: messages to send; unless the ticket has a verdict then, it
-            is to be advanced again when it is due
+        :returns: messages to send; if the ticket has no verdict then, call
+            this again when it is due
         """
         endpoint = ticket.endpoint
         limit = self._limits.get(endpoint)
@@ -278,12 +287,14 @@
             self._close(ticket, Verdict.GRANTED, self._name, 0.0, now)
             return []
         paused = self._paused.get(endpoint, now) - now
-        # A try under way may have been granted.
+        # A message that was already sent may have been granted.
         if paused > 0 and not ticket.tries:
             self._close(ticket, Verdict.DENIED, self._name, paused, now)
             return []
-        if now - ticket.began >= PATIENCE_SECONDS:
-            self._close(ticket, Verdict.DENIED, '', ELSEWHERE_SECONDS, now)
+        if now - ticket.began >= REPLY_TIMEOUT_SECONDS:
+            self._close(
+                ticket, Verdict.DENIED, '', REDIRECT_PAUSE_SECONDS, now
+            )
             return []
         coordinator = self.choose_coordinator(endpoint, now)
         if coordinator == self._name:
@@ -292,22 +303,24 @@
             self._close(ticket, verdict, self._name, pause, now)
             return self._probe(now)
         age = self._limits.get_age(endpoint, now)
-        ask = Ask(self._name, ticket.number, endpoint, limit, age)
-        self.liveness.ask(coordinator, now)
+        request = PermitRequest(
+            self._name, ticket.number, endpoint, limit, age
+        )
+        self.liveness.record_sent(coordinator, now)
         retry = min(ticket.tries, len(RETRY_SECONDS) - 1)
         ticket.due = now + RETRY_SECONDS[retry]
         ticket.tries += 1
-        return [(coordinator, ask), *self._probe(now)]
+        return [(coordinator, request), *self._probe(now)]
 
-    def _probe(self, now: float) -> Sends:
-        """Ask silent entries whether they are back."""
+    def _probe(self, now: float) -> Outgoing:
+        """Send probes to silent entries."""
         due = self.liveness.list_due(now)
         for name in due:
-            self.liveness.ask(name, now)
-        return [(name, Ask(self._name, 0)) for name in due]
+            self.liveness.record_sent(name, now)
+        return [(name, PermitRequest(self._name, 0)) for name in due]
 
     def cancel(self, ticket: Ticket) -> None:
-        """Drop an ask that is not waited for any more."""
+        """Drop a permit request whose caller no longer waits."""
         self._tickets.pop(ticket.number, None)
 
     def _close(
@@ -318,6 +331,7 @@
         pause: float,
         now: float,
     ) -> None:
+        """Set the verdict of a ticket; unless granted, pause its endpoint."""
         self._tickets.pop(ticket.number, None)
         ticket.verdict = verdict
         ticket.source = source
@@ -328,11 +342,11 @@
     def _grant(self, endpoint: str, limit: float, now: float) -> float:
         """Take a permit as the coordinator.
 
-        :returns: 0, or for how long not to ask, in seconds
+        :returns: 0, or the pause before the next request, in seconds
         """
-        if self._is_stand_in(endpoint, now):
-            limit *= STAND_IN_PART
-        limit = max(LEAST_RATE, limit)
+        if self._is_taking_over(endpoint, now):
+            limit *= TAKEOVER_FRACTION
+        limit = max(MIN_RATE, limit)
         bucket = self._buckets.get(endpoint)
         if bucket is None:
             bucket = self._buckets[endpoint] = _Bucket(now, limit)
@@ -344,18 +358,18 @@
         spread = self._random.uniform(*PAUSE_SPREAD)
         return min(most, max(least, missing) * spread)
 
-    def receive(self, message: Message, now: float) -> Sends:
-        """Take in a message of another entry.
+    def receive(self, message: Message, now: float) -> Outgoing:
+        """Process a message of another entry.
 
         :returns: messages to send
         """
-        self.liveness.hear(message.sender, now)
+        self.liveness.record_received(message.sender, now)
         for endpoint, limit, age in list_limits(message):
             self._limits.receive(endpoint, limit, age, now)
-        if isinstance(message, News):
+        if isinstance(message, LimitUpdate):
             return []
-        if isinstance(message, Ask):
-            return self._receive_ask(message, now)
+        if isinstance(message, PermitRequest):
+            return self._receive_request(message, now)
         ticket = self._tickets.get(message.number)
         if ticket is not None:
             self._close(
@@ -363,53 +377,61 @@
             )
         return []
 
-    def _receive_ask(self, ask: Ask, now: float) -> Sends:
-        if not ask.endpoint:
-            return [(ask.sender, Answer(self._name, ask.number))]
-        key = (ask.sender, ask.number)
-        if key in self._answered:
-            return [(ask.sender, self._answered[key][1])]
-        coordinator = self.choose_coordinator(ask.endpoint, now)
-        limit = self._limits.get(ask.endpoint)
-        sends: Sends = []
+    def _receive_request(self, request: PermitRequest, now: float) -> Outgoing:
+        """Reply to a permit request of another entry."""
+        if not request.endpoint:
+            return [(request.sender, PermitReply(self._name, request.number))]
+        key = (request.sender, request.number)
+        if key in self._replies:
+            return [(request.sender, self._replies[key][1])]
+        coordinator = self.choose_coordinator(request.endpoint, now)
+        limit = self._limits.get(request.endpoint)
+        outgoing: Outgoing = []
         verdict, pause = Verdict.GRANTED, 0.0
         if limit is None:
-            # A newer observation than the sender's shows that it has ended.
+            # A newer observation than the sender's shows that the limit has
+            # ended.
             pass
         elif coordinator == self._name:
-            pause = self._grant(ask.endpoint, limit, now)
+            pause = self._grant(request.endpoint, limit, now)
             verdict = Verdict.DENIED if pause else verdict
-            sends += self._probe(now)
+            outgoing += self._probe(now)
         else:
-            verdict, pause = Verdict.ELSEWHERE, ELSEWHERE_SECONDS
-            self._buckets.pop(ask.endpoint, None)
-            if self.liveness.is_doubtful(coordinator, now):
-                self.liveness.ask(coordinator, now)
-                sends.append((coordinator, Ask(self._name, 0)))
-        age = self._limits.get_age(ask.endpoint, now)
-        answer = Answer(
-            self._name, ask.number, ask.endpoint, verdict, pause, limit, age
+            verdict, pause = Verdict.ELSEWHERE, REDIRECT_PAUSE_SECONDS
+            self._buckets.pop(request.endpoint, None)
+            if self.liveness.needs_probe(coordinator, now):
+                self.liveness.record_sent(coordinator, now)
+                outgoing.append((coordinator, PermitRequest(self._name, 0)))
+        age = self._limits.get_age(request.endpoint, now)
+        reply = PermitReply(
+            self._name,
+            request.number,
+            request.endpoint,
+            verdict,
+            pause,
+            limit,
+            age,
         )
         if verdict is not Verdict.ELSEWHERE:
-            self._answered[key] = (now, answer)
-        return [(ask.sender, answer), *sends]
+            self._replies[key] = (now, reply)
+        return [(request.sender, reply), *outgoing]
 
     def expire(self, now: float, endpoints: Iterable[str]) -> None:
-        """Drop what is not needed any more.
+        """Drop expired replies and pauses, and endpoints that are gone.
 
-        :param endpoints: names of all that are listed
+        :param endpoints: names of all listed endpoints
         """
         listed = set(endpoints)
-        for key, (at, _) in list(self._answered.items()):
-            if now - at > ANSWERED_SECONDS:
-                del self._answered[key]
+        for key, (replied_at, _) in list(self._replies.items()):
+            if now - replied_at > REPLY_CACHE_SECONDS:
+                del self._replies[key]
         for name, end in list(self._paused.items()):
             if end <= now:
                 del self._paused[name]
-        for table in (self._buckets, self._orders):
+        for table in (self._buckets, self._rankings):
             for name in [each for each in table if each not in listed]:
                 del table[name]
 
     def list_coordinated(self) -> Sequence[str]:
-        """Name the endpoints for which this entry granted permits."""
+        """List the endpoints for which this entry granted permits."""
         return sorted(self._buckets)
--- a/packages/core/src/dunlintide_core/pipeline/regions.py
+++ b/packages/core/src/dunlintide_core/pipeline/regions.py
@@ -1,7 +1,7 @@
-"""Engines among which chains are sought, prepared once for each listing.
+"""Engines available to chains, prepared once for each listing.
 
 Cuts, holders of each segment and times of cards change only when an engine
-comes, goes or is given other layers, while a choice is made for each request.
+comes, goes or gets other layers, while a chain is chosen for each request.
 """
 
 import itertools
@@ -25,7 +25,7 @@
 
 __all__ = [
     'EngineSet',
-    'Floor',
+    'MinTimes',
     'Region',
     'Weights',
 ]
@@ -33,20 +33,21 @@
 Endpoint = endpoints_module.Endpoint
 
 
-# Part of an engine's memory that is free as long as its cost is time alone.
-AMPLE_PART = 0.5
-# Part below which less free memory raises its cost no further.
-LEAST_FREE = 0.05
+# Fraction of an engine's memory that must be free for its cost to be its time
+# alone.
+AMPLE_FREE = 0.5
+# Fraction of free memory below which its cost increases no further.
+MIN_FREE = 0.05
 
 _UNUSED = occupancy.Usage()
 
 
 class _Row(NamedTuple):
-    """What is fixed of one engine; a tuple, since each choice reads all.
+    """Constant properties of one engine; a tuple, since each choice reads all.
 
-    :ivar step: time of a layer's step against the published one
+    :ivar step: step time of a layer relative to a full published step
     :ivar read: time of reading a prompt token on a layer, in ms
-    :ivar capacity: memory that is given out, in tokens times layers
+    :ivar capacity: memory that is allocated, in tokens times layers
     """
 
     name: str
@@ -58,24 +59,25 @@
     def from_engine(
         cls, profile: profiles.EngineProfile, engine: Endpoint
     ) -> '_Row':
+        """Derive the properties of an engine from its cost model."""
         held = engine.end - engine.start
-        room = profile.count_cache(engine.kind, held)
+        capacity_tokens = profile.get_cache_capacity(engine.kind, held)
         return cls(
             engine.name,
-            chaincosts.time_step(profile, engine.kind),
-            chaincosts.time_read(profile, engine.kind),
-            room * chaincosts.ROOM_PART,
+            chaincosts.get_layer_step(profile, engine.kind),
+            chaincosts.get_layer_read_ms(profile, engine.kind),
+            capacity_tokens * chaincosts.MEMORY_FRACTION,
         )
 
 
 @attrs.frozen(eq=False)
 class Weights:
-    """What engines cost and take at one moment, by index.
+    """Cost and free memory of engines at one moment, by index.
 
-    :ivar rates: time of one layer for the whole request, in ms, dearer where
-        memory is scarce
-    :ivar rooms: layers for which memory is free, 0 if out of use or full
-    :ivar full: engines at which no further chain may begin
+    :ivar rates: time of one layer for the complete request, in ms, with a
+        surcharge where memory is scarce
+    :ivar rooms: layers for which memory is free, 0 if unusable or full
+    :ivar full: engines on which no further chain may begin
     """
 
     rates: list[float]
@@ -101,7 +103,7 @@
     def from_engines(
         cls, profile: profiles.EngineProfile, engines: Iterable[Endpoint]
     ) -> 'EngineSet':
-        """Prepare engines, leaving out those without layers."""
+        """Prepare engines, without those that hold no layers."""
         engines = tuple(each for each in engines if each.end > each.start)
         return cls(
             engines,
@@ -112,7 +114,7 @@
                 for index, each in enumerate(engines)
                 if each.start == 0
             ),
-            profile.slots * chaincosts.SLOT_PART,
+            profile.slots * chaincosts.SLOT_FRACTION,
         )
 
     def weigh(
@@ -122,19 +124,21 @@
         usages: Mapping[str, occupancy.Usage],
         unusable: AbstractSet[str],
     ) -> Weights:
-        """Tell what each engine costs a request and how much it takes.
+        """Return the cost and the free memory of all engines for a request.
 
         :param tokens: tokens for which each layer reserves memory
-        :param usages: use of engines, by name
+        :param usages: usage of engines, by name
         :param unusable: names of engines that get no request
         """
-        weights = self.begin_weights(usages)
+        weights = self.make_unusable_weights(usages)
         members = range(len(self._rows))
         self.weigh_members(weights, members, times, tokens, usages, unusable)
         return weights
 
-    def begin_weights(self, usages: Mapping[str, occupancy.Usage]) -> Weights:
-        """Begin with all engines out of use."""
+    def make_unusable_weights(
+        self, usages: Mapping[str, occupancy.Usage]
+    ) -> Weights:
+        """Return weights that mark all engines as unusable."""
         full = frozenset(
             index
             for index, name in self._firsts
@@ -152,7 +156,7 @@
         usages: Mapping[str, occupancy.Usage],
         unusable: AbstractSet[str],
     ) -> None:
-        """Set what some of the engines cost and take.
+        """Set the cost and the free memory of some engines.
 
         :param members: their indices
         """
@@ -167,30 +171,30 @@
             running = usage.sequences
             busy = 1.0 + running / chaincosts.SEQUENCES_TO_DOUBLE
             work = ((steps + sequence * running) * step + prompt * read) * busy
-            # Fast engines fill first. Streams that could run elsewhere would
-            # leave no room to those that can't.
-            scarce = AMPLE_PART * capacity / max(free, capacity * LEAST_FREE)
-            rates[index] = work * max(1.0, scarce)
+            # Fast engines fill first. Without a surcharge, streams that could
+            # run elsewhere would take the memory of those that can't.
+            scarcity = AMPLE_FREE * capacity / max(free, capacity * MIN_FREE)
+            rates[index] = work * max(1.0, scarcity)
             rooms[index] = free / tokens
 
-    def slow_down(
+    def apply_paces(
         self,
         weights: Weights,
         members: Container[int],
         paces: Mapping[str, float],
     ) -> None:
-        """Raise what slow engines cost.
+        """Increase the cost of slow engines.
 
         :param members: indices of the engines that were just weighed
-        :param paces: time of work against the published one, by name
+        :param paces: time of work as a multiple of the published one, by name
         """
         for name, pace in paces.items():
             index = self.indices.get(name)
             if index is not None and index in members:
                 weights.rates[index] *= pace
 
-    def find_floor(self, holders: Iterable[Sequence[int]]) -> 'Floor':
-        """Tell what engines without requests need at least.
+    def find_min_times(self, holders: Iterable[Sequence[int]]) -> 'MinTimes':
+        """Return a lower bound on the time of chains of idle engines.
 
         :param holders: indices of the engines that hold a layer, by layer
         """
@@ -198,14 +202,14 @@
         for found in holders:
             step += min(self._rows[index].step for index in found)
             read += min(self._rows[index].read for index in found)
-        return Floor(step, read)
+        return MinTimes(step, read)
 
 
 @attrs.frozen
-class Floor:
-    """What a chain takes at least, whatever else runs.
+class MinTimes:
+    """Lower bound on the time of a chain, whatever else runs.
 
-    :ivar step: time of a step of all layers against the published one
+    :ivar step: time of a step of all layers relative to the published one
     :ivar read: time of reading a prompt token on all layers, in ms
     """
 
@@ -213,31 +217,32 @@
     read: float
 
     def bound(self, times: chaincosts.LayerTimes) -> float:
-        """Give the least time of a request, in ms."""
+        """Return the lower bound on the time of a request, in ms."""
         return times.steps * self.step + times.prompt * self.read
 
 
 @attrs.frozen(eq=False)
 class Region:
-    """Engines that chains may be made of, those of one domain or of all.
+    """Engines that chains may consist of, of one domain or of all.
 
     :ivar engines: all engines of the service, by index
     :ivar cuts: layers at which some range begins or ends, in order
-    :ivar holders: indices of its engines that hold a segment, by segment
-    :ivar members: indices of its engines
-    :ivar domains: names of its failure domains
-    :ivar places: index of the failure domain, by engine
-    :ivar lengths: layers that it holds, by engine
+    :ivar holders: indices of the region's engines that hold a segment, by
+        segment
+    :ivar members: indices of the region's engines
+    :ivar domains: names of the region's failure domains
+    :ivar domain_indices: index of the failure domain, by engine
+    :ivar lengths: number of layers that it holds, by engine
     """
 
     engines: tuple[Endpoint, ...]
     cuts: tuple[int, ...]
     holders: tuple[tuple[int, ...], ...]
     domains: tuple[str, ...]
-    places: tuple[int, ...]
+    domain_indices: tuple[int, ...]
     lengths: tuple[int, ...]
     members: frozenset[int]
-    _further_parts: tuple[int, ...]
+    _handoffs: tuple[int, ...]
     _segments: tuple[tuple[int, tuple[int, ...]], ...]
 
     @classmethod
@@ -247,13 +252,13 @@
         """Prepare the engines of some failure domains.
 
         :param engines: all engines of the service, by index
-        :param layers: layers of the model
+        :param layers: number of layers of the model
         """
-        places = {name: index for index, name in enumerate(domains)}
+        domain_indices = {name: index for index, name in enumerate(domains)}
         own = [
             index
             for index, each in enumerate(engines)
-            if each.domain in places
+            if each.domain in domain_indices
         ]
         cuts = _cut_layers([engines[index] for index in own], layers)
         order = {cut: segment for segment, cut in enumerate(cuts)}
@@ -271,33 +276,32 @@
             tuple(engines),
             cuts,
             tuple(map(tuple, holders)),
-            tuple(places),
-            tuple(places.get(each.domain, 0) for each in engines),
+            tuple(domain_indices),
+            tuple(domain_indices.get(each.domain, 0) for each in engines),
             tuple(each.end - each.start for each in engines),
             frozenset(own),
-            _count_further(reaches),
+            _count_handoffs(reaches),
             tuple(zip(lengths, map(tuple, holders))),
         )
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether its engines hold all layers."""
         return all(self.holders)
 
     def list_layer_holders(self) -> Iterator[tuple[int, ...]]:
-        """Give the indices of the engines that hold each layer."""
+        """Return the indices of the engines that hold each layer."""
         for length, holders in self._segments:
             yield from itertools.repeat(holders, length)
 
     def bound(self, weights: Weights, passing: float) -> list[float]:
-        """Tell what chains cost at least from each cut on, in ms.
+        """Return lower bounds on the cost of chains from each cut on, in ms.
 
-        Much quicker than a search, it spares those in failure domains that
-        have no room or are dearer than a chain that is known.
+        The bounds are much faster than a search, and avoid it for failure
+        domains without capacity or with higher costs than a known chain.
 
-        :param passing: least cost of passing a request on, in ms
-        :returns: costs by index of the cut; infinite from the first one if
-            there is no chain
+        :param passing: minimum cost of a handoff, in ms
+        :returns: costs by index of the cut; all infinite if there is no chain
         """
         rates, rooms = weights.rates, weights.rooms
         total = 0.0
@@ -314,11 +318,12 @@
         costs.reverse()
         return [
             cost + passing * parts
-            for cost, parts in zip(costs, self._further_parts)
+            for cost, parts in zip(costs, self._handoffs)
         ]
 
 
 def _cut_layers(engines: Iterable[Endpoint], layers: int) -> tuple[int, ...]:
+    """Return the layers at which some range begins or ends, in order."""
     cuts = {0, layers}
     for engine in engines:
         cuts.add(engine.start)
@@ -326,11 +331,11 @@
     return tuple(sorted(cuts))
 
 
-def _count_further(reaches: Sequence[int]) -> tuple[int, ...]:
-    """Count how often the shortest way from each cut on is passed on.
+def _count_handoffs(reaches: Sequence[int]) -> tuple[int, ...]:
+    """Count the handoffs of the shortest route from each cut to the end.
 
     :param reaches: last cut that an engine reaches from a segment, by the
-        segment; 0 if nobody holds it
+        segment; 0 if it has no holder
     """
     parts = [0] * (len(reaches) + 1)
     for segment in reversed(range(len(reaches))):
