--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -193,12 +193,12 @@
     beliefs = context.state
     (endpoint,) = beliefs.list_endpoints('llm')
     context.life = endpoint.name
-    beliefs.accuse([endpoint.name], 'still', 's-1')
+    beliefs.eject([endpoint.name], 'still', 's-1')
     beliefs.soundness.refuse(endpoint.name, beliefs.now)
     beliefs.crashers.report('request', endpoint.name, beliefs.now)
     beliefs.mark_leaving(endpoint.name, 'two')
     context.ended = []
-    beliefs.life_listeners.append(context.ended.append)
+    beliefs.incarnation_listeners.append(context.ended.append)
 
 
 @behave.then(
@@ -231,7 +231,7 @@
 @behave.when('its report says that it was born at {born:d}')
 def report_born(context, born):
     (endpoint,) = context.state.list_endpoints('llm')
-    context.state.note_life(endpoint, born)
+    context.state.record_incarnation(endpoint, born)
 
 
 JSON = strategies.recursive(
@@ -310,7 +310,7 @@
     def check(value):
         decoded = configurations.decode_deployment(value)
         if decoded.is_ok():
-            assert make_state().adopt(decoded.ok_value, value)
+            assert make_state().apply_configuration(decoded.ok_value, value)
 
     routes = spoil_rows(ROUTE).map(
         lambda row: json.dumps(
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -70,8 +70,8 @@
 
 def tell_alarm(context):
     context.transport.hosts.clear()
-    message, domains = context.gossip._build_alarm()
-    context.gossip._tell(message, domains)
+    message, domains = context.gossip._build_alert()
+    context.gossip._broadcast(message, domains)
 
 
 def check_told(context, domains):
--- a/features/steps/peers.py
+++ b/features/steps/peers.py
@@ -17,8 +17,8 @@
 from dunlintide_core import records
 from dunlintide_core import replicas
 from dunlintide_core import revisions
+from dunlintide_daemon import externalsources
 from dunlintide_daemon import peers
-from dunlintide_daemon import watching
 
 _WAIT_SECONDS = 60
 _TIMING = replicas.Timing(round=0.1, eager=0.02, reconcile=0.2)
@@ -59,7 +59,9 @@
     address = f'127.0.0.1:{server.port}'
     me = fleet.Peer(name, fleet.Role.ENTRY, 1, f'domain-{name}', '', address)
     configs = _Configs()
-    outside = watching.Outside(lambda: result.Ok(context.hosts), configs)
+    outside = externalsources.ExternalSources(
+        lambda: result.Ok(context.hosts), configs
+    )
     state = peers.FleetState(me, outside, _TIMING)
     cell.append(state)
     context.hosts.append(hostlist.Host(name, 'entry', address))
--- a/features/steps/scarceengine.py
+++ b/features/steps/scarceengine.py
@@ -39,7 +39,7 @@
         due = [told for told in news if told <= now]
         news = [told for told in news if told > now]
         for belief in context.beliefs if due and tells else ():
-            part = draw.uniform(*gossip.FULL_PARTS)
+            part = draw.uniform(*gossip.FULL_PAUSE_JITTER)
             belief.hear_full('x', now, part)
         if draw.random() < rate * TICK:
             send(context, draw.choice(context.beliefs), ends, news, now)
--- a/features/steps/streampieces.py
+++ b/features/steps/streampieces.py
@@ -20,11 +20,11 @@
 
 
 def relay(sequence, pieces):
-    splitter = events.Splitter()
+    splitter = events.EventSplitter()
     passed = []
     for piece in pieces:
         whole = splitter.split(piece)
-        fresh, intact = sequence.admit(whole)
+        fresh, intact = sequence.filter_new(whole)
         assert intact
         passed.append(fresh)
     return b''.join(passed)
@@ -37,7 +37,7 @@
 def check_pieces(context):
     def check(count, places):
         data = b''.join(make_events(1, count))
-        sequence = events.Sequence(None)
+        sequence = events.EventSequence(None)
         assert relay(sequence, cut(data, places)) == data
         assert sequence.count == count
 
@@ -47,7 +47,7 @@
 @behave.then('a second run that overlaps the first adds only what is new')
 def check_overlap(context):
     def check(places, end, start):
-        sequence = events.Sequence(None)
+        sequence = events.EventSequence(None)
         first = b''.join(make_events(1, end)) + b'id: 99\nda'
         got = relay(sequence, cut(first, places))
         second = b''.join(make_events(min(start, end + 1), 20))
@@ -61,8 +61,8 @@
 
 @behave.then('a second run that begins too late is noticed')
 def check_missing(context):
-    sequence = events.Sequence(None)
-    sequence.admit(b''.join(make_events(1, 3)))
-    _, intact = sequence.admit(b''.join(make_events(5, 6)))
+    sequence = events.EventSequence(None)
+    sequence.filter_new(b''.join(make_events(1, 3)))
+    _, intact = sequence.filter_new(b''.join(make_events(5, 6)))
     assert not intact
-    assert sequence.last == '3'
+    assert sequence.last_id == '3'
--- a/packages/daemon/src/dunlintide_daemon/agent/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/dispatch.py
@@ -8,7 +8,7 @@
 from dunlintide_daemon.agent import pipeline as pipelines
 from dunlintide_daemon.agent import services as service_calls
 from dunlintide_daemon.agent import works
-from dunlintide_daemon import suspicion as suspicions
+from dunlintide_daemon import crashevidence as suspicions
 
 __all__ = [
     'Dispatcher',
@@ -24,7 +24,7 @@
         pipeline: pipelines.Pipeline | None,
         services: service_calls.Services | None,
         take_order: Callable[[links.Link, link_pb2.Order], None],
-        suspicion: suspicions.Suspicion,
+        suspicion: suspicions.CrashEvidence,
     ) -> None:
         """Remember where frames go.
 
@@ -47,7 +47,7 @@
     def _take_one(self, link: links.Link, frame: link_pb2.Frame) -> None:
         body = frame.WhichOneof('body')
         if body == 'suspects':
-            self._suspicion.take(link, frame.suspects)
+            self._suspicion.receive(link, frame.suspects)
         elif body == 'attach':
             self._attach(link, frame.attach)
         elif self._pipeline is not None:
--- a/packages/daemon/src/dunlintide_daemon/agent/engineside.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/engineside.py
@@ -17,7 +17,7 @@
 from dunlintide_daemon.agent import peers as peering
 from dunlintide_daemon.agent import pipeline as pipelines
 from dunlintide_daemon.agent import table as tables
-from dunlintide_daemon import suspicion as suspicions
+from dunlintide_daemon import crashevidence as suspicions
 
 __all__ = [
     'EngineSide',
@@ -35,7 +35,7 @@
     gate: gates.Gate
     peers: peering.Peers
     counts: counting.Counts
-    suspicion: suspicions.Suspicion
+    suspicion: suspicions.CrashEvidence
     take_failure: TakeFailure
 
 
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -18,7 +18,7 @@
 from dunlintide_daemon.agent import sessions
 from dunlintide_daemon.agent import stages
 from dunlintide_daemon.agent import table as tables
-from dunlintide_daemon import suspicion as suspicions
+from dunlintide_daemon import crashevidence as suspicions
 
 __all__ = [
     'Pipeline',
@@ -47,7 +47,7 @@
     def __init__(
         self,
         table: tables.Table,
-        suspicion: suspicions.Suspicion,
+        suspicion: suspicions.CrashEvidence,
     ) -> None:
         """Remember what to work with."""
         self._table = table
@@ -111,10 +111,10 @@
         self, pairs: list[tuple[drivers.Job, engines.StepResult]]
     ) -> None:
         """Pass on what the engine has run."""
-        self._suspicion.note_steps(
+        self._suspicion.record_steps(
             self._place,
             [
-                suspicions.Passed(
+                suspicions.CompletedStep(
                     job.owner.terms.fingerprint,
                     found.position,
                     found.position + found.count,
@@ -254,7 +254,7 @@
         suspects = _list_suspects(self._table.driver.accuse(failed))
         if suspects:
             identity = self._table.identity
-            self._suspicion.accuse(
+            self._suspicion.report_crash(
                 identity.name, identity.incarnation, self._place, suspects
             )
             self.drop_quarantined()
--- a/packages/daemon/src/dunlintide_daemon/agent/process.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/process.py
@@ -9,7 +9,7 @@
 
 from dunlintide_core import settings as settings_module
 from dunlintide_daemon.agent import role
-from dunlintide_daemon import watching
+from dunlintide_daemon import externalsources
 
 __all__ = [
     'run',
@@ -67,7 +67,7 @@
     :returns: exit status, 0 after a planned stop
     :raises OSError: when a port is taken
     """
-    shared = watching.Outside.from_config(settings)
+    shared = externalsources.ExternalSources.from_config(settings)
     with contextlib.ExitStack() as stack:
         agent = stack.enter_context(role.Agent(settings, shared))
         stack.enter_context(_watch_signals(agent.drain))
--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -39,10 +39,10 @@
 from dunlintide_daemon.agent import reports
 from dunlintide_daemon.agent import services
 from dunlintide_daemon.agent import supervisor
-from dunlintide_daemon import lives
+from dunlintide_daemon import crashevidence
+from dunlintide_daemon import externalsources
+from dunlintide_daemon import localpeer
 from dunlintide_daemon import peers as fleet_state
-from dunlintide_daemon import suspicion
-from dunlintide_daemon import watching
 
 __all__ = [
     'Agent',
@@ -67,7 +67,7 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        shared: watching.Outside | None = None,
+        shared: externalsources.ExternalSources | None = None,
     ) -> None:
         """Build all parts; binds the link port.
 
@@ -88,7 +88,7 @@
         )
         self._supervisor = None
         self._orders = None
-        self._suspicion = suspicion.Suspicion(
+        self._suspicion = crashevidence.CrashEvidence(
             self._spread,
             poison.Limits(seconds=settings.timing.quarantine),
         )
@@ -139,8 +139,10 @@
         self._reports = reports.Reports()
         self._stack = contextlib.ExitStack()
 
-    def _build_state(self, shared: watching.Outside) -> fleet_state.FleetState:
-        me = lives.make_peer(self.settings, self.incarnation, self.address)
+    def _build_state(
+        self, shared: externalsources.ExternalSources
+    ) -> fleet_state.FleetState:
+        me = localpeer.make_peer(self.settings, self.incarnation, self.address)
         state = fleet_state.FleetState(me, shared, transport=self._transport)
         peer_calls.add_service(
             self._server.server, state.answer, self._transport
@@ -162,7 +164,7 @@
         self._engine_side = side
         self.pipeline, self.driver = side.pipeline, side.driver
         self._caching, self._engine = side.caching, side.engine
-        self._suspicion.on_news = side.pipeline.drop_quarantined
+        self._suspicion.on_remote_crash = side.pipeline.drop_quarantined
 
     def _build_service_side(self) -> None:
         self._services = services.Services(
@@ -205,7 +207,7 @@
         self._peers.broadcast(frame)
 
     def _welcome(self, link: links.Link) -> None:
-        self._suspicion.welcome(link.send)
+        self._suspicion.send_known(link.send)
         # A new entry needs the generation before its first claim.
         load = self._load
         if self._caching is not None:
@@ -224,7 +226,7 @@
             self.pipeline.lose_link(link)
 
     def _raise_peer(self, address: str) -> None:
-        self._suspicion.welcome(lambda one: self._peers.send(address, one))
+        self._suspicion.send_known(lambda one: self._peers.send(address, one))
         if self.pipeline is not None:
             self.pipeline.raise_peer(address)
 
@@ -366,7 +368,7 @@
     def _tick(self) -> None:
         while not self.done.wait(TICK_SECONDS):
             self.gate.tick()
-            self._suspicion.tick()
+            self._suspicion.discard_expired()
             if self.pipeline is not None:
                 self.pipeline.tick()
                 self._peers.tick(self.pipeline.list_addresses())
--- a/packages/daemon/src/dunlintide_daemon/suspicion.py
+++ b/packages/daemon/src/dunlintide_daemon/crashevidence.py
@@ -17,18 +17,18 @@
 from dunlintide_core import poison
 
 __all__ = [
-    'Passed',
-    'Suspicion',
+    'CompletedStep',
+    'CrashEvidence',
 ]
 
-_DIGEST_SHOWN = 12
+_SHOWN_DIGITS = 12
 
 # Sends a frame to all linked processes but one.
-Spread = Callable[[link_pb2.Frame, links.Link | None], None]
+Broadcast = Callable[[link_pb2.Frame, links.Link | None], None]
 
 
 @attrs.frozen
-class Passed:
+class CompletedStep:
     """A step that an endpoint has run.
 
     :ivar position: first position of the step
@@ -61,20 +61,20 @@
 
 
 def _read_crash(
-    message: link_pb2.Crash, now: float, longest: float
+    message: link_pb2.Crash, now: float, max_seconds: float
 ) -> poison.Crash:
     suspects = tuple(
         poison.Suspect(one.fingerprint, one.team, one.position)
         for one in message.suspects
     )
     place = poison.Place(message.model, message.layer_start, message.layer_end)
-    seconds = min(message.ttl_ms / 1000, longest)
+    seconds = min(message.ttl_ms / 1000, max_seconds)
     return poison.Crash(
         message.name, message.endpoint, place, suspects, now + seconds
     )
 
 
-class Suspicion:
+class CrashEvidence:
     """Thread-safe evidence that spreads over links.
 
     :ivar on_news: called without locks when others have told of crashes
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        spread: Spread,
+        broadcast: Broadcast,
         limits: poison.Limits = poison.Limits(),
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -90,18 +90,18 @@
 
         :param spread: sends to the linked processes; must not block
         """
-        self.on_news: Callable[[], None] = lambda: None
-        self._spread = spread
+        self.on_remote_crash: Callable[[], None] = lambda: None
+        self._broadcast = broadcast
         self._limits = limits
         self._clock = clock
         self._evidence = poison.Evidence(limits)
         self._lock = threading.Lock()
         self._count = 0
 
-    def accuse(
+    def report_crash(
         self,
         endpoint: str,
-        life: int,
+        incarnation: int,
         place: poison.Place,
         suspects: Iterable[poison.Suspect],
     ) -> None:
@@ -114,7 +114,7 @@
         now = self._clock()
         with self._lock:
             self._count += 1
-            name = f'{endpoint}/{life}/{self._count}'
+            name = f'{endpoint}/{incarnation}/{self._count}'
             expires = now + self._limits.seconds
             crash = poison.Crash(
                 name, endpoint, place, tuple(suspects), expires
@@ -133,18 +133,18 @@
     ) -> None:
         if crashes or cleared:
             message = link_pb2.Suspects(crashes=crashes, cleared=cleared)
-            self._spread(link_pb2.Frame(suspects=message), source)
+            self._broadcast(link_pb2.Frame(suspects=message), source)
 
-    def take(self, link: links.Link, message: link_pb2.Suspects) -> None:
+    def receive(self, link: links.Link, message: link_pb2.Suspects) -> None:
         """Take in what a neighbour knows, and pass on what is new."""
         now = self._clock()
-        longest = self._limits.seconds
+        max_seconds = self._limits.seconds
         # The lock also keeps a crash ahead of its clearances on a link.
         with self._lock:
             crashes = [
                 one
                 for one in message.crashes
-                if self._evidence.add(_read_crash(one, now, longest), now)
+                if self._evidence.add(_read_crash(one, now, max_seconds), now)
             ]
             cleared = [
                 one
@@ -153,9 +153,9 @@
             ]
             self._send(crashes, cleared, link)
         if crashes:
-            self.on_news()
+            self.on_remote_crash()
 
-    def welcome(self, send: Callable[[link_pb2.Frame], object]) -> None:
+    def send_known(self, send: Callable[[link_pb2.Frame], object]) -> None:
         """Tell a new neighbour all that is known.
 
         :param send: sends it a frame; must not block
@@ -171,10 +171,12 @@
                 message = link_pb2.Suspects(crashes=crashes)
                 send(link_pb2.Frame(suspects=message))
 
-    def note_steps(self, place: poison.Place, steps: Iterable[Passed]) -> None:
+    def record_steps(
+        self, place: poison.Place, steps: Iterable[CompletedStep]
+    ) -> None:
         """Take note of steps that ran well, and tell who is cleared."""
         # Most steps say nothing new, so they cost no lock.
-        told = [
+        relevant = [
             step
             for step in steps
             if step.fingerprint
@@ -183,12 +185,12 @@
                 or self._evidence.is_accused(step.fingerprint)
             )
         ]
-        if not told:
+        if not relevant:
             return
         with self._lock:
             cleared = [
                 link_pb2.Clearance(crash=name, fingerprint=step.fingerprint)
-                for step in told
+                for step in relevant
                 for name in self._evidence.note_step(
                     step.fingerprint, place, step.end
                 )
@@ -210,7 +212,7 @@
         with self._lock:
             return evidence.runs_alone(fingerprint, team, place)
 
-    def tick(self) -> None:
+    def discard_expired(self) -> None:
         """Forget what has expired; call it a few times a second."""
         if len(self._evidence):
             with self._lock:
@@ -224,7 +226,7 @@
             return {
                 'quarantined': [
                     {
-                        'fingerprint': one.fingerprint.hex()[:_DIGEST_SHOWN],
+                        'fingerprint': one.fingerprint.hex()[:_SHOWN_DIGITS],
                         'member': one.team,
                         'crashes': one.crashes,
                         'seconds_left': round(one.seconds, 1),
--- a/packages/daemon/src/dunlintide_daemon/entry/process.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/process.py
@@ -12,7 +12,7 @@
 from dunlintide_daemon.entry import role
 from dunlintide_daemon.entry import sources
 from dunlintide_daemon.entry import threads
-from dunlintide_daemon import watching
+from dunlintide_daemon import externalsources
 
 __all__ = [
     'run',
@@ -50,7 +50,7 @@
     """
     threads.watch_errors()
     outside = sources.Sources.from_config(settings)
-    shared = watching.Outside.from_config(settings)
+    shared = externalsources.ExternalSources.from_config(settings)
     with role.Entry(settings, outside, shared=shared) as entry:
         _watch(entry.done, entry.describe)
         logging.info('entry %s serves port %d', settings.name, entry.port)
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -22,6 +22,7 @@
 from dunlintide_core import fleet as core_fleet
 from dunlintide_core import poison
 from dunlintide_core import settings as settings_module
+from dunlintide_daemon import crashevidence
 from dunlintide_daemon.entry import claims
 from dunlintide_daemon.entry import configuration
 from dunlintide_daemon.entry import crashes
@@ -48,8 +49,7 @@
 from dunlintide_daemon.entry import sources
 from dunlintide_daemon.entry import states
 from dunlintide_daemon.entry import threads
-from dunlintide_daemon import suspicion
-from dunlintide_daemon import watching
+from dunlintide_daemon import externalsources
 
 __all__ = [
     'Entry',
@@ -73,7 +73,7 @@
         settings: settings_module.Settings,
         outside: sources.Sources,
         lame_duck: float = LAME_DUCK_SECONDS,
-        shared: watching.Outside | None = None,
+        shared: externalsources.ExternalSources | None = None,
     ) -> None:
         """Bind the ports; entering the context begins to serve.
 
@@ -102,7 +102,7 @@
         self._history = history.History(self._meter.count_outcome)
         self._holder = configuration.Holder()
         self._retries = budget.RetryBudget(settings.limits.retry_ratio)
-        self._suspicion = suspicion.Suspicion(
+        self._suspicion = crashevidence.CrashEvidence(
             lambda *told: crashes.spread(self._fleet, *told),
             poison.Limits(seconds=settings.timing.quarantine),
         )
@@ -110,11 +110,11 @@
         self._fleet = fleet.Fleet(
             self._build_hello,
             fleet.Listeners(
-                crashes.hear(self._suspicion.take, self._sessions.route),
+                crashes.hear(self._suspicion.receive, self._sessions.route),
                 self._lose_link,
                 lambda agent: self._planner.report(agent),
                 lambda link, reply: self._placement.take_reply(link, reply),
-                lambda link: self._suspicion.welcome(link.send),
+                lambda link: self._suspicion.send_known(link.send),
                 lambda name, news: self._planner.take_news(name, news),
             ),
             links.LinkTiming(timing.ping, timing.silence, timing.redial),
@@ -294,7 +294,7 @@
 
     def _plan(self) -> None:
         while not self.done.wait(planning.REFRESH_SECONDS):
-            self._suspicion.tick()
+            self._suspicion.discard_expired()
             snapshot = self._holder.snapshot
             if snapshot is not None:
                 self._planner.refresh(snapshot)
--- a/packages/daemon/src/dunlintide_daemon/entry/states.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/states.py
@@ -4,9 +4,9 @@
 from dunlintide_adapters import transports
 from dunlintide_core import settings as settings_module
 from dunlintide_daemon.entry import exchange
-from dunlintide_daemon import lives
+from dunlintide_daemon import externalsources
+from dunlintide_daemon import localpeer
 from dunlintide_daemon import peers
-from dunlintide_daemon import watching
 
 __all__ = [
     'build',
@@ -17,7 +17,7 @@
     settings: settings_module.Settings,
     incarnation: int,
     served: exchange.Exchange,
-    outside: watching.Outside | None,
+    outside: externalsources.ExternalSources | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
     """Build the state and add its service to a port.
@@ -29,7 +29,7 @@
         return None
     host = settings.link_listen.rpartition(':')[0]
     address = settings.advertise or f'{host}:{served.port}'
-    me = lives.make_peer(settings, incarnation, address)
+    me = localpeer.make_peer(settings, incarnation, address)
     state = peers.FleetState(me, outside, transport=transport)
     peer_calls.add_service(served.server, state.answer, transport)
     return state
--- a/packages/daemon/src/dunlintide_daemon/watching.py
+++ b/packages/daemon/src/dunlintide_daemon/externalsources.py
@@ -13,10 +13,10 @@
 from dunlintide_core import settings as settings_module
 from dunlintide_core import spread
 
-__all__ = ['Outside', 'StoreWatch']
+__all__ = ['ExternalSources', 'StoreWatch']
 
 
-class _Configs(Protocol):
+class _ConfigStore(Protocol):
     """The store's configuration, as ``configstore.ConfigStore`` has it."""
 
     def watch(
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Outside:
+class ExternalSources:
     """What the state is drawn from besides peers.
 
     :ivar read_hosts: reads the host list, or says why it could not
@@ -42,13 +42,15 @@
     """
 
     read_hosts: Callable[[], result.Result[Iterable[hostlist.Host], object]]
-    configs: _Configs
+    configs: _ConfigStore
     poll_seconds: float = 30.0
     hosts_seconds: float = 2.0
     close: Callable[[], None] = lambda: None
 
     @classmethod
-    def from_config(cls, settings: settings_module.Settings) -> 'Outside':
+    def from_config(
+        cls, settings: settings_module.Settings
+    ) -> 'ExternalSources':
         """Build clients of the store and the host list."""
         timing = settings.timing
         with contextlib.ExitStack() as stack:
@@ -73,10 +75,10 @@
 
     def __init__(
         self,
-        outside: Outside,
-        find_held: Callable[[], spread.Snapshot | None],
-        take: Callable[[configstore.Snapshot], None],
-        note: Callable[[int], None],
+        sources: ExternalSources,
+        get_snapshot: Callable[[], spread.Snapshot | None],
+        handle_snapshot: Callable[[configstore.Snapshot], None],
+        record_revision: Callable[[int], None],
     ) -> None:
         """Begin without watching.
 
@@ -84,13 +86,13 @@
         :param take: called with each newer one of the store
         :param note: called with the store's revision at each read
         """
-        self._outside = outside
-        self._find_held = find_held
-        self._take = take
-        self._note = note
+        self._sources = sources
+        self._get_snapshot = get_snapshot
+        self._handle_snapshot = handle_snapshot
+        self._record_revision = record_revision
         self._stop: threading.Event | None = None
 
-    def switch(self, watcher: bool) -> None:
+    def set_active(self, watcher: bool) -> None:
         """Begin to follow the store, or end that.
 
         :param watcher: whether this process has to watch
@@ -108,9 +110,13 @@
             ).start()
 
     def _follow(self, stop: threading.Event) -> None:
-        held = self._find_held()
+        held = self._get_snapshot()
         if held is not None:
             held = configstore.Snapshot(held.head, held.document)
-        self._outside.configs.watch(
-            self._take, stop, held, self._outside.poll_seconds, self._note
+        self._sources.configs.watch(
+            self._handle_snapshot,
+            stop,
+            held,
+            self._sources.poll_seconds,
+            self._record_revision,
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/admin.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/admin.py
@@ -86,8 +86,8 @@
             'failure_domain': state.settings.failure_domain,
             'ready': state.is_ready,
             'stopping': state.stopping,
-            'entries': sorted(state.entries),
-            'listing_age': now - state.listed_at,
+            'entries': sorted(state.known_entries),
+            'listing_age': now - state.listing_read_at,
             'configuration': {'revision': state.version},
             'document': document,
             'endpoints': [
@@ -106,7 +106,7 @@
             'coordinated_limits': state.permits.list_coordinated(),
             'resends_left': {
                 name: budget.count_left(now)
-                for name, budget in state.budgets.items()
+                for name, budget in state.retry_budgets.items()
             },
             'log_lines_dropped': state.log.dropped,
         }
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -23,23 +23,23 @@
 CONNECT_SECONDS = 0.25
 # A call that may not run twice uses a kept connection only this shortly
 # after its last use, in seconds: on a stale one it may be lost.
-YOUNG_SECONDS = 0.3
+MAX_IDLE_SECONDS = 0.3
 # Part of the target after which a repeatable call is also sent to another
 # endpoint: calls take a third of it, so it catches the slow and the lost.
-HEDGE_PART = 0.5
+HEDGE_FRACTION = 0.5
 # Longest wait for a place at an endpoint, as a part of the target.
-WAIT_PART = 1.0
+WAIT_FRACTION = 1.0
 # Target where the rule has none, in seconds.
-USUAL_TARGET = 0.5
-RETRY_SECONDS = 0.3
+DEFAULT_TARGET_SECONDS = 0.5
+RETRY_AFTER_SECONDS = 0.3
 # Spread of the times at which refused callers return, as parts of the pause.
 JITTER = (0.7, 1.5)
 # Connection failures after which a call stops to look further.
-MAX_DIALS = 4
+MAX_CONNECTS = 4
 
 
 @attrs.frozen
-class _Answer:
+class _SendResult:
     """What one send gave.
 
     :ivar head: None when nothing whole came
@@ -66,7 +66,7 @@
 
     async def serve(self, exchange: exchange_module.Exchange) -> Outcome:
         """Answer a request whose rule names a plain service."""
-        answers: list[_Answer] = []
+        answers: list[_SendResult] = []
         pending: set[asyncio.Task] = set()
         try:
             return await self._serve(exchange, answers, pending)
@@ -77,24 +77,24 @@
     async def _serve(
         self,
         exchange: exchange_module.Exchange,
-        answers: list[_Answer],
+        answers: list[_SendResult],
         pending: set[asyncio.Task],
     ) -> Outcome:
         state = self._state
-        target = exchange.terms.target_seconds or USUAL_TARGET
-        hedge = target * HEDGE_PART
-        dials = 0
+        target = exchange.terms.target_seconds or DEFAULT_TARGET_SECONDS
+        hedge = target * HEDGE_FRACTION
+        connects = 0
         while True:
             if not pending:
-                if dials >= MAX_DIALS or not self._may_start(
+                if connects >= MAX_CONNECTS or not self._pay_send(
                     exchange, answers
                 ):
-                    return self._conclude(exchange, answers)
+                    return self._end_unanswered(exchange, answers)
                 endpoint = await self._find_endpoint(exchange, target)
                 if endpoint is None:
-                    return self._conclude(exchange, answers, 'no room')
+                    return self._end_unanswered(exchange, answers, 'no room')
                 pending.add(self._start(exchange, endpoint))
-                dials += 1
+                connects += 1
             left = exchange.deadline - state.now
             done, rest = await asyncio.wait(
                 pending,
@@ -106,37 +106,39 @@
             for task in done:
                 answer = task.result()
                 if answer.is_good:
-                    return self._pass(exchange, answer)
+                    return self._forward(exchange, answer)
                 answers.append(answer)
             if state.now >= exchange.deadline:
-                return self._conclude(exchange, answers, 'deadline', pending)
+                return self._end_unanswered(
+                    exchange, answers, 'deadline', pending
+                )
             if not done:
                 hedge = float('inf')
                 started = self._start_hedge(exchange, answers)
                 if started is not None:
                     pending.add(started)
 
-    def _may_start(
-        self, exchange: exchange_module.Exchange, answers: list[_Answer]
+    def _pay_send(
+        self, exchange: exchange_module.Exchange, answers: list[_SendResult]
     ) -> bool:
         """Tell whether another send is allowed, and pay for it."""
         if not exchange.sends:
             return True
         ran = any(answer.ran for answer in answers)
-        if ran and not exchange.may_repeat:
+        if ran and not exchange.is_repeatable:
             return False
-        if not exchange.may_run_again:
+        if not exchange.has_attempts_left:
             return False
-        return self._state.pay_resend(exchange.service, 'call')
+        return self._state.spend_retry_budget(exchange.service, 'call')
 
     def _start_hedge(
-        self, exchange: exchange_module.Exchange, answers: list[_Answer]
+        self, exchange: exchange_module.Exchange, answers: list[_SendResult]
     ) -> asyncio.Task | None:
         if not self._state.has(mechanisms.Mechanism.HEDGES):
             return None
-        if not exchange.may_repeat:
+        if not exchange.is_repeatable:
             return None
-        if not exchange.may_run_again:
+        if not exchange.has_attempts_left:
             return None
         # An endpoint that names a rate limit is spared what may be in vain.
         endpoint = self._choose(
@@ -144,7 +146,7 @@
         )
         if endpoint is None:
             return None
-        if not self._state.pay_resend(exchange.service, 'hedge'):
+        if not self._state.spend_retry_budget(exchange.service, 'hedge'):
             return None
         return self._start(exchange, endpoint)
 
@@ -153,7 +155,7 @@
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
     ) -> asyncio.Task:
-        exchange.tried.append(endpoint.name)
+        exchange.failed_endpoints.append(endpoint.name)
         hop = endpoints_module.Hop(endpoint, 0, 0)
         reservation = self._state.occupancy.reserve((hop,), 0)
         self._state.soundness.begin((endpoint.name,))
@@ -168,7 +170,7 @@
         return task
 
     def _choose(
-        self, exchange: exchange_module.Exchange, spared: Container[str]
+        self, exchange: exchange_module.Exchange, excluded: Container[str]
     ) -> endpoints_module.Endpoint | None:
         """Find an endpoint with a place.
 
@@ -179,7 +181,8 @@
         fresh = [
             each
             for each in listed
-            if each.name not in exchange.tried and each.name not in spared
+            if each.name not in exchange.failed_endpoints
+            and each.name not in excluded
         ]
         return balance.choose(
             fresh,
@@ -213,7 +216,7 @@
         """Find an endpoint with a place, waiting for a while."""
         queue = self._state.get_backlog(exchange.service)
         standing = backlog.Standing.ON_TIME
-        wait = target * WAIT_PART
+        wait = target * WAIT_FRACTION
         expires = min(self._state.now + wait, exchange.deadline)
         if not queue.count_ahead(exchange.priority, standing):
             endpoint = await self._choose_admitted(exchange, expires)
@@ -242,16 +245,16 @@
         self,
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
-    ) -> _Answer:
+    ) -> _SendResult:
         state = self._state
-        newest = None if exchange.may_repeat else YOUNG_SECONDS
+        max_idle = None if exchange.is_repeatable else MAX_IDLE_SECONDS
         try:
             connection = await state.pool.acquire(
-                endpoint.address, CONNECT_SECONDS, newest
+                endpoint.address, CONNECT_SECONDS, max_idle
             )
         except endpointhttp.Broken as broken:
-            state.accuse([endpoint.name], str(broken), exchange.ask.name)
-            return _Answer(endpoint, False, f'no connection: {broken}')
+            state.eject([endpoint.name], str(broken), exchange.ask.name)
+            return _SendResult(endpoint, False, f'no connection: {broken}')
         exchange.sends += 1
         exchange.runs += 1
         try:
@@ -261,7 +264,7 @@
                 state.crashers.report(
                     exchange.fingerprint, endpoint.name, state.now
                 )
-            return _Answer(endpoint, True, str(broken))
+            return _SendResult(endpoint, True, str(broken))
         finally:
             state.pool.release(endpoint.address, connection)
 
@@ -270,7 +273,7 @@
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
         connection: endpointhttp.Connection,
-    ) -> _Answer:
+    ) -> _SendResult:
         state = self._state
         relayed = requests.Relayed(
             endpoint=endpoint,
@@ -288,24 +291,24 @@
             send=exchange.sends,
             rule=exchange.rule.name,
             version=exchange.version,
-            listing_age=round(state.now - state.listed_at, 3),
+            listing_age=round(state.now - state.listing_read_at, 3),
         )
         head = await connection.read_head(exchange.deadline)
         verdict = requests.judge(head)
         state.record_rate_limit(endpoint.name, verdict.rate_limit, sent_at)
         body = await connection.read_all(exchange.deadline)
         if verdict.name not in (None, exchange.ask.name):
-            return _Answer(endpoint, True, 'answer to another request')
+            return _SendResult(endpoint, True, 'answer to another request')
         if verdict.not_run:
             exchange.runs -= 1
             if verdict.misdirected:
-                state.accuse([endpoint.name], 'misdirected', exchange.ask.name)
-            return _Answer(endpoint, False, f'refused with {head.status}')
+                state.eject([endpoint.name], 'misdirected', exchange.ask.name)
+            return _SendResult(endpoint, False, f'refused with {head.status}')
         if not verdict.signed and head.status < 300:
-            return _Answer(endpoint, True, 'answer without a signature')
+            return _SendResult(endpoint, True, 'answer without a signature')
         state.soundness.report_progress((endpoint.name,), state.now)
         self._clear_crashes(exchange, endpoint, sent_at)
-        return _Answer(endpoint, True, '', head, body)
+        return _SendResult(endpoint, True, '', head, body)
 
     def _clear_crashes(
         self,
@@ -327,20 +330,20 @@
                 broken_runs=cleared,
             )
 
-    def _pass(
-        self, exchange: exchange_module.Exchange, answer: _Answer
+    def _forward(
+        self, exchange: exchange_module.Exchange, answer: _SendResult
     ) -> Outcome:
         head = answer.head
-        passed = callermessages.Head(
+        forwarded = callermessages.Head(
             head.status, requests.list_reply_headers(head), reason=head.reason
         )
-        exchange.reply.send(passed, answer.body)
+        exchange.reply.send(forwarded, answer.body)
         if head.status < 300:
             self._state.crashers.clear(exchange.fingerprint)
             return Outcome.COMPLETE
         return Outcome.FAILED
 
-    def _choose_pause(
+    def _choose_retry_after(
         self, exchange: exchange_module.Exchange, ran: bool
     ) -> float:
         """Tell when to return; later the more are refused under a limit.
@@ -353,26 +356,26 @@
             each.name in limited
             for each in state.list_endpoints(exchange.service)
         ):
-            return RETRY_SECONDS * state.random.uniform(*JITTER)
+            return RETRY_AFTER_SECONDS * state.random.uniform(*JITTER)
         state.returns.refuse(exchange.digest, state.now)
         pause = state.returns.choose_pause(state.now)
         return pause * state.random.uniform(*JITTER)
 
-    def _conclude(
+    def _end_unanswered(
         self,
         exchange: exchange_module.Exchange,
-        answers: list[_Answer],
+        answers: list[_SendResult],
         reason: str = '',
         pending: set[asyncio.Task] | None = None,
     ) -> Outcome:
         """End a call that got no good answer."""
         failures = [answer for answer in answers if answer.head is not None]
         if failures:
-            return self._pass(exchange, failures[-1])
+            return self._forward(exchange, failures[-1])
         reasons = [answer.reason for answer in answers]
         ran = bool(pending) or any(answer.ran for answer in answers)
         late = self._state.now >= exchange.deadline
-        pause = self._choose_pause(exchange, ran)
+        pause = self._choose_retry_after(exchange, ran)
         self._state.log.write(
             'call not answered',
             request=exchange.ask.name,
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -17,28 +17,28 @@
 from dunlintide_daemon.gateway import state as state_module
 
 __all__ = [
-    'USUAL_TARGET',
+    'DEFAULT_TARGET_SECONDS',
     'ChainFinder',
-    'describe',
+    'format_chain',
 ]
 
 Hops = chains.Hops
 Stream = exchange_module.Stream
 
 # Target for the first event and pause where the rule has none, in seconds.
-USUAL_TARGET = 0.5
+DEFAULT_TARGET_SECONDS = 0.5
 # Part of its memory and places up to which an engine is far from full:
 # what other entries began since they told it is less than the rest.
-ROOMY_PART = 0.5
+AMPLE_ROOM_FRACTION = 0.5
 # Part of the expected answer for which memory is reserved: streams that
 # share an engine are at all points of their answers, so they take little
 # more than half of it on average.
-ANSWER_PART = 0.7
+ANSWER_RESERVE_FRACTION = 0.7
 # Most ranges of layers that a log line names.
-MAX_SCARCE = 4
+MAX_LOGGED_RANGES = 4
 
 
-def describe(hops: Hops) -> str:
+def format_chain(hops: Hops) -> str:
     """Write a chain for the log."""
     return ','.join(
         f'{hop.endpoint.name}:{hop.start}-{hop.end}' for hop in hops
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen(eq=False)
-class _Listed:
+class _CachedTable:
     """Engines of a service as of one version of the listing."""
 
     version: int
@@ -58,24 +58,24 @@
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
-        self._tables: dict[str, _Listed] = {}
+        self._tables: dict[str, _CachedTable] = {}
 
     def estimate(self, stream: Stream) -> chains.Demand:
         """Tell what a run from here on will take."""
         ask, profile = stream.exchange.ask, stream.profile
         written = stream.sequence.count * profile.stride
         most = max(1, ask.answer - written)
-        usual = ask.hint or profile.usual_answer or ask.answer
-        expected = max(1, min(most, usual - written))
+        typical = ask.hint or profile.usual_answer or ask.answer
+        expected = max(1, min(most, typical - written))
         prompt = ask.prompt + written
         return chains.Demand(
             prompt=prompt,
             answer=expected,
-            tokens=prompt + int(expected * ANSWER_PART),
+            tokens=prompt + int(expected * ANSWER_RESERVE_FRACTION),
             domain=self._state.settings.failure_domain,
         )
 
-    def is_roomy(
+    def has_ample_room(
         self,
         profile: profiles.EngineProfile,
         endpoint: endpoints_module.Endpoint,
@@ -85,8 +85,8 @@
         held = endpoint.end - endpoint.start
         cache = profile.count_cache(endpoint.kind, held)
         return (
-            usage.cache < cache * ROOMY_PART
-            and usage.started < profile.slots * ROOMY_PART
+            usage.cache < cache * AMPLE_ROOM_FRACTION
+            and usage.started < profile.slots * AMPLE_ROOM_FRACTION
         )
 
     def _get_table(self, stream: Stream) -> chaintable.ChainTable:
@@ -101,18 +101,18 @@
         ):
             engines = self._state.list_engines(service, profile)
             built = chaintable.ChainTable.from_engines(profile, engines)
-            table = self._tables[service] = _Listed(version, built)
+            table = self._tables[service] = _CachedTable(version, built)
         return table.table
 
     def _list_unusable(self, stream: Stream) -> set[str]:
         """Name the engines that are to get no part of a stream now."""
         unusable = self._state.soundness.list_unusable(self._state.now)
-        unusable.update(stream.exchange.tried)
+        unusable.update(stream.exchange.failed_endpoints)
         unusable.update(self._state.list_unreadable())
         unusable.update(self._state.permits.list_paused(self._state.now))
         return unusable
 
-    def explain(self, stream: Stream) -> str:
+    def find_shortage(self, stream: Stream) -> str:
         """Tell for which layers no endpoint has room now, for the log.
 
         If there is none, those without room in this failure domain: then
@@ -132,11 +132,11 @@
                 unusable,
             )
             if scarce:
-                return ', '.join(map(str, scarce[:MAX_SCARCE])) + where
+                return ', '.join(map(str, scarce[:MAX_LOGGED_RANGES])) + where
         return ''
 
     def choose(
-        self, stream: Stream, spared: Iterable[str] = ()
+        self, stream: Stream, excluded: Iterable[str] = ()
     ) -> Hops | None:
         """Find a chain with room now, None if there is none.
 
@@ -146,7 +146,7 @@
         hops = self._get_table(stream).choose(
             self.estimate(stream),
             state.occupancy.usages,
-            self._list_unusable(stream).union(spared),
+            self._list_unusable(stream).union(excluded),
             state.has(mechanisms.Mechanism.CROSSING),
             state.paces.list_slow(state.now),
         )
@@ -156,7 +156,7 @@
             state.log.write_always(
                 'chain is not exact',
                 request=stream.exchange.ask.name,
-                chain=describe(hops),
+                chain=format_chain(hops),
             )
             return None
         return hops
@@ -186,7 +186,7 @@
         state = self._state
         exchange = stream.exchange
         queue = state.get_backlog(exchange.service)
-        place = self.choose_place(exchange)
+        place = self.choose_queue_place(exchange)
         standing, expires = place.standing, place.expires
         if not queue.count_ahead(exchange.priority, standing):
             hops = await self._choose_admitted(stream, expires)
@@ -213,16 +213,18 @@
             timer.cancel()
             queue.remove(waiter)
 
-    def choose_place(self, exchange: exchange_module.Exchange) -> waits.Place:
+    def choose_queue_place(
+        self, exchange: exchange_module.Exchange
+    ) -> waits.Place:
         """Tell where a stream waits, at most until its deadline."""
         terms = exchange.terms
         place = waits.choose_place(
             exchange.request.arrived,
             self._state.now,
-            terms.target_seconds or USUAL_TARGET,
+            terms.target_seconds or DEFAULT_TARGET_SECONDS,
             terms.gap_seconds or 0.0,
             exchange.runs > 0,
-            exchange.returned,
+            exchange.was_refused,
         )
         if not self._state.has(mechanisms.Mechanism.STANDING):
             fresh = backlog.Standing.ON_TIME
--- a/packages/daemon/src/dunlintide_daemon/gateway/events.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/events.py
@@ -5,32 +5,32 @@
 """
 
 __all__ = [
-    'Sequence',
-    'Splitter',
+    'EventSequence',
+    'EventSplitter',
 ]
 
 _END = b'\n\n'
 _END_CRLF = b'\r\n\r\n'
 
 
-class Splitter:
+class EventSplitter:
     """Cuts a byte stream behind whole events.
 
     :ivar rest: bytes of an event that is not whole yet
     """
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.remainder = b''
 
     def split(self, data: bytes) -> bytes:
         """Take in bytes and give the whole events among them."""
-        data = self.rest + data
+        data = self.remainder + data
         end = data.rfind(_END)
         cut = end + len(_END) if end >= 0 else 0
         end = data.rfind(_END_CRLF)
         if end >= 0:
             cut = max(cut, end + len(_END_CRLF))
-        self.rest = data[cut:]
+        self.remainder = data[cut:]
         return data[:cut]
 
 
@@ -42,7 +42,7 @@
     return None
 
 
-class Sequence:
+class EventSequence:
     """Events that a caller has, over all runs of its stream.
 
     :ivar last: id of its last event, None before the first
@@ -50,14 +50,14 @@
     """
 
     def __init__(self, after: str | None) -> None:
-        self.last = after
+        self.last_id = after
         self.count = 0
 
     def _get_last(self) -> int | None:
-        text = self.last
+        text = self.last_id
         return int(text) if text is not None and text.isdecimal() else None
 
-    def admit(self, data: bytes) -> tuple[bytes, bool]:
+    def filter_new(self, data: bytes) -> tuple[bytes, bool]:
         """Take in whole events.
 
         :returns: those that the caller does not have, and whether none
@@ -65,7 +65,7 @@
         """
         fresh = []
         last = self._get_last()
-        for event in _cut(data):
+        for event in _split_events(data):
             number = _read_id(event)
             if number is None:
                 fresh.append(event)
@@ -79,11 +79,11 @@
             fresh.append(event)
             self.count += 1
         if last is not None:
-            self.last = str(last)
+            self.last_id = str(last)
         return b''.join(fresh), True
 
 
-def _cut(data: bytes) -> list[bytes]:
+def _split_events(data: bytes) -> list[bytes]:
     events = []
     start = 0
     while start < len(data):
--- a/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
@@ -18,7 +18,7 @@
 ]
 
 # Least time after which a refused caller is to return, in seconds.
-LEAST_RETRY_SECONDS = 0.05
+MIN_RETRY_AFTER_SECONDS = 0.05
 # Times that endpoints may refuse a request that did not run before its
 # caller hears of it: they answer in milliseconds, and each costs a part of
 # the shared budget.
@@ -66,13 +66,13 @@
     priority: int
     fingerprint: str
     digest: int = 0
-    returned: bool = False
+    was_refused: bool = False
     team: str | None = None
     sends: int = 0
     runs: int = 0
-    tried: list[str] = attrs.field(factory=list)
+    failed_endpoints: list[str] = attrs.field(factory=list)
     events: int = 0
-    first_event: float | None = None
+    first_event_delay: float | None = None
     last_event: float = 0.0
     longest_gap: float = 0.0
 
@@ -82,7 +82,7 @@
         return self.rule.then
 
     @property
-    def may_run_again(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Whether another endpoint may get it.
 
         Refusals don't end a stream that ran: its caller has a part of it,
@@ -94,18 +94,18 @@
         under_way = self.terms.stream and self.runs > 0
         return under_way or self.sends < attempts + MAX_REFUSALS
 
-    def can_go_on(self, ran: bool, now: float) -> bool:
+    def can_retry(self, ran: bool, now: float) -> bool:
         """Tell whether another run may serve it.
 
         :param ran: whether one may have run so far
         :param now: monotonic time in seconds
         """
-        if ran and not self.may_repeat:
+        if ran and not self.is_repeatable:
             return False
-        return self.may_run_again and self.deadline > now
+        return self.has_attempts_left and self.deadline > now
 
     @property
-    def may_repeat(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether it may run again after it may have run."""
         terms = self.terms
         return bool(terms.repeatable) or (terms.stream and terms.resumable)
@@ -121,7 +121,7 @@
 
     exchange: Exchange
     profile: profiles.EngineProfile
-    sequence: events.Sequence
+    sequence: events.EventSequence
 
 
 def refuse(
@@ -133,6 +133,6 @@
     """
     headers = []
     if retry_after is not None:
-        seconds = max(LEAST_RETRY_SECONDS, retry_after)
+        seconds = max(MIN_RETRY_AFTER_SECONDS, retry_after)
         headers.append(('Retry-After', f'{seconds:.2f}'))
     reply.send(callermessages.Head(status, headers))
--- a/packages/daemon/src/dunlintide_daemon/gateway/follower.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/follower.py
@@ -17,25 +17,25 @@
 
 # Longest wait of one watch, as a part of the time that a leaving endpoint may
 # still be used: a connection that went silent is noticed within it.
-WATCH_PART = 0.8
+WATCH_TIMEOUT_FRACTION = 0.8
 # Pause between two watches, as a part of the same time: changes that come
 # together cost one call. Endpoints write all the time, so without a pause
 # each of their writes costs one call of each entry.
-BATCH_PART = 0.3
+BATCH_PAUSE_FRACTION = 0.3
 # Pauses between tries while the store fails, in seconds, with jitter so
 # that entries do not return together.
 RETRY_SECONDS = (0.1, 0.4)
 # Time after the store's return in which a missing endpoint may just not
 # have written yet, in seconds.
-RETURN_SECONDS = 2.2
+RECOVERY_GRACE_SECONDS = 2.2
 # Failures for this long count as an outage, in seconds.
 OUTAGE_SECONDS = 0.8
 # How long an endpoint that is gone is remembered, in seconds: a copy of the
 # store that is some seconds old may still list it.
-GONE_SECONDS = 60.0
+REMOVAL_MEMORY_SECONDS = 60.0
 # Time after the return from a copy by which the store no longer lists what
 # fell silent, in seconds: three pauses between the reports of an endpoint.
-CONFIRMED_SECONDS = 4.5
+CONFIRMATION_SECONDS = 4.5
 
 # How long an endpoint whose entry can't be read still holds its layers, in
 # seconds: one that lives writes again within 1.2 s, and the store drops a
@@ -43,13 +43,13 @@
 UNREADABLE_SECONDS = 3.6
 # How far ahead of this host's clock an endpoint may say that it began, in
 # seconds: clocks differ by seconds.
-CLOCK_SECONDS = 60.0
+MAX_CLOCK_SKEW_SECONDS = 60.0
 
-OwnHandler = Callable[[storevalues.Item], None]
+EntryItemHandler = Callable[[storevalues.Item], None]
 Revision = storevalues.Revision
 
 # Stands for all revisions of the eras before the present one.
-_BEFORE = Revision(-1, 0)
+_EARLIER_ERA = Revision(-1, 0)
 
 
 class Follower:
@@ -59,7 +59,7 @@
         self,
         state: state_module.State,
         store: store_module.Store,
-        handle_own: OwnHandler,
+        handle_entry_item: EntryItemHandler,
     ) -> None:
         """Prepare to follow.
 
@@ -67,31 +67,34 @@
         """
         self._state = state
         self._store = store
-        self._handle_own = handle_own
+        self._handle_entry_item = handle_entry_item
         self._revision: Revision | None = None
         # Revision of the first whole reading in an era; what changed up to it
         # may come from a copy.
-        self._base = _BEFORE
-        self._missing: set[str] = set()
+        self._base_revision = _EARLIER_ERA
+        self._pending_removals: set[str] = set()
         self._revisions: dict[str, Revision] = {}
-        self._gone: dict[str, tuple[Revision, float]] = {}
-        self._unconfirmed: set[str] = set()
-        self._step: asyncio.Task | None = None
-        self._lost_at: float | None = None
-        self._returned_at = float('-inf')
-        self._refused: dict[str, str] = {}
+        self._removed: dict[str, tuple[Revision, float]] = {}
+        self._reappeared: set[str] = set()
+        self._current_task: asyncio.Task | None = None
+        self._failing_since: float | None = None
+        self._recovered_at = float('-inf')
+        self._logged_problems: dict[str, str] = {}
 
     async def run(self) -> None:
         """Follow until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             work = self._read_all if self._revision is None else self._watch
-            self._step = loop.create_task(work())
+            self._current_task = loop.create_task(work())
             try:
-                await asyncio.wait({self._step})
+                await asyncio.wait({self._current_task})
             finally:
-                self._step.cancel()
-            if not self._step.cancelled() and not self._step.result():
+                self._current_task.cancel()
+            if (
+                not self._current_task.cancelled()
+                and not self._current_task.result()
+            ):
                 await asyncio.sleep(random.uniform(*RETRY_SECONDS))
 
     def begin_era(self) -> None:
@@ -100,39 +103,42 @@
         The platform writes again what the store lost.
         """
         self._revision = None
-        self._base = _BEFORE
-        self._revisions = dict.fromkeys(self._revisions, _BEFORE)
-        self._gone = {
-            key: (_BEFORE, at) for key, (_, at) in self._gone.items()
+        self._base_revision = _EARLIER_ERA
+        self._revisions = dict.fromkeys(self._revisions, _EARLIER_ERA)
+        self._removed = {
+            key: (_EARLIER_ERA, at) for key, (_, at) in self._removed.items()
         }
-        self._returned_at = self._state.now
+        self._recovered_at = self._state.now
         self._state.log.write_always(
             'store returned from a copy', era=self._store.era
         )
-        if self._step is not None and self._step is not asyncio.current_task():
-            self._step.cancel()
+        if (
+            self._current_task is not None
+            and self._current_task is not asyncio.current_task()
+        ):
+            self._current_task.cancel()
 
-    def _note_answer(self) -> None:
+    def _record_success(self) -> None:
         now = self._state.now
-        if self._lost_at is None:
+        if self._failing_since is None:
             return
-        lost, self._lost_at = now - self._lost_at, None
+        lost, self._failing_since = now - self._failing_since, None
         if lost >= OUTAGE_SECONDS:
-            self._returned_at = now
+            self._recovered_at = now
             self._state.log.write_always('store regained', seconds=lost)
 
-    def _note_failure(self, refusal: storevalues.Refusal) -> None:
+    def _record_failure(self, refusal: storevalues.Refusal) -> None:
         self._state.counters.store_faults.labels(refusal.fault).inc()
-        if self._lost_at is None:
-            self._lost_at = self._state.now
+        if self._failing_since is None:
+            self._failing_since = self._state.now
             self._state.log.write_always(
                 'store lost',
                 fault=refusal.fault,
                 detail=refusal.detail,
-                **self._describe(),
+                **self._describe_revision(),
             )
 
-    def _describe(self) -> dict[str, int | None]:
+    def _describe_revision(self) -> dict[str, int | None]:
         """Tell up to where the store is known, for the log."""
         known = self._revision
         return {
@@ -143,30 +149,30 @@
     async def _read_all(self) -> bool:
         listed = await self._store.list_items(listings.EVERYTHING)
         if listed.is_err():
-            self._note_failure(listed.err_value)
+            self._record_failure(listed.err_value)
             return False
-        self._note_answer()
-        news = listed.ok_value
-        if self._base is _BEFORE:
-            self._base = news.revision
+        self._record_success()
+        changes = listed.ok_value
+        if self._base_revision is _EARLIER_ERA:
+            self._base_revision = changes.revision
         present = set()
-        for item in news.items:
+        for item in changes.items:
             present.add(item.key)
             self.apply(item)
-        self._drop_missing(present, news.revision)
-        self._state.listed = True
-        self._state.listed_at = self._state.now
-        self._state.notify()
-        self._revision = news.revision
+        self._remove_unlisted(present, changes.revision)
+        self._state.has_listing = True
+        self._state.listing_read_at = self._state.now
+        self._state.notify_listeners()
+        self._revision = changes.revision
         self._state.log.write(
             'store read',
-            revision=news.revision.number,
-            era=news.revision.era,
-            keys=len(news.items),
+            revision=changes.revision.number,
+            era=changes.revision.era,
+            keys=len(changes.items),
         )
         return True
 
-    def _drop_missing(self, present: set[str], revision: Revision) -> None:
+    def _remove_unlisted(self, present: set[str], revision: Revision) -> None:
         """Remove what a whole reading did not show.
 
         :param revision: that of the reading
@@ -182,27 +188,29 @@
     async def _watch(self) -> bool:
         drain = self._state.settings.drain
         watched = await self._store.watch(
-            listings.EVERYTHING, self._revision, drain * WATCH_PART
+            listings.EVERYTHING, self._revision, drain * WATCH_TIMEOUT_FRACTION
         )
         if watched.is_err():
             refusal = watched.err_value
             if refusal.fault is storevalues.Fault.COMPACTED:
                 self._state.log.write(
-                    'history lost', detail=refusal.detail, **self._describe()
+                    'history lost',
+                    detail=refusal.detail,
+                    **self._describe_revision(),
                 )
                 self._revision = None
                 return True
-            self._note_failure(refusal)
+            self._record_failure(refusal)
             return False
-        self._note_answer()
-        news = watched.ok_value
-        for item in news.items:
+        self._record_success()
+        changes = watched.ok_value
+        for item in changes.items:
             self.apply(item)
-        self._revision = news.revision
-        self._expire_missing()
-        self._state.listed_at = self._state.now
-        if news.items:
-            await asyncio.sleep(drain * BATCH_PART)
+        self._revision = changes.revision
+        self._expire()
+        self._state.listing_read_at = self._state.now
+        if changes.items:
+            await asyncio.sleep(drain * BATCH_PAUSE_FRACTION)
         return True
 
     def apply(self, item: storevalues.Item) -> None:
@@ -210,11 +218,11 @@
         known = self._revisions.get(item.key)
         if known is not None and item.revision <= known:
             if item.revision < known:
-                self._log_passed_over(item, known)
+                self._log_stale_item(item, known)
             return
         if self._is_superseded(item):
-            self._unconfirmed.add(item.key)
-            self._log_passed_over(item, self._gone[item.key][0])
+            self._reappeared.add(item.key)
+            self._log_stale_item(item, self._removed[item.key][0])
             return
         if item.value is None:
             self._revisions.pop(item.key, None)
@@ -225,15 +233,15 @@
         elif item.value is None and item.key != keys.LEADER_KEY:
             self._remove(item)
         else:
-            self._missing.discard(item.key)
-            self._gone.pop(item.key, None)
-            self._put(item)
+            self._pending_removals.discard(item.key)
+            self._removed.pop(item.key, None)
+            self._apply_value(item)
 
-    def _put(self, item: storevalues.Item) -> None:
+    def _apply_value(self, item: storevalues.Item) -> None:
         if item.key.startswith(listings.ENDPOINT_PREFIX):
             self._apply_endpoint(item)
         else:
-            self._handle_own(item)
+            self._handle_entry_item(item)
 
     def _is_superseded(self, item: storevalues.Item) -> bool:
         """Tell whether a key was written before it was seen to be gone.
@@ -241,15 +249,13 @@
         A copy may bring it back. What lives writes again or is still listed
         later on.
         """
-        if item.key not in self._gone or item.value is None:
+        if item.key not in self._removed or item.value is None:
             return False
-        revision, _ = self._gone[item.key]
-        since = self._base if revision is _BEFORE else revision
+        revision, _ = self._removed[item.key]
+        since = self._base_revision if revision is _EARLIER_ERA else revision
         return item.revision <= since
 
-    def _log_passed_over(
-        self, item: storevalues.Item, known: Revision
-    ) -> None:
+    def _log_stale_item(self, item: storevalues.Item, known: Revision) -> None:
         self._state.log.write(
             'older item passed over',
             key=item.key,
@@ -264,38 +270,40 @@
             return
         decoded = configurations.decode_deployment(item.value)
         if decoded.is_err():
-            self._refuse('configuration', item, decoded.err_value)
+            self._reject('configuration', item, decoded.err_value)
             return
-        self._refused.pop(item.key, None)
-        self._state.adopt(decoded.ok_value, item.value)
+        self._logged_problems.pop(item.key, None)
+        self._state.apply_configuration(decoded.ok_value, item.value)
 
-    def _refuse(self, kind: str, item: storevalues.Item, problem: str) -> None:
+    def _reject(self, kind: str, item: storevalues.Item, problem: str) -> None:
         """Count what can't be read, and log it once for each problem."""
         self._state.counters.refused_items.labels(kind).inc()
-        if self._refused.get(item.key) == problem:
+        if self._logged_problems.get(item.key) == problem:
             return
-        self._refused[item.key] = problem
+        self._logged_problems[item.key] = problem
         self._state.log.write_always(
             f'{kind} refused', problem=problem, revision=item.revision.number
         )
 
     def _apply_endpoint(self, item: storevalues.Item) -> None:
         identity = listings.get_identity(item.key)
-        newest = time.time() + CLOCK_SECONDS
+        newest = time.time() + MAX_CLOCK_SKEW_SECONDS
         decoded = listings.decode_endpoint(item.key, item.value, newest)
         if decoded.is_err():
-            self._refuse('endpoint', item, decoded.err_value)
+            self._reject('endpoint', item, decoded.err_value)
             self._state.mark_unreadable(identity)
             return
-        self._refused.pop(item.key, None)
+        self._logged_problems.pop(item.key, None)
         endpoint = decoded.ok_value
-        if item.revision <= self._base and self._knows_newer(endpoint):
+        if item.revision <= self._base_revision and self._has_newer_report(
+            endpoint
+        ):
             # It writes again what the store lost.
-            self._log_passed_over(item, _BEFORE)
+            self._log_stale_item(item, _EARLIER_ERA)
             return
-        self._state.put_endpoint(endpoint)
+        self._state.apply_endpoint(endpoint)
 
-    def _knows_newer(self, endpoint: endpoints_module.Endpoint) -> bool:
+    def _has_newer_report(self, endpoint: endpoints_module.Endpoint) -> bool:
         """Tell whether a later report of an endpoint is known."""
         known = self._state.endpoints.get(endpoint.name)
         if known is None:
@@ -305,42 +313,42 @@
 
     def _remove(self, item: storevalues.Item) -> None:
         """Forget a key, but not one that an outage or a copy made lapse."""
-        if self._state.now - self._returned_at < RETURN_SECONDS:
-            self._missing.add(item.key)
+        if self._state.now - self._recovered_at < RECOVERY_GRACE_SECONDS:
+            self._pending_removals.add(item.key)
             self._revisions[item.key] = item.revision
             return
-        self._drop(item.key, item.revision)
+        self._forget(item.key, item.revision)
 
-    def _drop(self, key: str, revision: Revision) -> None:
-        self._refused.pop(key, None)
+    def _forget(self, key: str, revision: Revision) -> None:
+        self._logged_problems.pop(key, None)
         self._revisions.pop(key, None)
         if key.startswith(listings.ENDPOINT_PREFIX):
-            self._gone[key] = (revision, self._state.now)
-            self._state.drop_endpoint(listings.get_identity(key))
+            self._removed[key] = (revision, self._state.now)
+            self._state.remove_endpoint(listings.get_identity(key))
         else:
-            self._handle_own(storevalues.Item(key, None, revision))
+            self._handle_entry_item(storevalues.Item(key, None, revision))
 
-    def _expire_missing(self) -> None:
+    def _expire(self) -> None:
         now = self._state.now
-        for identity, since in list(self._state.unreadable.items()):
+        for identity, since in list(self._state.unreadable_since.items()):
             if now - since >= UNREADABLE_SECONDS:
-                self._state.drop_endpoint(identity)
-        for key, (_, since) in list(self._gone.items()):
-            if now - since >= GONE_SECONDS:
-                del self._gone[key]
-        if now - self._returned_at < RETURN_SECONDS:
+                self._state.remove_endpoint(identity)
+        for key, (_, since) in list(self._removed.items()):
+            if now - since >= REMOVAL_MEMORY_SECONDS:
+                del self._removed[key]
+        if now - self._recovered_at < RECOVERY_GRACE_SECONDS:
             return
-        for key in self._missing:
-            self._drop(key, self._revisions.get(key, self._base))
-        self._missing.clear()
-        if now - self._returned_at >= CONFIRMED_SECONDS:
-            self._read_unconfirmed()
+        for key in self._pending_removals:
+            self._forget(key, self._revisions.get(key, self._base_revision))
+        self._pending_removals.clear()
+        if now - self._recovered_at >= CONFIRMATION_SECONDS:
+            self._reread_reappeared()
 
-    def _read_unconfirmed(self) -> None:
+    def _reread_reappeared(self) -> None:
         """Believe that what is still listed lives, though it was gone."""
-        if not self._unconfirmed:
+        if not self._reappeared:
             return
-        for key in self._unconfirmed:
-            self._gone.pop(key, None)
-        self._unconfirmed.clear()
+        for key in self._reappeared:
+            self._removed.pop(key, None)
+        self._reappeared.clear()
         self._revision = None
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -19,31 +19,31 @@
 
 # Pause between two messages to an entry of the same failure domain, in
 # seconds: about a tenth of the time that a stream is under way.
-PAUSE_SECONDS = 0.15
+INTERVAL_SECONDS = 0.15
 # Entries of other domains seldom use the same endpoints, and bytes between
 # domains are scarce: for so many entries every third message goes to them,
 # for more entries fewer.
-ENTRIES_AT_THIRD = 6
+ENTRIES_PER_STEP = 6
 # Shortest pause between two messages about doubted endpoints, in seconds:
 # by the time of the next regular one each entry has sent a request to a dead
 # endpoint, and each is refused at the cost of the shared budget.
-ALARM_PAUSE_SECONDS = 0.03
+ALERT_INTERVAL_SECONDS = 0.03
 # Other entries up to which all of them are told of doubts at once: the bytes
 # grow with the square of their number, and with few entries a failure domain
 # has hardly another one to tell.
-MOST_TOLD = 32
+MAX_ALERTED_ENTRIES = 32
 # How long news of a leaving endpoint or a broken run is repeated, in
 # seconds.
 REPEAT_SECONDS = 3.0
 # How long a refusal is repeated, in seconds: no caller is told to return
 # sooner, and at the most two messages of three are lost.
-REFUSED_SECONDS = 0.5
+REFUSAL_REPEAT_SECONDS = 0.5
 # How long an entry that is not listed any more may still coordinate rate
 # limits beyond its time to stop, in seconds.
-DEPARTED_SECONDS = 2.0
+DEPARTED_GRACE_SECONDS = 2.0
 # Spread of the pauses that entries keep before an engine that refused one of
 # them as full, as parts of the usual pause.
-FULL_PARTS = (0.5, 1.5)
+FULL_PAUSE_JITTER = (0.5, 1.5)
 
 
 class Gossip(asyncio.DatagramProtocol):
@@ -61,8 +61,8 @@
         self.receive_permit: Callable[[bytes, str], None] | None = None
         self._digests: dict[int, str] = {}
         self._digests_version: int | None = None
-        self.newer: str | None = None
-        self.newer_found = asyncio.Event()
+        self.newer_entry: str | None = None
+        self.newer_entry_found = asyncio.Event()
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
         self._transport = transport
@@ -75,8 +75,8 @@
         if entry.name == self._state.settings.name:
             return
         self.entries[entry.name] = entry
-        self._state.entries.add(entry.name)
-        self._state.others.add(entry.name)
+        self._state.known_entries.add(entry.name)
+        self._state.listed_entries.add(entry.name)
         self._state.permits.add_member(entry.name)
         self._departed.pop(entry.name, None)
 
@@ -88,24 +88,24 @@
         entry = self.entries.pop(name, None)
         if entry is not None:
             last = self._state.now + self._state.settings.grace
-            self._departed[name] = (last + DEPARTED_SECONDS, entry)
-        self._state.others.discard(name)
+            self._departed[name] = (last + DEPARTED_GRACE_SECONDS, entry)
+        self._state.listed_entries.discard(name)
         self._state.occupancy.drop_remote(name)
 
     async def run(self) -> None:
         """Tell the others until cancelled."""
-        turn = 0
+        rounds = 0
         while True:
-            await self._wait(PAUSE_SECONDS)
+            await self._wait(INTERVAL_SECONDS)
             if self._state.occupancy.expire(self._state.now):
                 self._state.wake_all()
             self._expire_departed()
-            turn += 1
+            rounds += 1
             if self.entries:
                 domains = {self._state.settings.failure_domain}
-                if turn % self._count_turns() == 0:
+                if rounds % self._choose_cross_domain_interval() == 0:
                     domains = self._list_domains()
-                self._tell(self._build(), domains)
+                self._broadcast(self._build(), domains)
 
     def _expire_departed(self) -> None:
         now = self._state.now
@@ -128,19 +128,19 @@
 
     async def _wait(self, seconds: float) -> None:
         """Wait for the next regular message; tell doubts meanwhile."""
-        alarmed = self._state.alarmed
+        alert_pending = self._state.alert_pending
         due = self._state.now + seconds
         while (left := due - self._state.now) > 0:
             try:
                 async with asyncio.timeout(left):
-                    await alarmed.wait()
+                    await alert_pending.wait()
             except TimeoutError:
                 return
-            alarmed.clear()
-            self._tell(*self._build_alarm())
-            await asyncio.sleep(ALARM_PAUSE_SECONDS)
+            alert_pending.clear()
+            self._broadcast(*self._build_alert())
+            await asyncio.sleep(ALERT_INTERVAL_SECONDS)
 
-    def _build_alarm(self) -> tuple[gossipmessages.Message, set[str]]:
+    def _build_alert(self) -> tuple[gossipmessages.Message, set[str]]:
         """Build a message of doubts and refusals alone.
 
         :returns: the message and the failure domains that it concerns: among
@@ -164,7 +164,7 @@
             paces=self._list_paces(),
         )
         own = state.settings.failure_domain
-        if len(self.entries) <= MOST_TOLD:
+        if len(self.entries) <= MAX_ALERTED_ENTRIES:
             return message, self._list_domains()
         for name in (*doubted, *refusing, *full):
             endpoint = state.endpoints.get(name)
@@ -175,9 +175,9 @@
     def _list_domains(self) -> set[str]:
         return {each.domain for each in self.entries.values()}
 
-    def _count_turns(self) -> int:
+    def _choose_cross_domain_interval(self) -> int:
         """Tell which of the messages also goes to other domains."""
-        return 3 * max(1, round(len(self.entries) / ENTRIES_AT_THIRD))
+        return 3 * max(1, round(len(self.entries) / ENTRIES_PER_STEP))
 
     def _build(self) -> gossipmessages.Message:
         state = self._state
@@ -197,14 +197,14 @@
             ],
             [
                 gossipmessages.digest(name)
-                for name, at in state.leaving.items()
+                for name, at in state.leaving_since.items()
                 if at >= since
             ],
             list(
                 map(gossipmessages.digest, state.soundness.list_doubted(now))
             ),
             state.crashers.list_recent(since),
-            state.returns.list_recent(now - REFUSED_SECONDS),
+            state.returns.list_recent(now - REFUSAL_REPEAT_SECONDS),
             list(
                 map(gossipmessages.digest, state.soundness.list_refusing(now))
             ),
@@ -213,27 +213,27 @@
         )
 
     def _list_paces(self) -> list[tuple[int, int]]:
-        told = self._state.paces.list_own(self._state.now)
+        measured = self._state.paces.list_own(self._state.now)
         return [
             (
                 gossipmessages.digest(name),
                 round(pace / gossipmessages.PACE_UNIT),
             )
-            for name, pace in told.items()
+            for name, pace in measured.items()
         ]
 
     def _list_ages(self) -> list[int]:
-        flows = self._state.soundness.list_flows(self._state.now)
+        progress = self._state.soundness.list_flows(self._state.now)
         longest = gossipmessages.LONGEST_AGE * gossipmessages.AGE_UNIT
         return [
             int(
-                min(flows.get(name, longest), longest)
+                min(progress.get(name, longest), longest)
                 / gossipmessages.AGE_UNIT
             )
             for name in self._state.occupancy.list_own()
         ]
 
-    def _tell(
+    def _broadcast(
         self, message: gossipmessages.Message, domains: Container[str]
     ) -> None:
         """Send a message to the entries of failure domains.
@@ -249,7 +249,7 @@
                 for data in sent:
                     self._send_to(entry, data)
 
-    def _name_digests(self) -> dict[int, str]:
+    def _get_digests(self) -> dict[int, str]:
         """List what a digest may stand for, anew when the listing changes."""
         version = self._state.listing_version
         if version != self._digests_version:
@@ -279,12 +279,12 @@
                 'gossip refused', error=decoded.err_value, source=address[0]
             )
             return
-        self._take(decoded.ok_value)
+        self._apply(decoded.ok_value)
 
-    def _take(self, message: gossipmessages.Message) -> None:
+    def _apply(self, message: gossipmessages.Message) -> None:
         state = self._state
         now = state.now
-        names = self._name_digests()
+        names = self._get_digests()
         state.permits.liveness.hear(message.sender, now)
         for digest in message.leaving:
             if digest in names:
@@ -299,7 +299,7 @@
                     state.soundness.hear_refusal(names[digest], now)
             for digest in message.full:
                 if digest in names:
-                    part = state.random.uniform(*FULL_PARTS)
+                    part = state.random.uniform(*FULL_PAUSE_JITTER)
                     state.soundness.hear_full(names[digest], now, part)
         for digest, pace in message.paces:
             if digest in names:
@@ -318,16 +318,16 @@
                 for digest, sequences, started, cache in message.usages
                 if digest in names
             }
-            self._take_flows(message, names, now)
+            self._apply_progress(message, names, now)
             # Those that wait look again only if something came free: with
             # dozens of entries messages come every few milliseconds.
             if state.occupancy.set_remote(message.sender, usages, now):
                 state.wake_all()
         if message.version > state.version and message.sender in self.entries:
-            self.newer = message.sender
-            self.newer_found.set()
+            self.newer_entry = message.sender
+            self.newer_entry_found.set()
 
-    def _take_flows(
+    def _apply_progress(
         self,
         message: gossipmessages.Message,
         names: dict[int, str],
--- a/packages/daemon/src/dunlintide_daemon/gateway/leadership.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/leadership.py
@@ -17,12 +17,12 @@
 # Time that a leadership lives without renewal, in seconds: engines stay
 # without orders for as long when a leader dies.
 LEASE_SECONDS = 3.0
-KEEP_SECONDS = 0.9
+RENEW_INTERVAL_SECONDS = 0.9
 # Pause before a free key is taken, in seconds, so that few try at once.
-CLAIM_SECONDS = (0.0, 0.25)
-IDLE_SECONDS = 0.5
+CLAIM_DELAY_SECONDS = (0.0, 0.25)
+CLAIM_POLL_SECONDS = 0.5
 # Pause between tries to renew while the store fails, in seconds.
-RENEW_SECONDS = (0.1, 0.3)
+RENEW_RETRY_SECONDS = (0.1, 0.3)
 # Bits of a fence that hold the revision; the era stands above them, so that a
 # fence of a later era is above all that engines remember.
 _REVISION_BITS = 40
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class _Seat:
+class _Claim:
     """The key as it was last seen.
 
     :ivar is_vacant: whether it was claimed in another era than it was seen in
@@ -50,10 +50,10 @@
 
     holder: str
     revision: storevalues.Revision
-    is_vacant: bool
+    is_void: bool
 
     @classmethod
-    def from_item(cls, item: storevalues.Item) -> '_Seat':
+    def from_item(cls, item: storevalues.Item) -> '_Claim':
         """Read the key.
 
         A claim may come to pass in a later era than it was sent in, and a
@@ -61,8 +61,8 @@
         """
         holder = item.value.decode('utf-8', 'replace')
         _, mark, era = holder.rpartition(_ERA_MARK)
-        is_vacant = bool(mark) and era != str(item.revision.era)
-        return cls(holder, item.revision, is_vacant)
+        is_void = bool(mark) and era != str(item.revision.era)
+        return cls(holder, item.revision, is_void)
 
 
 class Leadership:
@@ -77,9 +77,9 @@
     ) -> None:
         self._state = state
         self._store = store
-        self._seat: _Seat | None = None
+        self._claim: _Claim | None = None
         self._lease: storevalues.Lease | None = None
-        self._tried = float('-inf')
+        self._attempted_at = float('-inf')
         self._changed = asyncio.Event()
         self._identity = f'{state.settings.name}/{random.getrandbits(48):x}'
         self.fence = 0
@@ -96,16 +96,16 @@
         if not self.fence:
             return False
         # Without a try for so long it was suspended itself.
-        return _read_clock() - self._tried < LEASE_SECONDS
+        return _read_clock() - self._attempted_at < LEASE_SECONDS
 
     def handle_item(self, item: storevalues.Item) -> None:
         """Take note of a change of the key."""
         if item.value is None:
-            self._seat = None
+            self._claim = None
         else:
-            self._seat = _Seat.from_item(item)
+            self._claim = _Claim.from_item(item)
             if self.fence and _make_fence(item.revision) > self.fence:
-                self._lose(f'{self._seat.holder} leads')
+                self._end_leadership(f'{self._claim.holder} leads')
         self._changed.set()
 
     def begin_era(self) -> None:
@@ -115,37 +115,37 @@
         holds of the key is read before it is claimed again.
         """
         if self.fence:
-            self._lose(f'era {self._store.era} of the store')
+            self._end_leadership(f'era {self._store.era} of the store')
         self._lease = None
-        self._seat = None
+        self._claim = None
         self._changed.set()
 
     async def run(self) -> None:
         """Lead whenever nobody else does, until cancelled."""
         while True:
             if self.fence:
-                await self._keep()
-            elif self._state.listed and not self._state.stopping:
+                await self._renew()
+            elif self._state.has_listing and not self._state.stopping:
                 await self._try_claim()
             else:
-                await asyncio.sleep(IDLE_SECONDS)
+                await asyncio.sleep(CLAIM_POLL_SECONDS)
 
-    async def _keep(self) -> None:
+    async def _renew(self) -> None:
         kept = await self._store.keep_lease(self._lease)
         if not self.fence:
             return
         if kept.is_err() and kept.err_value.fault in _ENDED:
-            self._lose(str(kept.err_value.fault))
+            self._end_leadership(str(kept.err_value.fault))
             return
         leads_on = self._state.has(mechanisms.Mechanism.LEADING_ON)
         if kept.is_ok() or leads_on:
-            self._tried = _read_clock()
+            self._attempted_at = _read_clock()
         if kept.is_ok():
-            await asyncio.sleep(KEEP_SECONDS)
+            await asyncio.sleep(RENEW_INTERVAL_SECONDS)
         else:
-            await asyncio.sleep(random.uniform(*RENEW_SECONDS))
+            await asyncio.sleep(random.uniform(*RENEW_RETRY_SECONDS))
 
-    def _lose(self, reason: str) -> None:
+    def _end_leadership(self, reason: str) -> None:
         self._state.log.write_always(
             'leadership lost', fence=self.fence, reason=reason
         )
@@ -162,9 +162,9 @@
 
     async def _try_claim(self) -> None:
         if self._is_taken():
-            await self._wait(IDLE_SECONDS)
+            await self._wait(CLAIM_POLL_SECONDS)
             return
-        await asyncio.sleep(random.uniform(*CLAIM_SECONDS))
+        await asyncio.sleep(random.uniform(*CLAIM_DELAY_SECONDS))
         if self._is_taken():
             return
         began = _read_clock()
@@ -174,22 +174,22 @@
             return
         value = f'{self._identity}{_ERA_MARK}{lease.ok_value.era}'.encode()
         write = storevalues.Write(keys.LEADER_KEY, value, lease.ok_value)
-        seen = self._seat.revision if self._seat else None
+        seen = self._claim.revision if self._claim else None
         condition = storevalues.Condition(keys.LEADER_KEY, seen)
         written = await self._store.write((condition,), (write,))
         if written.is_ok():
             self._begin(lease.ok_value, written.ok_value, began)
             return
         if written.err_value.fault is storevalues.Fault.UNKNOWN:
-            await self._settle(lease.ok_value, value, began)
+            await self._resolve_claim(lease.ok_value, value, began)
             return
         await self._store.end_lease(lease.ok_value)
-        await self._wait(IDLE_SECONDS)
+        await self._wait(CLAIM_POLL_SECONDS)
 
     def _is_taken(self) -> bool:
-        return self._seat is not None and not self._seat.is_vacant
+        return self._claim is not None and not self._claim.is_void
 
-    async def _settle(
+    async def _resolve_claim(
         self, lease: storevalues.Lease, value: bytes, began: float
     ) -> None:
         """Read whether a claim without an answer was done.
@@ -208,7 +208,7 @@
             return
         # It may still come to pass; the lease takes the key along.
         await self._store.end_lease(lease)
-        await self._wait(IDLE_SECONDS)
+        await self._wait(CLAIM_POLL_SECONDS)
 
     def _begin(
         self,
@@ -217,7 +217,7 @@
         began: float,
     ) -> None:
         self._lease = lease
-        self._tried = began
+        self._attempted_at = began
         self.fence = _make_fence(revision)
         self._state.log.write_always(
             'leadership gained',
@@ -226,7 +226,7 @@
             revision=revision.number,
         )
 
-    async def leave(self) -> None:
+    async def resign(self) -> None:
         """Stop to lead at once, so that another begins soon."""
         lease, self.fence = self._lease, 0
         if lease is not None:
--- a/packages/daemon/src/dunlintide_daemon/gateway/losses.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
@@ -13,36 +13,36 @@
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import orders
 
-__all__ = ['Losses']
+__all__ = ['LossDetector']
 
 # How long an engine is doubted before it is asked, in seconds: most doubts
 # end sooner, as other requests move through it.
-DOUBT_SECONDS = 0.8
+PROBE_AFTER_SECONDS = 0.8
 # How long an engine that is far from full refuses all requests before its
 # layers count as lost, in seconds: it may just be out of memory for a moment,
 # and is tried again after 0.3 and 0.6 s.
-LEAVING_SECONDS = 1.0
+REFUSAL_LOSS_SECONDS = 1.0
 # Times that an engine is asked in vain before it counts as lost: each
 # waits most of a second, and one alone may meet a lost packet.
-TRIES = 2
+MAX_PROBES = 2
 # Pause before an engine that answered is asked again, in seconds; each
 # question counts as a probe.
-PAUSE_SECONDS = 5.0
+PROBE_INTERVAL_SECONDS = 5.0
 # Part of the engines of which more than it seem lost only to an entry that
 # is cut off itself: a failure domain of three is the most that fails at once.
-MOST_PART = 0.34
+MAX_LOST_FRACTION = 0.34
 
 
-class Losses:
+class LossDetector:
     """Engines that are known to be dead."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
-        self._lost: dict[str, float] = {}
-        self._asked: dict[str, float] = {}
+        self._lost_at: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    def review(self, engines: list[endpoints_module.Endpoint]) -> set[str]:
+    def find_lost(self, engines: list[endpoints_module.Endpoint]) -> set[str]:
         """Ask doubted engines, and return the names of lost ones.
 
         :param engines: those that are listed
@@ -54,14 +54,17 @@
         self._forget({each.name for each in engines})
         for engine in engines:
             doubt = soundness.measure_doubt(engine.name, now)
-            if doubt >= DOUBT_SECONDS and engine.name not in self._lost:
-                self._ask(engine, now)
-        lost = set(self._lost) | self._list_leaving(engines, now)
-        if len(lost) > MOST_PART * len(engines):
+            if (
+                doubt >= PROBE_AFTER_SECONDS
+                and engine.name not in self._lost_at
+            ):
+                self._start_probe(engine, now)
+        lost = set(self._lost_at) | self._list_refusing(engines, now)
+        if len(lost) > MAX_LOST_FRACTION * len(engines):
             return set()
         return lost
 
-    def _list_leaving(
+    def _list_refusing(
         self, engines: list[endpoints_module.Endpoint], now: float
     ) -> set[str]:
         """List the engines that leave, by how they refuse.
@@ -73,33 +76,35 @@
         return {
             each.name
             for each in engines
-            if measure(each.name, now) >= LEAVING_SECONDS
+            if measure(each.name, now) >= REFUSAL_LOSS_SECONDS
         }
 
     def _forget(self, listed: set[str]) -> None:
         """Drop what is gone from the listing, and what works again."""
-        for known in (self._asked, self._lost):
+        for known in (self._probed_at, self._lost_at):
             for name in [each for each in known if each not in listed]:
                 del known[name]
-        for name, at in list(self._lost.items()):
+        for name, at in list(self._lost_at.items()):
             if self._state.soundness.has_moved_since(name, at):
                 self._state.log.write_always('engine back', endpoint=name)
-                del self._lost[name]
+                del self._lost_at[name]
 
-    def _ask(self, engine: endpoints_module.Endpoint, now: float) -> None:
-        asked = self._asked.get(engine.name)
-        if asked is not None and now - asked < PAUSE_SECONDS:
+    def _start_probe(
+        self, engine: endpoints_module.Endpoint, now: float
+    ) -> None:
+        probed_at = self._probed_at.get(engine.name)
+        if probed_at is not None and now - probed_at < PROBE_INTERVAL_SECONDS:
             return
-        self._asked[engine.name] = now
-        work = self._find_out(engine)
+        self._probed_at[engine.name] = now
+        work = self._probe(engine)
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _find_out(self, engine: endpoints_module.Endpoint) -> None:
+    async def _probe(self, engine: endpoints_module.Endpoint) -> None:
         began = self._state.now
         errors = []
-        for _ in range(TRIES):
+        for _ in range(MAX_PROBES):
             if not await self._state.admit(engine.name):
                 return
             sent = self._state.now
@@ -108,12 +113,12 @@
                 self._state.record_rate_limit(
                     engine.name, read.ok_value.rate_limit, sent
                 )
-                self._state.note_life(engine, read.ok_value.born)
+                self._state.record_incarnation(engine, read.ok_value.born)
                 return
             errors.append(read.err_value)
         if self._state.soundness.has_moved_since(engine.name, began):
             return
-        self._lost[engine.name] = self._state.now
+        self._lost_at[engine.name] = self._state.now
         self._state.log.write_always(
             'engine lost', endpoint=engine.name, errors=errors
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/pacer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/paceprober.py
@@ -8,15 +8,15 @@
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import orders
 
-__all__ = ['Pacer']
+__all__ = ['PaceProber']
 
 # Longest pause between two looks at slow engines, in seconds.
-LOOK_SECONDS = 0.2
+POLL_SECONDS = 0.2
 # Questions under way at the same time.
-MAX_ASKING = 16
+MAX_PROBES = 16
 
 
-class Pacer:
+class PaceProber:
     """Asker of engines, of its entry's failure domain and others alike."""
 
     def __init__(self, state: state_module.State) -> None:
@@ -28,14 +28,14 @@
         suspected = self._state.slow_suspected
         while True:
             try:
-                async with asyncio.timeout(LOOK_SECONDS):
+                async with asyncio.timeout(POLL_SECONDS):
                     await suspected.wait()
             except TimeoutError:
                 pass
             suspected.clear()
-            self._ask_all()
+            self._start_probes()
 
-    def _ask_all(self) -> None:
+    def _start_probes(self) -> None:
         state = self._state
         now = state.now
         paces = state.paces
@@ -44,14 +44,14 @@
         state.slow_suspects.clear()
         for name in names:
             endpoint = state.endpoints.get(name)
-            if endpoint is None or len(self._tasks) >= MAX_ASKING:
+            if endpoint is None or len(self._tasks) >= MAX_PROBES:
                 continue
-            work = self._ask(name, endpoint.address)
+            work = self._probe(name, endpoint.address)
             task = asyncio.get_running_loop().create_task(work)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, name: str, address: str) -> None:
+    async def _probe(self, name: str, address: str) -> None:
         state = self._state
         if not await state.admit(name):
             return
@@ -61,7 +61,7 @@
         if read.is_err():
             # Where all streams of a dead engine share its whole chain, none
             # of them shows which engine it is.
-            state.accuse([name], f'no report: {read.err_value}')
+            state.eject([name], f'no report: {read.err_value}')
             return
         state.record_rate_limit(name, read.ok_value.rate_limit, sent)
         slow = name in state.paces.list_slow(state.now)
@@ -74,4 +74,4 @@
                 pace=round(pace, 2),
             )
         if not slow:
-            state.alarmed.set()
+            state.alert_pending.set()
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -11,7 +11,7 @@
 from dunlintide_core.pipeline import mechanisms
 from dunlintide_core.pipeline import profiles
 from dunlintide_daemon.gateway import leadership as leadership_module
-from dunlintide_daemon.gateway import losses
+from dunlintide_daemon.gateway import lossdetector
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import orders
 
@@ -24,13 +24,13 @@
 # The same while no engine holds a layer. Engines that start together are
 # listed over the time between two of their reports, and a layout made for the
 # first of them alone gives longer chains.
-FIRST_SETTLE_SECONDS = 1.5
+INITIAL_SETTLE_SECONDS = 1.5
 # Time after which an order that shows no effect is looked into, in
 # seconds, beside the time to load.
 EFFECT_SECONDS = 2.5
 # Time for which layers must be lost before an engine is moved to them, in
 # seconds: an engine that comes back empty is given them at once.
-LOST_SECONDS = 0.4
+SCARCE_SECONDS = 0.4
 # Time without a change of what engines hold after which an engine is also
 # moved to layers that few hold, in seconds: most that crash are back by then.
 STEADY_SECONDS = 2.0
@@ -41,7 +41,7 @@
 
 
 @attrs.define(eq=False)
-class _Order:
+class _PendingOrder:
     """An order that may have been carried out.
 
     :ivar expected: orders that the engine should have accepted before
@@ -57,7 +57,7 @@
 
 
 @attrs.define(eq=False)
-class _Holding:
+class _ServiceLayers:
     """What the engines of a service held when it changed last.
 
     :ivar changed: monotonic time of the change, in seconds
@@ -66,7 +66,7 @@
 
     ranges: tuple
     changed: float
-    settled: bool = False
+    is_settled: bool = False
 
 
 class Placer:
@@ -79,13 +79,15 @@
     ) -> None:
         self._state = state
         self._leadership = leadership
-        self._losses = collections.defaultdict(lambda: losses.Losses(state))
+        self._loss_detectors = collections.defaultdict(
+            lambda: lossdetector.LossDetector(state)
+        )
         self._demands = collections.defaultdict(demands_module.Demands)
-        self._open: dict[str, _Order] = {}
-        self._seen: set[str] = set()
-        self._settled_at = float('inf')
-        self._lost_at: dict[str, float] = {}
-        self._holdings: dict[str, _Holding] = {}
+        self._pending: dict[str, _PendingOrder] = {}
+        self._seen_endpoints: set[str] = set()
+        self._settles_at = float('inf')
+        self._scarce_since: dict[str, float] = {}
+        self._service_layers: dict[str, _ServiceLayers] = {}
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
@@ -93,70 +95,70 @@
         while True:
             await asyncio.sleep(TICK_SECONDS)
             if not self._leadership.is_leading:
-                self._open.clear()
-                self._seen.clear()
+                self._pending.clear()
+                self._seen_endpoints.clear()
                 self._demands.clear()
                 continue
-            self._review()
+            self._plan()
 
-    def _review(self) -> None:
+    def _plan(self) -> None:
         deployment = self._state.deployment
         if deployment is None:
             return
         now = self._state.now
         known = set(self._state.endpoints)
-        if known - self._seen:
-            self._seen |= known
-            self._settled_at = now + self._choose_settling()
-        if now < self._settled_at:
+        if known - self._seen_endpoints:
+            self._seen_endpoints |= known
+            self._settles_at = now + self._choose_settle_seconds()
+        if now < self._settles_at:
             return
         for service in deployment.services.values():
             if service.engine is not None:
-                self._review_service(service.name, service.engine, now)
+                self._plan_service(service.name, service.engine, now)
 
-    def _choose_settling(self) -> float:
+    def _choose_settle_seconds(self) -> float:
         endpoints = self._state.endpoints.values()
         if any(each.end > each.start for each in endpoints):
             return SETTLE_SECONDS
-        return FIRST_SETTLE_SECONDS
+        return INITIAL_SETTLE_SECONDS
 
-    def _review_service(
+    def _plan_service(
         self, service: str, profile: profiles.EngineProfile, now: float
     ) -> None:
         listed = self._state.list_engines(service, profile)
         names = {each.name for each in listed}
-        self._observe(service, profile, listed, now)
-        lost = self._losses[service].review(listed)
+        self._record_demand(service, profile, listed, now)
+        lost = self._loss_detectors[service].find_lost(listed)
         engines = [each for each in listed if each.name not in lost]
         holding = []
         empty = []
         for engine in engines:
-            order = self._open.get(engine.name)
-            if order is not None and self._is_settled(order, engine):
-                del self._open[engine.name]
+            order = self._pending.get(engine.name)
+            if order is not None and self._has_taken_effect(order, engine):
+                del self._pending[engine.name]
                 order = None
             if order is not None:
                 holding.append(order.placement)
                 if now >= order.retry_at:
-                    self._send(order, profile, now)
+                    self._start_sending(order, profile, now)
             elif engine.end > engine.start:
                 holding.append(
                     layout.Placement(engine, engine.start, engine.end)
                 )
             else:
                 empty.append(engine)
-        for name in [name for name in self._open if name not in names]:
-            order = self._open[name]
+        for name in [name for name in self._pending if name not in names]:
+            order = self._pending[name]
             if order.placement.endpoint.service == service:
-                del self._open[name]
+                del self._pending[name]
         known = self._demands[service].list_known()
         for placement in layout.plan_new(profile, holding, empty, known):
             # A new engine has accepted none; another refuses and tells.
-            self._begin(_Order(placement), profile, now)
+            self._add_order(_PendingOrder(placement), profile, now)
         if not empty and self._state.has(mechanisms.Mechanism.MOVES):
-            self._repair(service, profile, holding, now)
+            self._plan_moves(service, profile, holding, now)
 
-    def _observe(
+    def _record_demand(
         self,
         service: str,
         profile: profiles.EngineProfile,
@@ -171,7 +173,7 @@
         for domain, tokens in taken.items():
             self._demands[service].observe(domain, tokens, now)
 
-    def _repair(
+    def _plan_moves(
         self,
         service: str,
         profile: profiles.EngineProfile,
@@ -184,16 +186,16 @@
             tuple((each.endpoint.name, each.start) for each in holding),
             tuple(known.items()),
         )
-        held = self._holdings.get(service)
+        held = self._service_layers.get(service)
         if held is None or held.ranges != ranges:
-            held = self._holdings[service] = _Holding(ranges, now)
-        if held.settled:
+            held = self._service_layers[service] = _ServiceLayers(ranges, now)
+        if held.is_settled:
             return
         steady = now - held.changed >= STEADY_SECONDS
         movable = {
             each.endpoint.name
             for each in holding
-            if each.endpoint.name not in self._open
+            if each.endpoint.name not in self._pending
         }
         moves = layout.plan_moves(
             profile,
@@ -203,11 +205,11 @@
             known,
             steady,
         )
-        held.settled = steady and not moves and not self._open
+        held.is_settled = steady and not moves and not self._pending
         if not moves:
-            self._lost_at.pop(service, None)
+            self._scarce_since.pop(service, None)
             return
-        if now - self._lost_at.setdefault(service, now) < LOST_SECONDS:
+        if now - self._scarce_since.setdefault(service, now) < SCARCE_SECONDS:
             return
         for placement in moves:
             name = placement.endpoint.name
@@ -218,22 +220,26 @@
                 layers=[placement.start, placement.end],
                 in_use=self._state.occupancy.get(name).sequences,
             )
-            self._begin(_Order(placement, checked=False), profile, now)
+            self._add_order(
+                _PendingOrder(placement, checked=False), profile, now
+            )
 
-    def _begin(
-        self, order: _Order, profile: profiles.EngineProfile, now: float
+    def _add_order(
+        self, order: _PendingOrder, profile: profiles.EngineProfile, now: float
     ) -> None:
-        self._open[order.placement.endpoint.name] = order
-        self._send(order, profile, now)
+        self._pending[order.placement.endpoint.name] = order
+        self._start_sending(order, profile, now)
 
     @staticmethod
-    def _is_settled(order: _Order, engine: endpoints_module.Endpoint) -> bool:
+    def _has_taken_effect(
+        order: _PendingOrder, engine: endpoints_module.Endpoint
+    ) -> bool:
         """Tell whether the listing shows the effect of an order."""
         wanted = order.placement
         return (engine.start, engine.end) == (wanted.start, wanted.end)
 
-    def _send(
-        self, order: _Order, profile: profiles.EngineProfile, now: float
+    def _start_sending(
+        self, order: _PendingOrder, profile: profiles.EngineProfile, now: float
     ) -> None:
         if len(self._tasks) >= MAX_SENDING:
             return
@@ -241,12 +247,12 @@
         load = profile.load_seconds * share / profile.layers
         order.due = now + load + EFFECT_SECONDS
         order.retry_at = float('inf')
-        task = asyncio.get_running_loop().create_task(self._give(order))
+        task = asyncio.get_running_loop().create_task(self._send(order))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _give(self, order: _Order) -> None:
-        if not order.checked and not await self._check(order):
+    async def _send(self, order: _PendingOrder) -> None:
+        if not order.checked and not await self._should_resend(order):
             return
         placement = order.placement
         if not await self._state.admit(placement.endpoint.name):
@@ -278,7 +284,7 @@
         else:
             order.retry_at = self._state.now + RETRY_SECONDS
 
-    async def _check(self, order: _Order) -> bool:
+    async def _should_resend(self, order: _PendingOrder) -> bool:
         """Ask an engine what became of an order.
 
         :returns: whether it should be given again
@@ -297,7 +303,7 @@
             return False
         report = read.ok_value
         self._state.record_rate_limit(endpoint.name, report.rate_limit, sent)
-        self._state.note_life(endpoint, report.born)
+        self._state.record_incarnation(endpoint, report.born)
         order.expected = report.orders
         held = (report.start, report.end)
         placement = order.placement
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -20,13 +20,13 @@
 from dunlintide_daemon.gateway import admin as admin_module
 from dunlintide_daemon.gateway import counters
 from dunlintide_daemon.gateway import follower as follower_module
-from dunlintide_daemon.gateway import front as front_module
 from dunlintide_daemon.gateway import gossip as gossip_module
 from dunlintide_daemon.gateway import leadership as leadership_module
-from dunlintide_daemon.gateway import pacer as pacer_module
+from dunlintide_daemon.gateway import paceprober as paceprober_module
 from dunlintide_daemon.gateway import placer as placer_module
 from dunlintide_daemon.gateway import ratelimiter as ratelimiter_module
 from dunlintide_daemon.gateway import registrar as registrar_module
+from dunlintide_daemon.gateway import requesthandler as requesthandler_module
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import configurations
 from dunlintide_platform import keys
@@ -38,22 +38,22 @@
 Settings = settings_module.EdgeSettings
 
 FLUSH_SECONDS = 0.1
-SWEEP_SECONDS = 0.5
+EXPIRY_SECONDS = 0.5
 # Lateness of the event loop that is logged, in seconds: streams are late then.
-STALL_SECONDS = 0.1
+STALL_THRESHOLD_SECONDS = 0.1
 # How often the settings file is looked at, since it may change without a
 # signal, in seconds.
 RELOAD_SECONDS = 1.0
 # Time after SIGTERM at which resting connections are closed, in seconds:
 # by then the balancer has seen two answers that the entry isn't ready.
-REUSE_SECONDS = 2.6
+KEEP_ALIVE_SECONDS = 2.6
 # Time left before SIGKILL when what still runs is cut, in seconds.
-MARGIN_SECONDS = 0.35
+KILL_MARGIN_SECONDS = 0.35
 # Time to fetch a configuration from another entry, in seconds.
-FETCH_SECONDS = 1.0
+FETCH_TIMEOUT_SECONDS = 1.0
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(':')
     return host, int(port)
 
@@ -67,7 +67,7 @@
     )
 
 
-class _Process:
+class _EntryProcess:
     """The parts of an entry and their lives."""
 
     def __init__(
@@ -85,7 +85,7 @@
             registries.CollectorRegistry()
         )
         self._state = state_module.State(settings, log, metrics)
-        self._state.entries.add(settings.name)
+        self._state.known_entries.add(settings.name)
         self._store = store_module.Store(settings.store)
         self._gossip = gossip_module.Gossip(self._state)
         limiter = ratelimiter_module.RateLimiter(
@@ -106,7 +106,7 @@
             self._state, self._store, entry
         )
         self._follower = follower_module.Follower(
-            self._state, self._store, self._take_own
+            self._state, self._store, self._handle_entry_item
         )
         # The reading comes last, with what the others gave up in mind.
         self._store.era_listeners += (
@@ -115,12 +115,12 @@
             self._follower.begin_era,
         )
         self._placer = placer_module.Placer(self._state, self._leadership)
-        self._pacer = pacer_module.Pacer(self._state)
-        front = front_module.Front(self._state)
+        self._pace_prober = paceprober_module.PaceProber(self._state)
+        handler = requesthandler_module.RequestHandler(self._state)
         admin = admin_module.Admin(self._state)
         bounds = _make_bounds(deployments.CallerLimits())
         self._callers = callerhttp.CallerServer(
-            front.handle, bounds, self._report
+            handler.handle, bounds, self._log_error
         )
         self._servers = [
             (settings.ready_listen, admin.handle_ready),
@@ -130,10 +130,10 @@
         self._bounds = bounds
         self._stop = asyncio.Event()
 
-    def _report(self, what: str, error: BaseException | None) -> None:
+    def _log_error(self, what: str, error: BaseException | None) -> None:
         self._state.log.write(what, error=repr(error))
 
-    def _take_own(self, item: storevalues.Item) -> None:
+    def _handle_entry_item(self, item: storevalues.Item) -> None:
         """Take in a key that an entry wrote."""
         if item.key == keys.LEADER_KEY:
             self._leadership.handle_item(item)
@@ -150,7 +150,7 @@
                 self._gossip.set_entry(decoded.ok_value)
             else:
                 self._state.counters.refused_items.labels('entry').inc()
-                self._report('entry refused', ValueError(decoded.err_value))
+                self._log_error('entry refused', ValueError(decoded.err_value))
 
     async def run(self) -> None:
         """Serve until SIGTERM and what it leaves time for."""
@@ -160,7 +160,7 @@
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        state.listeners.append(self._update_bounds)
+        state.change_listeners.append(self._update_bounds)
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(state.log.flush)
             stack.callback(self._store.close)
@@ -172,50 +172,52 @@
                 self._registrar.run,
                 self._leadership.run,
                 self._placer.run,
-                self._pacer.run,
+                self._pace_prober.run,
                 self._gossip.run,
                 self._fetch_newer,
-                self._keep_house,
+                self._run_maintenance,
                 self._watch_settings,
             ):
-                self._spawn(stack, work)
+                self._keep_running(stack, work)
             await self._stop.wait()
-            await self._end()
+            await self._shut_down()
 
     async def _listen(self, stack: contextlib.AsyncExitStack) -> None:
         settings = self._state.settings
         loop = asyncio.get_running_loop()
         for address, handle in self._servers:
             server = callerhttp.CallerServer(
-                handle, self._bounds, self._report
+                handle, self._bounds, self._log_error
             )
-            await server.listen(*_split(address))
+            await server.listen(*_split_address(address))
             stack.callback(server.close)
         await self._listen_to_callers(settings.listen)
         stack.callback(self._callers.close)
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: self._gossip, _split(settings.gossip_listen)
+            lambda: self._gossip, _split_address(settings.gossip_listen)
         )
         stack.callback(transport.close)
 
     async def _listen_to_callers(self, address: str) -> None:
         """Take the socket that is open already if it is the right one."""
         listener, self._listener = self._listener, None
-        if listener is not None and listener.getsockname() == _split(address):
+        if listener is not None and listener.getsockname() == _split_address(
+            address
+        ):
             await self._callers.listen_on(listener)
             return
         if listener is not None:
             listener.close()
-        await self._callers.listen(*_split(address))
+        await self._callers.listen(*_split_address(address))
 
-    def _spawn(
+    def _keep_running(
         self,
         stack: contextlib.AsyncExitStack,
         work: Callable[[], Coroutine],
     ) -> None:
         """Keep a loop running; what ends it is logged, then it goes on."""
 
-        async def keep() -> None:
+        async def rerun() -> None:
             while True:
                 try:
                     await work()
@@ -226,7 +228,7 @@
                     )
                     await asyncio.sleep(RELOAD_SECONDS)
 
-        task = asyncio.get_running_loop().create_task(keep())
+        task = asyncio.get_running_loop().create_task(rerun())
         stack.callback(task.cancel)
 
     def _update_bounds(self) -> None:
@@ -234,34 +236,34 @@
         if deployment is not None:
             self._callers.bounds = _make_bounds(deployment.limits)
 
-    async def _keep_house(self) -> None:
+    async def _run_maintenance(self) -> None:
         state = self._state
-        swept = 0.0
+        expired_at = 0.0
         while True:
             slept = state.now
             await asyncio.sleep(FLUSH_SECONDS)
-            self._note_lag(state.now - slept - FLUSH_SECONDS)
+            self._record_lag(state.now - slept - FLUSH_SECONDS)
             state.log.flush()
             # Engines that were left out for a time come back unannounced.
             state.wake_all()
-            if state.now - swept >= SWEEP_SECONDS:
-                swept = state.now
+            if state.now - expired_at >= EXPIRY_SECONDS:
+                expired_at = state.now
                 state.pool.sweep()
                 state.rate_limits.expire(state.now, state.endpoints)
                 state.permits.expire(state.now, state.endpoints)
 
-    def _note_lag(self, seconds: float) -> None:
+    def _record_lag(self, seconds: float) -> None:
         """Take note of how late the event loop was."""
         self._state.counters.loop_lag_seconds.observe(max(0.0, seconds))
-        if seconds >= STALL_SECONDS:
+        if seconds >= STALL_THRESHOLD_SECONDS:
             self._state.log.write('loop stalled', seconds=round(seconds, 3))
 
     async def _fetch_newer(self) -> None:
         """Take a configuration that another entry has first."""
         while True:
-            await self._gossip.newer_found.wait()
-            self._gossip.newer_found.clear()
-            entry = self._gossip.entries.get(self._gossip.newer or '')
+            await self._gossip.newer_entry_found.wait()
+            self._gossip.newer_entry_found.clear()
+            entry = self._gossip.entries.get(self._gossip.newer_entry or '')
             if entry is None:
                 continue
             await self._fetch(entry)
@@ -273,26 +275,28 @@
         path = admin_module.CONFIGURATION_PATH
         text = f'GET {path} HTTP/1.1\r\nHost: {entry.admin}\r\n\r\n'
         try:
-            connection = await state.pool.acquire(entry.admin, FETCH_SECONDS)
+            connection = await state.pool.acquire(
+                entry.admin, FETCH_TIMEOUT_SECONDS
+            )
         except endpointhttp.Broken as broken:
-            self._report('configuration not fetched', broken)
+            self._log_error('configuration not fetched', broken)
             return
         try:
-            deadline = loop.time() + FETCH_SECONDS
+            deadline = loop.time() + FETCH_TIMEOUT_SECONDS
             connection.send(text.encode('latin-1'))
             await connection.read_head(deadline)
             value = await connection.read_all(deadline)
         except endpointhttp.Broken as broken:
-            self._report('configuration not fetched', broken)
+            self._log_error('configuration not fetched', broken)
             return
         finally:
             state.pool.release(entry.admin, connection)
         decoded = configurations.decode_deployment(value)
         if decoded.is_err():
-            self._report(
+            self._log_error(
                 'configuration refused', ValueError(decoded.err_value)
             )
-        elif state.adopt(decoded.ok_value, value):
+        elif state.apply_configuration(decoded.ok_value, value):
             state.log.write('configuration fetched', source=entry.name)
 
     async def _watch_settings(self) -> None:
@@ -306,7 +310,7 @@
         try:
             text = self._path.read_text(encoding='utf-8')
         except (OSError, UnicodeDecodeError) as error:
-            self._report('settings not read', error)
+            self._log_error('settings not read', error)
             return
         if text == self._text:
             return
@@ -336,23 +340,23 @@
             if getattr(kept, field.name) != getattr(settings, field.name)
         ]
         state.settings = kept
-        state.budgets.clear()
+        state.retry_budgets.clear()
         if self._store.address != settings.store:
             self._store.move(settings.store)
         state.log.write_always('settings reloaded', ignored=ignored)
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         """Finish what is under way, as long as the time allows."""
         state = self._state
         state.stopping = True
-        began = state.stopping_at = state.now
+        began = state.stopping_since = state.now
         state.log.write_always('stopping', busy=self._callers.count_busy())
-        last = began + state.settings.grace - MARGIN_SECONDS
+        last = began + state.settings.grace - KILL_MARGIN_SECONDS
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REUSE_SECONDS):
-                await self._leadership.leave()
-                await self._registrar.leave()
-        await asyncio.sleep(max(0.0, began + REUSE_SECONDS - state.now))
+            async with asyncio.timeout(KEEP_ALIVE_SECONDS):
+                await self._leadership.resign()
+                await self._registrar.unregister()
+        await asyncio.sleep(max(0.0, began + KEEP_ALIVE_SECONDS - state.now))
         self._callers.end_reuse()
         while state.now < last and self._callers.connections:
             await asyncio.sleep(FLUSH_SECONDS)
@@ -378,7 +382,7 @@
     """
 
     async def serve() -> None:
-        await _Process(settings, path, text, listener).run()
+        await _EntryProcess(settings, path, text, listener).run()
 
     # What start-up made lives on; leaving it out shortens collections.
     gc.collect()
--- a/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
@@ -15,11 +15,11 @@
 # Time after which a silent entry is not listed any more, in seconds.
 LEASE_SECONDS = 8.0
 # Pause between renewals, in seconds: two may fail in a row.
-KEEP_SECONDS = 2.5
+RENEW_INTERVAL_SECONDS = 2.5
 RETRY_SECONDS = (0.3, 0.8)
 # Pause before a lost registration is made anew, so that entries that lost it
 # together do not write together.
-LOST_SECONDS = (0.0, 0.3)
+REREGISTER_DELAY_SECONDS = (0.0, 0.3)
 
 
 class Registrar:
@@ -36,35 +36,35 @@
         self._entry = entry
         self._lease: storevalues.Lease | None = None
         self._revision: storevalues.Revision | None = None
-        self._woken = asyncio.Event()
+        self._registration_lost = asyncio.Event()
 
     async def run(self) -> None:
         """Stay listed until the entry stops."""
         while True:
             if self._state.stopping:
                 # What is kept is what others count on; see leave.
-                await asyncio.sleep(KEEP_SECONDS)
+                await asyncio.sleep(RENEW_INTERVAL_SECONDS)
                 continue
             if self._lease is None:
                 done = await self._register()
             else:
-                done = await self._keep()
+                done = await self._renew()
             if done.is_ok():
-                await self._pause(KEEP_SECONDS)
+                await self._wait(RENEW_INTERVAL_SECONDS)
             else:
                 await asyncio.sleep(random.uniform(*RETRY_SECONDS))
 
-    async def _pause(self, seconds: float) -> None:
+    async def _wait(self, seconds: float) -> None:
         """Wait, or until the registration is lost."""
-        self._woken.clear()
+        self._registration_lost.clear()
         if self._lease is None:
             return
         try:
             async with asyncio.timeout(seconds):
-                await self._woken.wait()
+                await self._registration_lost.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(random.uniform(*LOST_SECONDS))
+        await asyncio.sleep(random.uniform(*REREGISTER_DELAY_SECONDS))
 
     def begin_era(self) -> None:
         """Register anew; the key and its lease may be gone."""
@@ -88,7 +88,7 @@
                 'registration lost', lease=self._lease.number, reason=reason
             )
             self._lease = None
-            self._woken.set()
+            self._registration_lost.set()
 
     async def _register(self) -> result.Result[None, storevalues.Refusal]:
         begun = await self._store.begin_lease(LEASE_SECONDS)
@@ -108,10 +108,10 @@
             )
         if self._state.stopping:
             # The stop came while the call was under way.
-            await self.leave()
+            await self.unregister()
         return written.map(lambda _: None)
 
-    async def _keep(self) -> result.Result[None, storevalues.Refusal]:
+    async def _renew(self) -> result.Result[None, storevalues.Refusal]:
         kept = await self._store.keep_lease(self._lease)
         if kept.is_err() and kept.err_value.fault is (
             storevalues.Fault.MISSING
@@ -119,7 +119,7 @@
             self._drop_lease('lease ended')
         return kept
 
-    async def leave(self) -> None:
+    async def unregister(self) -> None:
         """End the lease, so that others stop to count on this entry."""
         if self._lease is not None:
             ended = await self._store.end_lease(self._lease)
--- a/packages/daemon/src/dunlintide_daemon/gateway/front.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
@@ -18,27 +18,27 @@
 from dunlintide_daemon.gateway import streams
 from dunlintide_platform import requests
 
-__all__ = ['Front']
+__all__ = ['RequestHandler']
 
 Outcome = exchange_module.Outcome
 
 # When to return to an entry that knows no configuration yet, in seconds.
-UNREADY_SECONDS = 0.5
+UNREADY_RETRY_SECONDS = 0.5
 # How long a request waits for the first reading of the store, in seconds.
 # When a host restarts, what connects before its process knows anything would
 # be turned away with its caller's last try.
-FIRST_READING_SECONDS = 0.3
+FIRST_READING_TIMEOUT_SECONDS = 0.3
 # Time after SIGTERM from which on streams are refused, in seconds: later
 # ones could not end before the process must, and by then the balancer has
 # had two answers that the entry isn't ready.
-LAST_STREAM_SECONDS = 2.8
+STREAM_CUTOFF_SECONDS = 2.8
 # Time before the process must end from which on calls are refused too.
-LAST_CALL_SECONDS = 1.5
+CALL_CUTOFF_SECONDS = 1.5
 # When to return with a request that seems to crash endpoints, in seconds.
-CRASHER_SECONDS = 5.0
+CRASHER_RETRY_SECONDS = 5.0
 
 
-class Front:
+class RequestHandler:
     """Answers each request of a caller."""
 
     def __init__(self, state: state_module.State) -> None:
@@ -64,19 +64,19 @@
             if not reply.gone:
                 raise
         finally:
-            self._note_end(exchange, kind, outcome)
+            self._record_end(exchange, kind, outcome)
 
     async def _wait_for_first_reading(self) -> None:
         state = self._state
-        if state.is_informed:
+        if state.is_initialized:
             return
         if not state.has(mechanisms.Mechanism.FIRST_READING):
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_READING_SECONDS):
-                await state.informed.wait()
+            async with asyncio.timeout(FIRST_READING_TIMEOUT_SECONDS):
+                await state.initialized.wait()
 
-    def _note_end(
+    def _record_end(
         self,
         exchange: exchange_module.Exchange,
         kind: str,
@@ -95,7 +95,7 @@
             sends=exchange.sends,
             seconds=round(seconds, 4),
             events=exchange.events,
-            first_event=exchange.first_event,
+            first_event=exchange.first_event_delay,
             longest_gap=round(exchange.longest_gap, 4),
             target=exchange.terms.target_seconds,
             pause=exchange.terms.gap_seconds,
@@ -116,8 +116,10 @@
     ) -> exchange_module.Exchange | None:
         """Find the terms of a request, or refuse it at once."""
         deployment = self._state.deployment
-        if not self._state.is_informed:
-            self._deny(reply, ask, 503, 'no configuration', UNREADY_SECONDS)
+        if not self._state.is_initialized:
+            self._deny(
+                reply, ask, 503, 'no configuration', UNREADY_RETRY_SECONDS
+            )
             return None
         owner = deployment.find_owner(ask.key_digest)
         rule = self._find_rule(deployment, ask, owner)
@@ -131,27 +133,31 @@
         now = self._state.now
         if self._state.crashers.is_refused(exchange.fingerprint, now):
             self._deny(
-                reply, ask, 503, 'seems to crash endpoints', CRASHER_SECONDS
+                reply,
+                ask,
+                503,
+                'seems to crash endpoints',
+                CRASHER_RETRY_SECONDS,
             )
             return None
         if self._is_too_late(exchange, now):
-            pause = self._choose_stopping_pause(exchange, now)
+            pause = self._choose_stopping_retry_after(exchange, now)
             self._deny(reply, ask, 503, 'stopping', pause)
             return None
-        self._state.get_budget(exchange.service).earn(now)
+        self._state.get_retry_budget(exchange.service).earn(now)
         refusals = self._state.returns
         if self._state.has(mechanisms.Mechanism.RETURNED):
-            exchange.returned = refusals.has_returned(exchange.digest, now)
+            exchange.was_refused = refusals.has_returned(exchange.digest, now)
         refusals.ask(now)
         return exchange
 
-    def _choose_stopping_pause(
+    def _choose_stopping_retry_after(
         self, exchange: exchange_module.Exchange, now: float
     ) -> float:
         state = self._state
         pause = returns.choose_stopping_pause(
-            len(state.others),
-            state.stopping_at + state.settings.grace - now,
+            len(state.listed_entries),
+            state.stopping_since + state.settings.grace - now,
         )
         # Callers honour no longer one.
         return min(pause, (exchange.deadline - now) * returns.LEFT_PART)
@@ -164,9 +170,9 @@
         if not state.stopping:
             return False
         if exchange.terms.stream:
-            return now - state.stopping_at > LAST_STREAM_SECONDS
-        last = state.settings.grace - LAST_CALL_SECONDS
-        return now - state.stopping_at > last
+            return now - state.stopping_since > STREAM_CUTOFF_SECONDS
+        last = state.settings.grace - CALL_CUTOFF_SECONDS
+        return now - state.stopping_since > last
 
     def _find_rule(
         self,
--- a/packages/daemon/src/dunlintide_daemon/gateway/runends.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runends.py
@@ -21,10 +21,10 @@
         ran: bool,
         reason: str,
         retry: bool = True,
-        hops: Hops | None = None,
+        next_hops: Hops | None = None,
     ) -> None:
         super().__init__(reason)
         self.ran = ran
         self.reason = reason
         self.retry = retry
-        self.hops = hops
+        self.next_hops = next_hops
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -16,7 +16,7 @@
 from dunlintide_daemon.gateway import events
 from dunlintide_daemon.gateway import exchange as exchange_module
 from dunlintide_daemon.gateway import runends
-from dunlintide_daemon.gateway import silences
+from dunlintide_daemon.gateway import stalls
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import requests
 
@@ -32,15 +32,15 @@
 CONNECT_SECONDS = 0.25
 # How long engines hold on to a run that was left because one of its parts
 # stood still, in seconds: those before it wait for the dead one.
-LINGER_SECONDS = 1.5
+HELD_SECONDS = 1.5
 # Answers at least this late after the send blame a dead endpoint, sooner
 # ones a full or leaving one, in seconds.
-DEAD_SECONDS = 0.5
+DEAD_AFTER_SECONDS = 0.5
 # Time over which the events of a run are counted to judge its pace, in
 # seconds; single pauses say little.
-PACE_SECONDS = 0.25
+PACE_WINDOW_SECONDS = 0.25
 # Breaks that say nothing of the endpoint that received the run.
-_NO_FAULT_OF_FIRST = (
+_INCONCLUSIVE_FAULTS = (
     endpointhttp.Fault.TIMEOUT,
     endpointhttp.Fault.ABANDONED,
 )
@@ -64,13 +64,13 @@
     hops: Hops
     reservation: occupancy.Reservation
     began: float
-    moved: float
+    last_progress: float
     events: int = 0
-    longest: float = 0.0
-    published: float = 0.0
-    paced: int = 0
-    paced_since: float = 0.0
-    lingers: bool = False
+    longest_pause: float = 0.0
+    published_event_seconds: float = 0.0
+    events_since_check: int = 0
+    checked_at: float = 0.0
+    is_held: bool = False
     connection: endpointhttp.Connection | None = None
 
     @property
@@ -100,11 +100,11 @@
     ) -> None:
         self._state = state
         self._finder = finder
-        self._judge = silences.Judge(state, finder)
+        self._stall_monitor = stalls.StallMonitor(state, finder)
         self._active: set[_Run] = set()
-        state.life_listeners.append(self._lose)
+        state.incarnation_listeners.append(self._abandon_runs)
 
-    def _lose(self, name: str) -> None:
+    def _abandon_runs(self, name: str) -> None:
         """End the runs through a life of an endpoint that is over.
 
         They stand still until their engines give them up, seconds later.
@@ -123,8 +123,14 @@
         tokens = self._finder.estimate(stream).tokens
         pipes = chains.list_pipes(hops)
         reservation = state.occupancy.reserve(hops, tokens, pipes)
-        published = chaincosts.time_event(stream.profile, hops)
-        run = _Run(hops, reservation, now, now, published=published)
+        published_event_seconds = chaincosts.time_event(stream.profile, hops)
+        run = _Run(
+            hops,
+            reservation,
+            now,
+            now,
+            published_event_seconds=published_event_seconds,
+        )
         state.soundness.begin(run.names)
         self._active.add(run)
         connection = None
@@ -133,7 +139,7 @@
             run.connection = connection
             return await self._relay(stream, run, connection)
         except runends.RunEnded as ended:
-            run.lingers = ended.hops is not None
+            run.is_held = ended.next_hops is not None
             raise
         finally:
             self._active.discard(run)
@@ -145,13 +151,11 @@
     def _release(self, service: str, run: _Run) -> None:
         """Give back what a run took, later if its engines still hold it."""
         state = self._state
-        if not run.lingers:
+        if not run.is_held:
             state.release(service, run.reservation)
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(
-            LINGER_SECONDS, state.release, service, run.reservation
-        )
+        loop.call_later(HELD_SECONDS, state.release, service, run.reservation)
 
     async def _connect(
         self, exchange: exchange_module.Exchange, run: _Run
@@ -160,8 +164,8 @@
         try:
             return await state.pool.acquire(run.first.address, CONNECT_SECONDS)
         except endpointhttp.Broken as broken:
-            exchange.tried.append(run.first.name)
-            state.accuse([run.first.name], str(broken), exchange.ask.name)
+            exchange.failed_endpoints.append(run.first.name)
+            state.eject([run.first.name], str(broken), exchange.ask.name)
             raise runends.RunEnded(
                 False, f'no connection: {broken}'
             ) from broken
@@ -177,21 +181,21 @@
             team=exchange.team,
             hops=run.hops,
             priority=exchange.priority,
-            after=stream.sequence.last,
+            after=stream.sequence.last_id,
         )
         exchange.sends += 1
         exchange.runs += 1
-        run.began = run.moved = state.now
+        run.began = run.last_progress = state.now
         connection.send(requests.encode(exchange.request, relayed))
         state.log.write(
             'stream sent',
             request=exchange.ask.name,
-            chain=chainfinder.describe(run.hops),
+            chain=chainfinder.format_chain(run.hops),
             send=exchange.sends,
-            after=stream.sequence.last,
+            after=stream.sequence.last_id,
             rule=exchange.rule.name,
             version=exchange.version,
-            listing_age=round(state.now - state.listed_at, 3),
+            listing_age=round(state.now - state.listing_read_at, 3),
         )
 
     async def _relay(
@@ -214,12 +218,14 @@
                 reason = f'refused with {head.status} by {where}'
                 raise runends.RunEnded(False, reason)
             if head.status != 200:
-                return await self._pass_failure(stream, run, connection, head)
+                return await self._forward_failure(
+                    stream, run, connection, head
+                )
             if not verdict.signed:
                 raise runends.RunEnded(True, 'answer without a signature')
-            await self._pass_events(stream, run, connection, head)
+            await self._forward_events(stream, run, connection, head)
         except endpointhttp.Broken as broken:
-            self._note_break(exchange, run, broken)
+            self._record_break(exchange, run, broken)
             raise runends.RunEnded(True, f'run broke: {broken}') from broken
         return Outcome.COMPLETE
 
@@ -236,24 +242,24 @@
             if hop.endpoint.address == verdict.culprit:
                 culprit = hop.endpoint
         # A full one may serve it a moment later; a dead one will not.
-        roomy = self._finder.is_roomy(stream.profile, culprit)
-        state.note_refusal(culprit.name, exchange.service, roomy)
-        late = state.now - run.began >= DEAD_SECONDS
+        roomy = self._finder.has_ample_room(stream.profile, culprit)
+        state.record_refusal(culprit.name, exchange.service, roomy)
+        late = state.now - run.began >= DEAD_AFTER_SECONDS
         if late or verdict.misdirected:
-            exchange.tried.append(culprit.name)
+            exchange.failed_endpoints.append(culprit.name)
             reason = 'misdirected' if verdict.misdirected else 'stalled'
-            state.accuse([culprit.name], reason, exchange.ask.name)
+            state.eject([culprit.name], reason, exchange.ask.name)
 
-    def _note_break(
+    def _record_break(
         self,
         exchange: exchange_module.Exchange,
         run: _Run,
         broken: endpointhttp.Broken,
     ) -> None:
         state = self._state
-        if broken.fault in _NO_FAULT_OF_FIRST:
+        if broken.fault in _INCONCLUSIVE_FAULTS:
             return
-        exchange.tried.append(run.first.name)
+        exchange.failed_endpoints.append(run.first.name)
         count = state.crashers.report(
             exchange.fingerprint, run.first.name, state.now
         )
@@ -292,21 +298,21 @@
         :param target: silence allowed, in seconds, None for the usual one
         :param read: takes the loop time until which it waits
         """
-        limits = self._judge.choose_limits(target, run.events > 0)
+        limits = self._stall_monitor.choose_limits(target, run.events > 0)
         limit = limits.named
         while True:
-            due = min(run.moved + limit, stream.exchange.deadline)
+            due = min(run.last_progress + limit, stream.exchange.deadline)
             try:
                 return await read(due)
             except endpointhttp.Broken as broken:
                 if broken.fault is not endpointhttp.Fault.TIMEOUT:
                     raise
-                silence = silences.Silence(
-                    run.names, run.moved, run.events > 0
+                stall = stalls.Stall(
+                    run.names, run.last_progress, run.events > 0
                 )
-                limit = self._judge.judge(stream, silence, limits)
+                limit = self._stall_monitor.check(stream, stall, limits)
 
-    async def _pass_failure(
+    async def _forward_failure(
         self,
         stream: Stream,
         run: _Run,
@@ -315,9 +321,9 @@
     ) -> Outcome:
         """Try elsewhere after an endpoint's own failure, or pass it on."""
         exchange = stream.exchange
-        again = exchange.can_go_on(True, self._state.now)
+        again = exchange.can_retry(True, self._state.now)
         if again and head.status >= 500:
-            exchange.tried.append(run.first.name)
+            exchange.failed_endpoints.append(run.first.name)
             raise runends.RunEnded(True, f'failed with {head.status}')
         body = await connection.read_all(exchange.deadline)
         if exchange.reply.started:
@@ -327,7 +333,7 @@
         exchange.reply.send(_make_head(head, 0), body)
         return Outcome.FAILED
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         stream: Stream,
         run: _Run,
@@ -337,10 +343,10 @@
         """Pass whole events on until the answer is whole."""
         exchange, sequence = stream.exchange, stream.sequence
         reply = exchange.reply
-        splitter = events.Splitter()
+        splitter = events.EventSplitter()
         while data := await self._read_events(stream, run, connection):
             now = self._state.now
-            fresh, intact = sequence.admit(splitter.split(data))
+            fresh, intact = sequence.filter_new(splitter.split(data))
             if not intact:
                 raise runends.RunEnded(True, 'an event is missing')
             if not fresh:
@@ -348,50 +354,52 @@
             if not reply.started:
                 reply.start(_make_head(head, None))
             reply.write(fresh)
-            self._observe(exchange, run, now)
-        if splitter.rest.strip():
+            self._record_events(exchange, run, now)
+        if splitter.remainder.strip():
             raise runends.RunEnded(True, 'ended within an event')
         if not reply.started:
             reply.start(_make_head(head, None))
-        reply.finish(splitter.rest)
+        reply.finish(splitter.remainder)
         self._state.crashers.clear(exchange.fingerprint)
         if run.events > 1:
-            self._state.pauses.note(run.longest)
+            self._state.longest_gaps.note(run.longest_pause)
 
-    def _observe(
+    def _record_events(
         self, exchange: exchange_module.Exchange, run: _Run, now: float
     ) -> None:
         counters = self._state.counters
-        if exchange.first_event is None:
-            exchange.first_event = now - exchange.request.arrived
-            counters.first_event_seconds.observe(exchange.first_event)
+        if exchange.first_event_delay is None:
+            exchange.first_event_delay = now - exchange.request.arrived
+            counters.first_event_seconds.observe(exchange.first_event_delay)
         else:
             gap = now - exchange.last_event
             exchange.longest_gap = max(exchange.longest_gap, gap)
             counters.gap_seconds.observe(gap)
         if run.events:
-            run.longest = max(run.longest, now - run.moved)
-            self._judge_pace(run, now)
+            run.longest_pause = max(run.longest_pause, now - run.last_progress)
+            self._check_pace(run, now)
         else:
-            self._state.first_events.note(now - run.began)
+            self._state.first_event_delays.note(now - run.began)
             self._state.soundness.accept(run.names, run.began)
-            run.paced_since = now
+            run.checked_at = now
         run.events += 1
         exchange.events += 1
         exchange.last_event = now
-        run.moved = now
+        run.last_progress = now
         self._state.soundness.report_progress(run.names, now)
 
-    def _judge_pace(self, run: _Run, now: float) -> None:
+    def _check_pace(self, run: _Run, now: float) -> None:
         """Suspect the engines of a run whose events come slowly."""
-        run.paced += 1
-        elapsed = now - run.paced_since
-        if elapsed < PACE_SECONDS or not run.published:
+        run.events_since_check += 1
+        elapsed = now - run.checked_at
+        if elapsed < PACE_WINDOW_SECONDS or not run.published_event_seconds:
             return
         state = self._state
-        against = elapsed / run.paced / run.published
-        run.paced, run.paced_since = 0, now
-        if paces.is_slow_run(against, state.event_times.usual):
+        slowdown = (
+            elapsed / run.events_since_check / run.published_event_seconds
+        )
+        run.events_since_check, run.checked_at = 0, now
+        if paces.is_slow_run(slowdown, state.event_intervals.usual):
             state.suspect_slow(run.names)
         if state.paces.list_slow(now).keys().isdisjoint(run.names):
-            state.event_times.note(against)
+            state.event_intervals.note(slowdown)
--- a/packages/daemon/src/dunlintide_daemon/gateway/silences.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
@@ -10,15 +10,15 @@
 from dunlintide_daemon.gateway import state as state_module
 
 __all__ = [
-    'Judge',
-    'Silence',
+    'StallMonitor',
+    'Stall',
 ]
 
 Stream = exchange_module.Stream
 
 
 @attrs.frozen
-class Silence:
+class Stall:
     """A run that stands still.
 
     :ivar names: endpoints of its chain
@@ -27,11 +27,11 @@
     """
 
     names: list[str]
-    moved: float
-    flows: bool
+    last_progress: float
+    has_events: bool
 
 
-class Judge:
+class StallMonitor:
     """Decides on still runs with the beliefs of one entry."""
 
     def __init__(
@@ -52,12 +52,16 @@
         state = self._state
         usual = None
         if state.has(mechanisms.Mechanism.USUAL_PAUSES):
-            seen = state.pauses if has_events else state.first_events
+            seen = (
+                state.longest_gaps if has_events else state.first_event_delays
+            )
             usual = seen.usual
-        return rescues.choose_limits(target or chainfinder.USUAL_TARGET, usual)
+        return rescues.choose_limits(
+            target or chainfinder.DEFAULT_TARGET_SECONDS, usual
+        )
 
-    def judge(
-        self, stream: Stream, silence: Silence, limits: rescues.Limits
+    def check(
+        self, stream: Stream, stall: Stall, limits: rescues.Limits
     ) -> float:
         """Decide whether a still run is moved to another chain.
 
@@ -73,42 +77,44 @@
         if now >= exchange.deadline:
             raise runends.RunEnded(True, 'deadline', retry=False)
         rescued = state.has(mechanisms.Mechanism.RESCUE)
-        if not (rescued and exchange.can_go_on(True, now)):
-            return exchange.deadline - silence.moved
-        seconds = now - silence.moved
-        state.suspect_slow(silence.names)
-        suspects = self._find_suspects(silence, now)
-        evidence = self._weigh(silence, suspects, now)
+        if not (rescued and exchange.can_retry(True, now)):
+            return exchange.deadline - stall.last_progress
+        seconds = now - stall.last_progress
+        state.suspect_slow(stall.names)
+        suspects = self._find_suspects(stall, now)
+        evidence = self._collect_evidence(stall, suspects, now)
         judgement = rescues.judge(seconds, limits, evidence)
         if not judgement.moves:
             return judgement.limit
-        state.accuse(suspects, 'still', exchange.ask.name)
-        before = list(exchange.tried)
-        still = state.soundness.find_still(silence.names, silence.moved)
-        exchange.tried.extend(suspects or still)
+        state.eject(suspects, 'still', exchange.ask.name)
+        before = list(exchange.failed_endpoints)
+        still = state.soundness.find_still(stall.names, stall.last_progress)
+        exchange.failed_endpoints.extend(suspects or still)
         # A permit may be refused, and a slow run is worth more than none.
         hops = self._finder.choose(stream, state.rate_limits.list_limited())
-        if hops is None or not state.pay_resend(exchange.service, 'stream'):
-            exchange.tried[:] = before
+        if hops is None or not state.spend_retry_budget(
+            exchange.service, 'stream'
+        ):
+            exchange.failed_endpoints[:] = before
             return judgement.limit
         reason = f'still for {seconds:.3f} s, {evidence}'
-        raise runends.RunEnded(True, reason, hops=hops)
+        raise runends.RunEnded(True, reason, next_hops=hops)
 
-    def _weigh(
-        self, silence: Silence, suspects: list[str], now: float
+    def _collect_evidence(
+        self, stall: Stall, suspects: list[str], now: float
     ) -> rescues.Evidence:
         """Tell what is known of the endpoints of a still run."""
-        since = rescues.choose_since(silence.moved, now)
-        still = self._state.soundness.find_still(silence.names, since)
+        since = rescues.choose_since(stall.last_progress, now)
+        still = self._state.soundness.find_still(stall.names, since)
         return rescues.weigh(suspects, still)
 
-    def _find_suspects(self, silence: Silence, now: float) -> list[str]:
+    def _find_suspects(self, stall: Stall, now: float) -> list[str]:
         """List the endpoints that seem to hold up a still run."""
         soundness = self._state.soundness
         known = []
         if self._state.has(mechanisms.Mechanism.LEFT_OUT_NAMES):
-            known = soundness.find_left_out(silence.names, now)
-        since = rescues.choose_since(silence.moved, now)
+            known = soundness.find_left_out(stall.names, now)
+        since = rescues.choose_since(stall.last_progress, now)
         return known or soundness.find_suspects(
-            silence.names, since, now, silence.flows
+            stall.names, since, now, stall.has_events
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -32,8 +32,8 @@
 # Waiters that are woken at a time, and pause between two such times, in
 # seconds: each looks for a chain, and with dozens of other entries telling of
 # their use the news come every few milliseconds.
-_WAKES = 3
-_WAKE_SECONDS = 0.03
+_WAKE_BATCH = 3
+_WAKE_DELAY_SECONDS = 0.03
 
 
 async def _admit_all(name: str, request: str = '') -> bool:
@@ -86,11 +86,13 @@
     soundness: soundness_module.Soundness = attrs.field(
         factory=soundness_module.Soundness
     )
-    first_events: pauses_module.Pauses = attrs.field(
+    first_event_delays: pauses_module.Pauses = attrs.field(
         factory=pauses_module.Pauses
     )
-    pauses: pauses_module.Pauses = attrs.field(factory=pauses_module.Pauses)
-    event_times: pauses_module.Pauses = attrs.field(
+    longest_gaps: pauses_module.Pauses = attrs.field(
+        factory=pauses_module.Pauses
+    )
+    event_intervals: pauses_module.Pauses = attrs.field(
         factory=pauses_module.Pauses
     )
     paces: paces_module.Paces = attrs.field(factory=paces_module.Paces)
@@ -101,7 +103,7 @@
     admit: Callable[..., Awaitable[bool]] = _admit_all
     slow_suspects: set[str] = attrs.field(factory=set)
     slow_suspected: asyncio.Event = attrs.field(factory=asyncio.Event)
-    alarmed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    alert_pending: asyncio.Event = attrs.field(factory=asyncio.Event)
     crashers: crashers_module.Crashers = attrs.field(
         factory=crashers_module.Crashers
     )
@@ -114,21 +116,25 @@
     configuration_at: float = 0.0
     endpoints: dict[str, endpoints_module.Endpoint] = attrs.field(factory=dict)
     listing_version: int = 0
-    leaving: dict[str, float] = attrs.field(factory=dict)
-    lives: dict[str, endpoints_module.Endpoint] = attrs.field(factory=dict)
-    unreadable: dict[str, float] = attrs.field(factory=dict)
-    life_listeners: list[Callable[[str], None]] = attrs.field(factory=list)
-    listed: bool = False
-    informed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    listed_at: float = 0.0
-    entries: set[str] = attrs.field(factory=set)
-    others: set[str] = attrs.field(factory=set)
+    leaving_since: dict[str, float] = attrs.field(factory=dict)
+    incarnations: dict[str, endpoints_module.Endpoint] = attrs.field(
+        factory=dict
+    )
+    unreadable_since: dict[str, float] = attrs.field(factory=dict)
+    incarnation_listeners: list[Callable[[str], None]] = attrs.field(
+        factory=list
+    )
+    has_listing: bool = False
+    initialized: asyncio.Event = attrs.field(factory=asyncio.Event)
+    listing_read_at: float = 0.0
+    known_entries: set[str] = attrs.field(factory=set)
+    listed_entries: set[str] = attrs.field(factory=set)
     backlogs: dict[str, backlog_module.Backlog] = attrs.field(factory=dict)
-    budgets: dict[str, resends.ResendBudget] = attrs.field(factory=dict)
-    waking: set[str] = attrs.field(factory=set)
+    retry_budgets: dict[str, resends.ResendBudget] = attrs.field(factory=dict)
+    waking_services: set[str] = attrs.field(factory=set)
     stopping: bool = False
-    stopping_at: float = 0.0
-    listeners: list[Callable[[], None]] = attrs.field(factory=list)
+    stopping_since: float = 0.0
+    change_listeners: list[Callable[[], None]] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         self.permits = permits_module.Permits(
@@ -150,25 +156,27 @@
         return mechanism not in self.settings.experiments.off
 
     @property
-    def is_informed(self) -> bool:
+    def is_initialized(self) -> bool:
         """Whether configuration and endpoints are known."""
-        return self.deployment is not None and self.listed
+        return self.deployment is not None and self.has_listing
 
     @property
     def is_ready(self) -> bool:
         """Whether new connections are welcome."""
-        return self.is_informed and not self.stopping
+        return self.is_initialized and not self.stopping
 
     def list_unready(self) -> list[str]:
         """Tell why new connections are not welcome."""
         reasons = (
             (self.deployment is None, 'no configuration'),
-            (not self.listed, 'endpoints not listed yet'),
+            (not self.has_listing, 'endpoints not listed yet'),
             (self.stopping, 'stopping'),
         )
         return [reason for holds, reason in reasons if holds]
 
-    def adopt(self, deployment: deployments.Deployment, value: bytes) -> bool:
+    def apply_configuration(
+        self, deployment: deployments.Deployment, value: bytes
+    ) -> bool:
         """Put a configuration in force unless it is not newer.
 
         :param value: as it lies in the store, for other entries
@@ -187,16 +195,16 @@
             rules=len(deployment.source.rules),
             teams=len(deployment.source.teams),
         )
-        self.notify()
+        self.notify_listeners()
         return True
 
-    def put_endpoint(self, endpoint: endpoints_module.Endpoint) -> None:
+    def apply_endpoint(self, endpoint: endpoints_module.Endpoint) -> None:
         """Take in an endpoint or what changed of it."""
-        self.unreadable.pop(endpoint.identity, None)
-        if not self._begin_life(endpoint):
+        self.unreadable_since.pop(endpoint.identity, None)
+        if not self._apply_incarnation(endpoint):
             return
         before = self.endpoints.get(endpoint.name)
-        if endpoint.name in self.leaving and not endpoint.draining:
+        if endpoint.name in self.leaving_since and not endpoint.draining:
             # A listing that is older than what is known of its leaving.
             endpoint = attrs.evolve(endpoint, draining=True)
         if before == endpoint:
@@ -215,14 +223,14 @@
             )
         if endpoint.draining:
             self.pool.drop(endpoint.address)
-        self.notify()
+        self.notify_listeners()
 
-    def _begin_life(self, endpoint: endpoints_module.Endpoint) -> bool:
+    def _apply_incarnation(self, endpoint: endpoints_module.Endpoint) -> bool:
         """Take note of the life of an endpoint that is listed.
 
         :returns: whether it is the newest that is known
         """
-        known = self.lives.get(endpoint.identity)
+        known = self.incarnations.get(endpoint.identity)
         if known is not None and endpoint.is_older(known):
             self.log.write(
                 'older life ignored',
@@ -230,12 +238,12 @@
                 known=known.name,
             )
             return False
-        self.lives[endpoint.identity] = endpoint
+        self.incarnations[endpoint.identity] = endpoint
         if known is not None and known.name != endpoint.name:
-            self._end_life(known, endpoint.name)
+            self._end_incarnation(known, endpoint.name)
         return True
 
-    def _end_life(
+    def _end_incarnation(
         self, endpoint: endpoints_module.Endpoint, successor: str
     ) -> None:
         """Forget a life that another one ended, and what ran on it."""
@@ -245,10 +253,10 @@
             successor=successor,
         )
         self._forget(endpoint)
-        for listener in self.life_listeners:
+        for listener in self.incarnation_listeners:
             listener(endpoint.name)
 
-    def note_life(
+    def record_incarnation(
         self, endpoint: endpoints_module.Endpoint, born: int | None
     ) -> None:
         """Take note of the life that an endpoint itself tells.
@@ -259,40 +267,40 @@
         """
         name = endpoints_module.name_life(endpoint.identity, born)
         told = attrs.evolve(endpoint, name=name, born=born)
-        known = self.lives.get(endpoint.identity, endpoint)
+        known = self.incarnations.get(endpoint.identity, endpoint)
         if known.born is not None and known.is_older(told):
-            self._begin_life(told)
-            self.notify()
+            self._apply_incarnation(told)
+            self.notify_listeners()
 
     def mark_unreadable(self, identity: str) -> None:
         """Use an endpoint no more until its entry can be read again."""
-        if identity in self.lives:
-            self.unreadable.setdefault(identity, self.now)
+        if identity in self.incarnations:
+            self.unreadable_since.setdefault(identity, self.now)
 
     def mark_leaving(self, name: str, source: str) -> None:
         """Send nothing new to an endpoint that leaves.
 
         :param source: who told, for the log
         """
-        if name in self.leaving:
+        if name in self.leaving_since:
             return
-        self.leaving[name] = self.now
+        self.leaving_since[name] = self.now
         self.log.write('endpoint leaves', endpoint=name, source=source)
         endpoint = self.endpoints.get(name)
         if endpoint is not None and not endpoint.draining:
-            self.put_endpoint(attrs.evolve(endpoint, draining=True))
+            self.apply_endpoint(attrs.evolve(endpoint, draining=True))
 
-    def drop_endpoint(self, identity: str) -> None:
+    def remove_endpoint(self, identity: str) -> None:
         """Forget an endpoint that is gone from the listing."""
-        self.unreadable.pop(identity, None)
-        endpoint = self.lives.pop(identity, None)
+        self.unreadable_since.pop(identity, None)
+        endpoint = self.incarnations.pop(identity, None)
         if endpoint is None:
             return
         self.log.write(
             'endpoint gone', endpoint=endpoint.name, address=endpoint.address
         )
         self._forget(endpoint)
-        self.notify()
+        self.notify_listeners()
 
     def _forget(self, endpoint: endpoints_module.Endpoint) -> None:
         if self.endpoints.pop(endpoint.name, None) is not None:
@@ -310,7 +318,7 @@
             for each in self.endpoints.values()
             if each.service == service
             and not each.draining
-            and each.identity not in self.unreadable
+            and each.identity not in self.unreadable_since
             and self.soundness.is_open(each.name, now)
         ]
 
@@ -331,39 +339,42 @@
 
     def list_unreadable(self) -> list[str]:
         """Name the endpoints whose entry can't be read."""
-        return [self.lives[identity].name for identity in self.unreadable]
+        return [
+            self.incarnations[identity].name
+            for identity in self.unreadable_since
+        ]
 
     def get_backlog(self, service: str) -> backlog_module.Backlog:
         """Give the queue of a service."""
         return self.backlogs.setdefault(service, backlog_module.Backlog())
 
-    def get_budget(self, service: str) -> resends.ResendBudget:
+    def get_retry_budget(self, service: str) -> resends.ResendBudget:
         """Give the budget of second sends for a service."""
-        budget = self.budgets.get(service)
+        budget = self.retry_budgets.get(service)
         if budget is None:
             retries = self.settings.retries
             budget = resends.ResendBudget(
                 retries.ratio, retries.slack, retries.window
             )
-            self.budgets[service] = budget
-        budget.entries = max(1, len(self.entries))
+            self.retry_budgets[service] = budget
+        budget.entries = max(1, len(self.known_entries))
         return budget
 
-    def pay_resend(
+    def spend_retry_budget(
         self, service: str, reason: str, under_way: bool = True
     ) -> bool:
         """Pay for another send from the shared budget, if it allows.
 
         :param under_way: whether the request may have run
         """
-        keeps = self.has(mechanisms.Mechanism.KEPT_BUDGET)
-        first = under_way or not keeps
-        if not self.get_budget(service).spend(self.now, first):
+        has_kept_budget = self.has(mechanisms.Mechanism.KEPT_BUDGET)
+        first = under_way or not has_kept_budget
+        if not self.get_retry_budget(service).spend(self.now, first):
             return False
         self.counters.resends.labels(reason).inc()
         return True
 
-    def accuse(
+    def eject(
         self, names: Iterable[str], reason: str, request: str = ''
     ) -> None:
         """Leave endpoints out for a while, and log why.
@@ -382,7 +393,7 @@
                     endpoint=name,
                     reason=reason,
                 )
-                self.alarmed.set()
+                self.alert_pending.set()
 
     def record_rate_limit(
         self,
@@ -406,7 +417,7 @@
         age = self.rate_limits.get_age(name, self.now)
         if self.rate_limits.record(name, limit, sent, self.now):
             self.log_rate_limit(name, 'answer', age)
-            self.alarmed.set()
+            self.alert_pending.set()
 
     def log_rate_limit(self, name: str, source: str, age: float) -> None:
         """Log the limit of an endpoint, and count the limited ones.
@@ -431,7 +442,7 @@
             self.slow_suspects.update(names)
             self.slow_suspected.set()
 
-    def note_refusal(self, name: str, service: str, roomy: bool) -> None:
+    def record_refusal(self, name: str, service: str, roomy: bool) -> None:
         """Take note that an endpoint refused a request that it could hold.
 
         Others are told at once. Those who wait are woken when it may be
@@ -442,7 +453,7 @@
         if not self.has(mechanisms.Mechanism.REFUSAL_PAUSES):
             return
         pause = self.soundness.refuse(name, self.now, roomy)
-        self.alarmed.set()
+        self.alert_pending.set()
         loop = asyncio.get_running_loop()
         loop.call_later(pause, self.wake, service)
 
@@ -455,15 +466,15 @@
 
     def wake(self, service: str) -> None:
         """Let the first that wait try again, soon."""
-        if service in self.waking or not self.backlogs.get(service):
+        if service in self.waking_services or not self.backlogs.get(service):
             return
-        self.waking.add(service)
+        self.waking_services.add(service)
         loop = asyncio.get_running_loop()
-        loop.call_later(_WAKE_SECONDS, self._wake_now, service)
+        loop.call_later(_WAKE_DELAY_SECONDS, self._wake_now, service)
 
     def _wake_now(self, service: str) -> None:
-        self.waking.discard(service)
-        for waiter in list(self.backlogs[service])[:_WAKES]:
+        self.waking_services.discard(service)
+        for waiter in list(self.backlogs[service])[:_WAKE_BATCH]:
             waiter.wake()
 
     def wake_all(self) -> None:
@@ -471,10 +482,10 @@
         for service in self.backlogs:
             self.wake(service)
 
-    def notify(self) -> None:
+    def notify_listeners(self) -> None:
         """Tell what depends on endpoints or configuration of a change."""
-        if self.is_informed:
-            self.informed.set()
-        for listener in self.listeners:
+        if self.is_initialized:
+            self.initialized.set()
+        for listener in self.change_listeners:
             listener()
         self.wake_all()
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -25,18 +25,18 @@
 JITTER = (0.6, 1.4)
 # Pause between two looks at a budget that is used up, in seconds: a quarter
 # of the shortest pause between events that callers are known to ask for.
-BUDGET_SECONDS = 0.05
+BUDGET_POLL_SECONDS = 0.05
 
 
 @attrs.frozen
-class _Lack:
+class _Failure:
     """Why no further run can help a stream.
 
     :ivar scarce: layers without room, for the log
     """
 
     reason: str
-    scarce: str = ''
+    shortage: str = ''
 
 
 class StreamServer:
@@ -54,13 +54,13 @@
     ) -> Outcome:
         """Answer a request whose rule names engines."""
         state = self._state
-        sequence = events.Sequence(exchange.ask.after)
+        sequence = events.EventSequence(exchange.ask.after)
         stream = exchange_module.Stream(exchange, profile, sequence)
         ran = False
         hops = None
         while True:
             if hops is None:
-                found = await self._find_paid(stream)
+                found = await self._find_paid_chain(stream)
                 if found.is_err():
                     return self._give_up(exchange, ran, found.err_value)
                 hops = found.ok_value
@@ -69,34 +69,36 @@
             except runends.RunEnded as ended:
                 ran = ran or ended.ran
                 self._log_end(stream, hops, ended)
-                again = exchange.can_go_on(ran, state.now)
+                again = exchange.can_retry(ran, state.now)
                 if not (ended.retry and again):
-                    lack = _Lack(ended.reason)
-                    return self._give_up(exchange, ran, lack)
-                hops = ended.hops
+                    failure = _Failure(ended.reason)
+                    return self._give_up(exchange, ran, failure)
+                hops = ended.next_hops
 
-    async def _find_paid(
+    async def _find_paid_chain(
         self, stream: exchange_module.Stream
-    ) -> result.Result[Hops, _Lack]:
+    ) -> result.Result[Hops, _Failure]:
         """Find a chain and pay for the send on it."""
         exchange = stream.exchange
         while True:
             hops = await self._finder.find(stream)
             if hops is None:
                 return result.Err(
-                    _Lack('no room', self._finder.explain(stream))
+                    _Failure('no room', self._finder.find_shortage(stream))
                 )
-            if self._pay(exchange):
+            if self._pay_send(exchange):
                 return result.Ok(hops)
             if not await self._wait_for_budget(exchange):
-                return result.Err(_Lack('no budget'))
+                return result.Err(_Failure('no budget'))
 
-    def _pay(self, exchange: exchange_module.Exchange) -> bool:
+    def _pay_send(self, exchange: exchange_module.Exchange) -> bool:
         """Pay for a send; the first one is free."""
         if not exchange.sends:
             return True
         under_way = exchange.runs > 0
-        return self._state.pay_resend(exchange.service, 'stream', under_way)
+        return self._state.spend_retry_budget(
+            exchange.service, 'stream', under_way
+        )
 
     async def _wait_for_budget(
         self, exchange: exchange_module.Exchange
@@ -110,12 +112,12 @@
         state = self._state
         if not exchange.runs:
             return False
-        expires = self._finder.choose_place(exchange).expires
-        budget = state.get_budget(exchange.service)
+        expires = self._finder.choose_queue_place(exchange).expires
+        budget = state.get_retry_budget(exchange.service)
         while state.now < expires:
             if budget.can_spend(state.now):
                 return True
-            await asyncio.sleep(BUDGET_SECONDS)
+            await asyncio.sleep(BUDGET_POLL_SECONDS)
         return False
 
     def _log_end(
@@ -130,15 +132,15 @@
             reason=ended.reason,
             may_have_run=ended.ran,
             sends=stream.exchange.sends,
-            last_event=stream.sequence.last,
-            chain=chainfinder.describe(hops),
+            last_event=stream.sequence.last_id,
+            chain=chainfinder.format_chain(hops),
         )
 
     def _give_up(
         self,
         exchange: exchange_module.Exchange,
         ran: bool,
-        lack: _Lack,
+        failure: _Failure,
     ) -> Outcome:
         """End a stream that no further run can help."""
         state = self._state
@@ -147,8 +149,8 @@
             state.log.write(
                 'stream given up',
                 request=exchange.ask.name,
-                reason=lack.reason,
-                scarce=lack.scarce,
+                reason=failure.reason,
+                scarce=failure.shortage,
                 events=exchange.events,
                 sends=exchange.sends,
             )
@@ -160,13 +162,13 @@
             exchange_module.refuse(reply, 504 if late else 502)
             return Outcome.UNKNOWN
         state.returns.refuse(exchange.digest, state.now)
-        pause = self._choose_pause(exchange)
+        pause = self._choose_retry_after(exchange)
         state.log.write(
             'request refused',
             request=exchange.ask.name,
-            reason=lack.reason,
-            scarce=lack.scarce,
-            returned=exchange.returned,
+            reason=failure.reason,
+            scarce=failure.shortage,
+            returned=exchange.was_refused,
             waiting=len(state.get_backlog(exchange.service)),
             retry_after=round(pause, 3),
             version=exchange.version,
@@ -174,7 +176,7 @@
         exchange_module.refuse(reply, 503, pause)
         return Outcome.NOT_RUN
 
-    def _choose_pause(self, exchange: exchange_module.Exchange) -> float:
+    def _choose_retry_after(self, exchange: exchange_module.Exchange) -> float:
         """Tell when there may be room, with jitter to spread returns."""
         now = self._state.now
         pause = self._state.returns.choose_pause(now)
--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -22,23 +22,23 @@
 from dunlintide_core import records
 from dunlintide_core import replicas
 from dunlintide_core import spread
-from dunlintide_daemon import delivery
+from dunlintide_daemon import externalsources
 from dunlintide_daemon import peerdump
-from dunlintide_daemon import watching
+from dunlintide_daemon import snapshotnotifier
 
 __all__ = ['FleetState']
 
-UPKEEP_SECONDS = 1.0
+MAINTENANCE_SECONDS = 1.0
 # Others than watchers read the list only to find peers that they lost.
-HOSTS_SELDOM_SECONDS = 600.0
+NON_WATCHER_HOSTS_SECONDS = 600.0
 MAX_FOLLOW_UPS = 64
-ANSWER_SECONDS = 2.0
+ANSWER_TIMEOUT_SECONDS = 2.0
 _JOIN_SECONDS = 2.0
 
 _Action = Callable[[replicas.Replica], Any]
 
 
-class _Owner(pykka.ThreadingActor):
+class _ReplicaActor(pykka.ThreadingActor):
     """Runs one action on the replica at a time."""
 
     use_daemon_thread = True
@@ -60,7 +60,7 @@
     def __init__(
         self,
         me: fleet.Peer,
-        outside: watching.Outside,
+        sources: externalsources.ExternalSources,
         timing: replicas.Timing = replicas.Timing(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
@@ -70,43 +70,48 @@
         """
         self.name = me.name
         self.incarnation = me.incarnation
-        self._outside = outside
+        self._sources = sources
         self._replica = replicas.Replica(me, random.Random(), timing)
         self._endpoint = me.endpoint
-        self._owner: pykka.ActorRef | None = None
+        self._replica_actor: pykka.ActorRef | None = None
         self._client = peer_calls.Client(transport=transport)
-        self._delivery = delivery.Delivery()
+        self._notifier = snapshotnotifier.SnapshotNotifier()
         self._wake = threading.Event()
         self._done = threading.Event()
-        self._watch = watching.StoreWatch(
-            outside, lambda: self.snapshot, self._take_stored, self._note_store
+        self._watch = externalsources.StoreWatch(
+            sources,
+            lambda: self.snapshot,
+            self._apply_stored,
+            self._record_store_revision,
         )
-        self._hosts_read = float('-inf')
-        self._reason = 'starting'
+        self._hosts_read_at = float('-inf')
+        self._not_ready_reason = 'starting'
         self._stack = contextlib.ExitStack()
 
     @property
     def snapshot(self) -> spread.Snapshot | None:
         """Configuration in force, or None before the first."""
-        return self._delivery.snapshot
+        return self._notifier.snapshot
 
-    def on_snapshot(self, callback: delivery.OnSnapshot) -> None:
+    def on_snapshot(self, callback: snapshotnotifier.OnSnapshot) -> None:
         """Call back with the configuration in force and each newer one.
 
         The calls come one at a time on a thread of their own.
         """
-        self._delivery.add(callback)
+        self._notifier.subscribe(callback)
 
     def why_not_ready(self) -> str:
         """Say why this process cannot serve yet; empty when it can."""
-        return self._reason
+        return self._not_ready_reason
 
-    def _do(self, action: _Action) -> Any:
-        return self._owner.ask(action)
+    def _run_on_replica(self, action: _Action) -> Any:
+        return self._replica_actor.ask(action)
 
     def list_members(self) -> list[records.Record]:
         """Return what is known of all processes, tombstones too."""
-        return self._do(lambda replica: replica.members.everything())
+        return self._run_on_replica(
+            lambda replica: replica.members.everything()
+        )
 
     def list_present(
         self, seen: int
@@ -122,7 +127,7 @@
                 return None
             return members.changes, members.present()
 
-        return self._do(read)
+        return self._run_on_replica(read)
 
     def answer(
         self, request: exchanges.Request, chunk_bytes: int
@@ -134,7 +139,9 @@
             reply = replica.answer(now, request, chunk_bytes)
             return reply, replica.urgent
 
-        reply, urgent = self._owner.ask(act, timeout=ANSWER_SECONDS)
+        reply, urgent = self._replica_actor.ask(
+            act, timeout=ANSWER_TIMEOUT_SECONDS
+        )
         if urgent:
             self._wake.set()
         return reply
@@ -142,7 +149,7 @@
     def depart(self) -> None:
         """Tell the fleet that this process leaves."""
         now = time.monotonic()
-        self._do(lambda replica: replica.members.depart(now))
+        self._run_on_replica(lambda replica: replica.members.depart(now))
         self._wake.set()
 
     def update_endpoint(self, endpoint: fleet.Endpoint) -> None:
@@ -150,8 +157,8 @@
         if endpoint == self._endpoint:
             return
         self._endpoint = endpoint
-        if self._owner is not None:
-            self._tell_endpoint()
+        if self._replica_actor is not None:
+            self._announce_endpoint()
 
     def probe(self, name: str) -> None:
         """Call a process at once, as a link to it was lost."""
@@ -162,23 +169,27 @@
 
         # Links are lost at the very end too.
         with contextlib.suppress(pykka.ActorDeadError):
-            self._owner.tell(act)
+            self._replica_actor.tell(act)
 
-    def _tell_endpoint(self) -> None:
+    def _announce_endpoint(self) -> None:
         now, endpoint = time.monotonic(), self._endpoint
         # An engine may be looked at until the very end of its agent.
         with contextlib.suppress(pykka.ActorDeadError):
-            self._do(lambda replica: replica.update_endpoint(now, endpoint))
+            self._run_on_replica(
+                lambda replica: replica.update_endpoint(now, endpoint)
+            )
         self._wake.set()
 
     def dump(self) -> dict[str, Any]:
         """Return the state, fit for JSON."""
-        return self._do(peerdump.describe) | {'not_ready': self._reason}
+        return self._run_on_replica(peerdump.describe) | {
+            'not_ready': self._not_ready_reason
+        }
 
     def _run_rounds(self) -> None:
         while not self._done.is_set():
             self._run_round()
-            pause = self._do(lambda replica: replica.pause())
+            pause = self._run_on_replica(lambda replica: replica.pause())
             self._wake.wait(pause)
             self._wake.clear()
 
@@ -190,7 +201,7 @@
             request = replica.open(now, target) if target else None
             return target, request
 
-        target, request = self._do(begin)
+        target, request = self._run_on_replica(begin)
         for _ in range(MAX_FOLLOW_UPS):
             if request is None:
                 return
@@ -202,54 +213,62 @@
         reply = self._client.exchange(target.address, request)
         now = time.monotonic()
         if isinstance(reply, result.Err):
-            self._do(lambda replica: replica.fail(now, target))
+            self._run_on_replica(lambda replica: replica.fail(now, target))
             return None
 
         def take(replica: replicas.Replica):
             follow = replica.take(now, target, reply.ok_value)
             return follow, replica.spread.snapshot
 
-        follow, snapshot = self._do(take)
-        self._delivery.offer(snapshot)
+        follow, snapshot = self._run_on_replica(take)
+        self._notifier.publish(snapshot)
         return follow
 
-    def _take_stored(self, stored: configstore.Snapshot) -> None:
+    def _apply_stored(self, stored: configstore.Snapshot) -> None:
         def act(replica: replicas.Replica) -> spread.Snapshot | None:
             replica.take_stored(stored.head, stored.document)
             return replica.spread.snapshot
 
         # The store may answer after this process has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
-            self._delivery.offer(self._do(act))
+            self._notifier.publish(self._run_on_replica(act))
             self._wake.set()
 
-    def _note_store(self, revision: int) -> None:
+    def _record_store_revision(self, revision: int) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
-            self._do(lambda replica: replica.spread.note_store(revision))
+            self._run_on_replica(
+                lambda replica: replica.spread.note_store(revision)
+            )
 
-    def _run_upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         while not self._done.is_set():
             now = time.monotonic()
 
-            def keep(replica: replicas.Replica) -> tuple[bool, bool, str]:
+            def maintain(replica: replicas.Replica) -> tuple[bool, bool, str]:
                 replica.settle(now)
-                alone = len(replica.members.everything()) == 1
-                return replica.is_watcher, alone, replica.why_not_ready()
-
-            watcher, alone, self._reason = self._do(keep)
-            pause = HOSTS_SELDOM_SECONDS
+                has_no_peers = len(replica.members.everything()) == 1
+                return (
+                    replica.is_watcher,
+                    has_no_peers,
+                    replica.why_not_ready(),
+                )
+
+            watcher, has_no_peers, self._not_ready_reason = (
+                self._run_on_replica(maintain)
+            )
+            pause = NON_WATCHER_HOSTS_SECONDS
             if watcher:
-                pause = self._outside.hosts_seconds
-            if alone:
-                pause = UPKEEP_SECONDS
-            if now - self._hosts_read >= pause:
-                self._hosts_read = now
+                pause = self._sources.hosts_seconds
+            if has_no_peers:
+                pause = MAINTENANCE_SECONDS
+            if now - self._hosts_read_at >= pause:
+                self._hosts_read_at = now
                 self._read_hosts(now)
-            self._watch.switch(watcher)
-            self._done.wait(UPKEEP_SECONDS)
+            self._watch.set_active(watcher)
+            self._done.wait(MAINTENANCE_SECONDS)
 
     def _read_hosts(self, now: float) -> None:
-        hosts = self._outside.read_hosts()
+        hosts = self._sources.read_hosts()
         if isinstance(hosts, result.Err):
             logging.warning('host list not read: %s', hosts.err_value)
             return
@@ -259,9 +278,9 @@
             replica.add_seeds(host.address for host in listed)
             replica.members.hear_hosts(now, {host.name for host in listed})
 
-        self._do(take)
+        self._run_on_replica(take)
 
-    def _guard(self, target: Callable[[], None]) -> None:
+    def _run_or_abort(self, target: Callable[[], None]) -> None:
         try:
             target()
         except Exception:
@@ -271,20 +290,20 @@
 
     def _start_thread(self, target: Callable[[], None], name: str) -> None:
         thread = threading.Thread(
-            target=self._guard, args=(target,), name=name, daemon=True
+            target=self._run_or_abort, args=(target,), name=name, daemon=True
         )
         thread.start()
         self._stack.callback(thread.join, _JOIN_SECONDS)
 
     def __enter__(self) -> 'FleetState':
         with self._stack as stack:
-            stack.callback(self._outside.close)
+            stack.callback(self._sources.close)
             stack.callback(self._client.close)
-            self._owner = _Owner.start(self._replica)
-            stack.callback(self._owner.stop)
-            self._tell_endpoint()
-            self._start_thread(self._delivery.run, 'configuration')
-            self._start_thread(self._run_upkeep, 'fleet-upkeep')
+            self._replica_actor = _ReplicaActor.start(self._replica)
+            stack.callback(self._replica_actor.stop)
+            self._announce_endpoint()
+            self._start_thread(self._notifier.run, 'configuration')
+            self._start_thread(self._run_maintenance, 'fleet-upkeep')
             self._start_thread(self._run_rounds, 'fleet-rounds')
             stack.callback(self._stop)
             self._stack = stack.pop_all()
@@ -293,8 +312,8 @@
     def _stop(self) -> None:
         self._done.set()
         self._wake.set()
-        self._delivery.close()
-        self._watch.switch(False)
+        self._notifier.close()
+        self._watch.set_active(False)
 
     def __exit__(self, *details) -> None:
         self._stack.close()
--- a/packages/daemon/src/dunlintide_daemon/delivery.py
+++ b/packages/daemon/src/dunlintide_daemon/snapshotnotifier.py
@@ -5,12 +5,12 @@
 
 from dunlintide_core import spread
 
-__all__ = ['Delivery', 'OnSnapshot']
+__all__ = ['SnapshotNotifier', 'OnSnapshot']
 
 OnSnapshot = Callable[[spread.Snapshot], None]
 
 
-class Delivery:
+class SnapshotNotifier:
     """Hands the newest configuration to those who asked for it.
 
     :ivar snapshot: the newest, None before the first
@@ -23,13 +23,13 @@
         self._changed = threading.Condition()
         self._closed = False
 
-    def add(self, callback: OnSnapshot) -> None:
+    def subscribe(self, callback: OnSnapshot) -> None:
         """Call back with the newest configuration and all later ones."""
         with self._changed:
             self._callbacks.append((callback, 0))
             self._changed.notify()
 
-    def offer(self, snapshot: spread.Snapshot | None) -> None:
+    def publish(self, snapshot: spread.Snapshot | None) -> None:
         """Take a configuration to hand on."""
         with self._changed:
             if snapshot is not self.snapshot:
@@ -42,13 +42,17 @@
             self._closed = True
             self._changed.notify()
 
-    def _take(self) -> tuple[spread.Snapshot | None, list[OnSnapshot]]:
+    def _wait_for_due(self) -> tuple[spread.Snapshot | None, list[OnSnapshot]]:
         """Wait for callbacks that have not had the newest snapshot."""
         with self._changed:
             while not self._closed:
                 snapshot = self.snapshot
                 revision = snapshot.head.revision if snapshot else 0
-                due = [call for call, had in self._callbacks if had < revision]
+                due = [
+                    call
+                    for call, delivered in self._callbacks
+                    if delivered < revision
+                ]
                 if due:
                     self._callbacks = [
                         (call, revision) for call, _ in self._callbacks
@@ -60,7 +64,7 @@
     def run(self) -> None:
         """Call back until closed."""
         while True:
-            snapshot, due = self._take()
+            snapshot, due = self._wait_for_due()
             if snapshot is None:
                 return
             for callback in due:
