--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -194,8 +194,8 @@
     (endpoint,) = beliefs.list_endpoints('llm')
     context.life = endpoint.name
     beliefs.eject([endpoint.name], 'still', 's-1')
-    beliefs.soundness.refuse(endpoint.name, beliefs.now)
-    beliefs.crashers.report('request', endpoint.name, beliefs.now)
+    beliefs.health.refuse(endpoint.name, beliefs.now)
+    beliefs.poison_requests.report('request', endpoint.name, beliefs.now)
     beliefs.mark_leaving(endpoint.name, 'two')
     context.ended = []
     beliefs.incarnation_listeners.append(context.ended.append)
@@ -210,10 +210,12 @@
     assert endpoint.identity == name
     assert endpoint.start == endpoint.end == 0
     assert not endpoint.draining
-    assert not beliefs.soundness.is_full(endpoint.name, beliefs.now)
-    assert not beliefs.soundness.measure_doubt(endpoint.name, beliefs.now)
+    assert not beliefs.health.is_full(endpoint.name, beliefs.now)
+    assert not beliefs.health.measure_doubt(endpoint.name, beliefs.now)
     # A break at the new life is another one than that at the old.
-    count = beliefs.crashers.report('request', endpoint.name, beliefs.now)
+    count = beliefs.poison_requests.report(
+        'request', endpoint.name, beliefs.now
+    )
     assert count == 2, count
 
 
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -56,7 +56,7 @@
 @behave.when('it leaves out an engine of domain "{domain}"')
 def leave_out(context, domain):
     name = find_name(context, domain)
-    context.state.soundness.accuse(name, context.state.now)
+    context.state.health.accuse(name, context.state.now)
     tell_alarm(context)
 
 
@@ -94,9 +94,9 @@
 @behave.when('an engine of domain "{domain}" refuses it as full')
 def refuse_full(context, domain):
     for endpoint in list(context.state.endpoints.values()):
-        context.state.soundness.forget(endpoint.name)
+        context.state.health.forget(endpoint.name)
     name = find_name(context, domain)
-    context.state.soundness.refuse(name, context.state.now)
+    context.state.health.refuse(name, context.state.now)
     tell_alarm(context)
 
 
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -262,7 +262,7 @@
     def runs_alone(self, job: drivers.Job) -> bool:
         """Tell whether a step must share the engine with none."""
         terms = job.owner.terms
-        return self._suspicion.runs_alone(
+        return self._suspicion.must_run_alone(
             terms.fingerprint, terms.team, self._place
         )
 
--- a/packages/daemon/src/dunlintide_daemon/crashevidence.py
+++ b/packages/daemon/src/dunlintide_daemon/crashevidence.py
@@ -201,7 +201,7 @@
         """Tell whether a request is to be refused."""
         return self._evidence.is_quarantined(fingerprint)
 
-    def runs_alone(
+    def must_run_alone(
         self, fingerprint: bytes, team: str, place: poison.Place
     ) -> bool:
         """Tell whether a request's step must share the endpoint with none."""
--- a/packages/daemon/src/dunlintide_daemon/gateway/admin.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/admin.py
@@ -99,8 +99,8 @@
             'waiting': {
                 name: len(queue) for name, queue in state.backlogs.items()
             },
-            'left_out': state.soundness.list_doubted(now),
-            'told_to_leave_out': state.soundness.list_heard(now),
+            'left_out': state.health.list_doubted(now),
+            'told_to_leave_out': state.health.list_heard(now),
             'slow': dict(state.paces.list_slow(now)),
             'rate_limits': state.rate_limits.list_limited(),
             'coordinated_limits': state.permits.list_coordinated(),
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -158,12 +158,12 @@
         exchange.failed_endpoints.append(endpoint.name)
         hop = endpoints_module.Hop(endpoint, 0, 0)
         reservation = self._state.occupancy.reserve((hop,), 0)
-        self._state.soundness.begin((endpoint.name,))
+        self._state.health.begin((endpoint.name,))
         work = self._send(exchange, endpoint)
         task = asyncio.get_running_loop().create_task(work)
 
         def end(_: asyncio.Task) -> None:
-            self._state.soundness.end((endpoint.name,), False)
+            self._state.health.end((endpoint.name,), False)
             self._state.release(exchange.service, reservation)
 
         task.add_done_callback(end)
@@ -204,7 +204,7 @@
             endpoint = self._choose(exchange, paused)
             if endpoint is None:
                 return None
-            if await state.admit(endpoint.name, exchange.ask.name):
+            if await state.admit(endpoint.name, exchange.caller_request.name):
                 state.get_backlog(exchange.service).note_served(state.now)
                 return endpoint
             if state.now >= expires:
@@ -253,7 +253,9 @@
                 endpoint.address, CONNECT_SECONDS, max_idle
             )
         except endpointhttp.Broken as broken:
-            state.eject([endpoint.name], str(broken), exchange.ask.name)
+            state.eject(
+                [endpoint.name], str(broken), exchange.caller_request.name
+            )
             return _SendResult(endpoint, False, f'no connection: {broken}')
         exchange.sends += 1
         exchange.runs += 1
@@ -261,7 +263,7 @@
             return await self._exchange(exchange, endpoint, connection)
         except endpointhttp.Broken as broken:
             if broken.fault is not endpointhttp.Fault.TIMEOUT:
-                state.crashers.report(
+                state.poison_requests.report(
                     exchange.fingerprint, endpoint.name, state.now
                 )
             return _SendResult(endpoint, True, str(broken))
@@ -279,14 +281,14 @@
             endpoint=endpoint,
             left=exchange.deadline - state.now,
             team=exchange.team,
-            after=exchange.ask.after,
+            after=exchange.caller_request.after,
         )
         data = requests.encode(exchange.request, relayed)
         sent_at = state.now
         connection.send(data, exchange.request.method == 'HEAD')
         state.log.write(
             'call sent',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             endpoint=endpoint.name,
             send=exchange.sends,
             rule=exchange.rule.name,
@@ -297,16 +299,20 @@
         verdict = requests.judge(head)
         state.record_rate_limit(endpoint.name, verdict.rate_limit, sent_at)
         body = await connection.read_all(exchange.deadline)
-        if verdict.name not in (None, exchange.ask.name):
+        if verdict.name not in (None, exchange.caller_request.name):
             return _SendResult(endpoint, True, 'answer to another request')
         if verdict.not_run:
             exchange.runs -= 1
             if verdict.misdirected:
-                state.eject([endpoint.name], 'misdirected', exchange.ask.name)
+                state.eject(
+                    [endpoint.name],
+                    'misdirected',
+                    exchange.caller_request.name,
+                )
             return _SendResult(endpoint, False, f'refused with {head.status}')
         if not verdict.signed and head.status < 300:
             return _SendResult(endpoint, True, 'answer without a signature')
-        state.soundness.report_progress((endpoint.name,), state.now)
+        state.health.report_progress((endpoint.name,), state.now)
         self._clear_crashes(exchange, endpoint, sent_at)
         return _SendResult(endpoint, True, '', head, body)
 
@@ -321,11 +327,13 @@
         An answer that is lost looks like a crash, and three of them refused
         a caller for a minute.
         """
-        cleared = self._state.crashers.clear_endpoint(endpoint.name, sent_at)
+        cleared = self._state.poison_requests.clear_endpoint(
+            endpoint.name, sent_at
+        )
         if cleared:
             self._state.log.write(
                 'broken runs cleared',
-                request=exchange.ask.name,
+                request=exchange.caller_request.name,
                 endpoint=endpoint.name,
                 broken_runs=cleared,
             )
@@ -339,7 +347,7 @@
         )
         exchange.reply.send(forwarded, answer.body)
         if head.status < 300:
-            self._state.crashers.clear(exchange.fingerprint)
+            self._state.poison_requests.clear(exchange.fingerprint)
             return Outcome.COMPLETE
         return Outcome.FAILED
 
@@ -357,8 +365,8 @@
             for each in state.list_endpoints(exchange.service)
         ):
             return RETRY_AFTER_SECONDS * state.random.uniform(*JITTER)
-        state.returns.refuse(exchange.digest, state.now)
-        pause = state.returns.choose_pause(state.now)
+        state.refusal_history.refuse(exchange.digest, state.now)
+        pause = state.refusal_history.choose_pause(state.now)
         return pause * state.random.uniform(*JITTER)
 
     def _end_unanswered(
@@ -378,7 +386,7 @@
         pause = self._choose_retry_after(exchange, ran)
         self._state.log.write(
             'call not answered',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             reason=reason or '; '.join(reasons),
             may_have_run=ran,
             sends=exchange.sends,
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -62,12 +62,19 @@
 
     def estimate(self, stream: Stream) -> chains.Demand:
         """Tell what a run from here on will take."""
-        ask, profile = stream.exchange.ask, stream.profile
+        caller_request, profile = (
+            stream.exchange.caller_request,
+            stream.profile,
+        )
         written = stream.sequence.count * profile.stride
-        most = max(1, ask.answer - written)
-        typical = ask.hint or profile.usual_answer or ask.answer
+        most = max(1, caller_request.answer - written)
+        typical = (
+            caller_request.hint
+            or profile.usual_answer
+            or caller_request.answer
+        )
         expected = max(1, min(most, typical - written))
-        prompt = ask.prompt + written
+        prompt = caller_request.prompt + written
         return chains.Demand(
             prompt=prompt,
             answer=expected,
@@ -106,7 +113,7 @@
 
     def _list_unusable(self, stream: Stream) -> set[str]:
         """Name the engines that are to get no part of a stream now."""
-        unusable = self._state.soundness.list_unusable(self._state.now)
+        unusable = self._state.health.list_unusable(self._state.now)
         unusable.update(stream.exchange.failed_endpoints)
         unusable.update(self._state.list_unreadable())
         unusable.update(self._state.permits.list_paused(self._state.now))
@@ -155,7 +162,7 @@
         if not endpoints_module.covers_exactly(hops, stream.profile.layers):
             state.log.write_always(
                 'chain is not exact',
-                request=stream.exchange.ask.name,
+                request=stream.exchange.caller_request.name,
                 chain=format_chain(hops),
             )
             return None
@@ -169,7 +176,7 @@
         :param expires: monotonic time until which to look, in seconds
         """
         state = self._state
-        name = stream.exchange.ask.name
+        name = stream.exchange.caller_request.name
         while (hops := self.choose(stream)) is not None:
             if await state.admit(hops[0].endpoint.name, name):
                 state.get_backlog(stream.exchange.service).note_served(
@@ -186,8 +193,8 @@
         state = self._state
         exchange = stream.exchange
         queue = state.get_backlog(exchange.service)
-        place = self.choose_queue_place(exchange)
-        standing, expires = place.standing, place.expires
+        wait = self.choose_queue_wait(exchange)
+        standing, expires = wait.standing, wait.expires
         if not queue.count_ahead(exchange.priority, standing):
             hops = await self._choose_admitted(stream, expires)
             if hops is not None:
@@ -213,12 +220,12 @@
             timer.cancel()
             queue.remove(waiter)
 
-    def choose_queue_place(
+    def choose_queue_wait(
         self, exchange: exchange_module.Exchange
     ) -> waits.Place:
         """Tell where a stream waits, at most until its deadline."""
         terms = exchange.terms
-        place = waits.choose_place(
+        wait = waits.choose_place(
             exchange.request.arrived,
             self._state.now,
             terms.target_seconds or DEFAULT_TARGET_SECONDS,
@@ -228,6 +235,6 @@
         )
         if not self._state.has(mechanisms.Mechanism.STANDING):
             fresh = backlog.Standing.ON_TIME
-            place = attrs.evolve(place, standing=fresh)
-        expires = min(place.expires, exchange.deadline)
-        return attrs.evolve(place, expires=expires)
+            wait = attrs.evolve(wait, standing=fresh)
+        expires = min(wait.expires, exchange.deadline)
+        return attrs.evolve(wait, expires=expires)
--- a/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
@@ -58,7 +58,7 @@
 
     request: callermessages.Request
     reply: callermessages.Reply
-    ask: asks.Ask
+    caller_request: asks.Ask
     rule: configuration.Rule
     service: str
     deadline: float
--- a/packages/daemon/src/dunlintide_daemon/gateway/follower.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/follower.py
@@ -308,8 +308,8 @@
         known = self._state.endpoints.get(endpoint.name)
         if known is None:
             return False
-        returns = known.draining and not endpoint.draining
-        return returns or endpoint.reports < known.reports
+        is_listed_again = known.draining and not endpoint.draining
+        return is_listed_again or endpoint.reports < known.reports
 
     def _remove(self, item: storevalues.Item) -> None:
         """Forget a key, but not one that an outage or a copy made lapse."""
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -148,9 +148,9 @@
             domains are spared
         """
         state = self._state
-        doubted = state.soundness.list_doubted(state.now)
-        refusing = state.soundness.list_refusing(state.now)
-        full = state.soundness.list_full(state.now)
+        doubted = state.health.list_doubted(state.now)
+        refusing = state.health.list_refusing(state.now)
+        full = state.health.list_full(state.now)
         message = gossipmessages.Message(
             state.settings.name,
             state.version,
@@ -200,14 +200,10 @@
                 for name, at in state.leaving_since.items()
                 if at >= since
             ],
-            list(
-                map(gossipmessages.digest, state.soundness.list_doubted(now))
-            ),
-            state.crashers.list_recent(since),
-            state.returns.list_recent(now - REFUSAL_REPEAT_SECONDS),
-            list(
-                map(gossipmessages.digest, state.soundness.list_refusing(now))
-            ),
+            list(map(gossipmessages.digest, state.health.list_doubted(now))),
+            state.poison_requests.list_recent(since),
+            state.refusal_history.list_recent(now - REFUSAL_REPEAT_SECONDS),
+            list(map(gossipmessages.digest, state.health.list_refusing(now))),
             self._list_ages(),
             paces=self._list_paces(),
         )
@@ -223,7 +219,7 @@
         ]
 
     def _list_ages(self) -> list[int]:
-        progress = self._state.soundness.list_flows(self._state.now)
+        progress = self._state.health.list_flows(self._state.now)
         longest = gossipmessages.LONGEST_AGE * gossipmessages.AGE_UNIT
         return [
             int(
@@ -292,24 +288,24 @@
         if state.has(mechanisms.Mechanism.HEARSAY):
             for digest in message.doubted:
                 if digest in names:
-                    state.soundness.hear(names[digest], now)
+                    state.health.hear(names[digest], now)
         if state.has(mechanisms.Mechanism.TOLD_REFUSALS):
             for digest in message.refusing:
                 if digest in names:
-                    state.soundness.hear_refusal(names[digest], now)
+                    state.health.hear_refusal(names[digest], now)
             for digest in message.full:
                 if digest in names:
                     part = state.random.uniform(*FULL_PAUSE_JITTER)
-                    state.soundness.hear_full(names[digest], now, part)
+                    state.health.hear_full(names[digest], now, part)
         for digest, pace in message.paces:
             if digest in names:
                 state.paces.receive(
                     names[digest], pace * gossipmessages.PACE_UNIT, now
                 )
         for fingerprint, endpoint in message.broken:
-            state.crashers.hear(fingerprint, endpoint, now)
+            state.poison_requests.hear(fingerprint, endpoint, now)
         for digest in message.refused:
-            state.returns.hear(digest, now)
+            state.refusal_history.hear(digest, now)
         if message.usages is not None:
             usages = {
                 names[digest]: occupancy.Usage(
@@ -334,8 +330,8 @@
         now: float,
     ) -> None:
         """Take in through which endpoints streams of another entry flow."""
-        soundness = self._state.soundness
+        health = self._state.health
         for (digest, *_), age in zip(message.usages, message.ages):
             if age < gossipmessages.LONGEST_AGE and digest in names:
                 moved = now - age * gossipmessages.AGE_UNIT
-                soundness.hear_flow(names[digest], moved, now)
+                health.hear_flow(names[digest], moved, now)
--- a/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
@@ -50,12 +50,12 @@
         if not self._state.has(mechanisms.Mechanism.LOSS_QUESTIONS):
             return set()
         now = self._state.now
-        soundness = self._state.soundness
+        health = self._state.health
         self._forget({each.name for each in engines})
         for engine in engines:
-            doubt = soundness.measure_doubt(engine.name, now)
+            suspected_seconds = health.measure_doubt(engine.name, now)
             if (
-                doubt >= PROBE_AFTER_SECONDS
+                suspected_seconds >= PROBE_AFTER_SECONDS
                 and engine.name not in self._lost_at
             ):
                 self._start_probe(engine, now)
@@ -72,7 +72,7 @@
         While the store is away it does not list that engines drain, and
         their layers would be ordered elsewhere only after its return.
         """
-        measure = self._state.soundness.measure_refusing
+        measure = self._state.health.measure_refusing
         return {
             each.name
             for each in engines
@@ -85,7 +85,7 @@
             for name in [each for each in known if each not in listed]:
                 del known[name]
         for name, at in list(self._lost_at.items()):
-            if self._state.soundness.has_moved_since(name, at):
+            if self._state.health.has_moved_since(name, at):
                 self._state.log.write_always('engine back', endpoint=name)
                 del self._lost_at[name]
 
@@ -116,7 +116,7 @@
                 self._state.record_incarnation(engine, read.ok_value.born)
                 return
             errors.append(read.err_value)
-        if self._state.soundness.has_moved_since(engine.name, began):
+        if self._state.health.has_moved_since(engine.name, began):
             return
         self._lost_at[engine.name] = self._state.now
         self._state.log.write_always(
--- a/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
@@ -50,9 +50,9 @@
         self, request: callermessages.Request, reply: callermessages.Reply
     ) -> None:
         """Answer one request."""
-        ask = requests.decode(request)
+        caller_request = requests.decode(request)
         await self._wait_for_first_reading()
-        exchange = self._admit(request, reply, ask)
+        exchange = self._admit(request, reply, caller_request)
         if exchange is None:
             return
         terms = exchange.terms
@@ -88,7 +88,7 @@
         state.counters.request_seconds.labels(kind).observe(seconds)
         state.log.write(
             'request ended',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             outcome=outcome,
             rule=exchange.rule.name,
             service=exchange.service,
@@ -112,29 +112,35 @@
         self,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: asks.Ask,
+        caller_request: asks.Ask,
     ) -> exchange_module.Exchange | None:
         """Find the terms of a request, or refuse it at once."""
         deployment = self._state.deployment
         if not self._state.is_initialized:
             self._deny(
-                reply, ask, 503, 'no configuration', UNREADY_RETRY_SECONDS
+                reply,
+                caller_request,
+                503,
+                'no configuration',
+                UNREADY_RETRY_SECONDS,
             )
             return None
-        owner = deployment.find_owner(ask.key_digest)
-        rule = self._find_rule(deployment, ask, owner)
+        owner = deployment.find_owner(caller_request.key_digest)
+        rule = self._find_rule(deployment, caller_request, owner)
         if rule is None:
-            self._deny(reply, ask, 404, 'no rule matches')
+            self._deny(reply, caller_request, 404, 'no rule matches')
             return None
         if owner is None and deployment.needs_keys and not rule.then.public:
-            self._deny(reply, ask, 401, 'unknown key')
+            self._deny(reply, caller_request, 401, 'unknown key')
             return None
-        exchange = self._build(deployment, request, reply, ask, rule, owner)
+        exchange = self._build(
+            deployment, request, reply, caller_request, rule, owner
+        )
         now = self._state.now
-        if self._state.crashers.is_refused(exchange.fingerprint, now):
+        if self._state.poison_requests.is_refused(exchange.fingerprint, now):
             self._deny(
                 reply,
-                ask,
+                caller_request,
                 503,
                 'seems to crash endpoints',
                 CRASHER_RETRY_SECONDS,
@@ -142,10 +148,10 @@
             return None
         if self._is_too_late(exchange, now):
             pause = self._choose_stopping_retry_after(exchange, now)
-            self._deny(reply, ask, 503, 'stopping', pause)
+            self._deny(reply, caller_request, 503, 'stopping', pause)
             return None
         self._state.get_retry_budget(exchange.service).earn(now)
-        refusals = self._state.returns
+        refusals = self._state.refusal_history
         if self._state.has(mechanisms.Mechanism.RETURNED):
             exchange.was_refused = refusals.has_returned(exchange.digest, now)
         refusals.ask(now)
@@ -177,17 +183,17 @@
     def _find_rule(
         self,
         deployment: deployments.Deployment,
-        ask: asks.Ask,
+        caller_request: asks.Ask,
         owner: configuration.Team | None,
     ) -> configuration.Rule | None:
         query = matching.Query(
             team=owner.name if owner else '',
-            model=ask.model,
-            method=ask.method,
-            path=ask.path,
+            model=caller_request.model,
+            method=caller_request.method,
+            path=caller_request.path,
             failure_domain=self._state.settings.failure_domain,
-            prompt_tokens=ask.prompt,
-            host=ask.host,
+            prompt_tokens=caller_request.prompt,
+            host=caller_request.host,
         )
         rule = deployment.find_rule(query)
         if rule is None or rule.then.action is configuration.Action.REFUSE:
@@ -199,28 +205,28 @@
         deployment: deployments.Deployment,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: asks.Ask,
+        caller_request: asks.Ask,
         rule: configuration.Rule,
         owner: configuration.Team | None,
     ) -> exchange_module.Exchange:
         limit = rule.then.deadline_seconds
-        if ask.patience is not None:
-            limit = min(limit, ask.patience)
+        if caller_request.patience is not None:
+            limit = min(limit, caller_request.patience)
         priority = rule.then.priority
         if owner is not None and owner.priority is not None:
             priority = owner.priority
-        fingerprint = _make_fingerprint(request, ask)
+        fingerprint = _make_fingerprint(request, caller_request)
         return exchange_module.Exchange(
             request=request,
             reply=reply,
-            ask=ask,
+            caller_request=caller_request,
             rule=rule,
             service=self._draw_service(rule),
             deadline=request.arrived + limit,
             version=deployment.version,
             priority=priority,
             fingerprint=fingerprint,
-            digest=_make_digest(fingerprint, ask),
+            digest=_make_digest(fingerprint, caller_request),
             team=owner.name if owner else None,
         )
 
@@ -235,7 +241,7 @@
     def _deny(
         self,
         reply: callermessages.Reply,
-        ask: asks.Ask,
+        caller_request: asks.Ask,
         status: int,
         reason: str,
         retry_after: float | None = None,
@@ -244,11 +250,11 @@
         self._state.counters.requests.labels('any', Outcome.DENIED).inc()
         self._state.log.write(
             'request denied',
-            request=ask.name,
+            request=caller_request.name,
             status=status,
             reason=reason,
             retry_after=retry_after,
-            caller_host=ask.host,
+            caller_host=caller_request.host,
             version=deployment.version if deployment else None,
             configuration_age=round(
                 self._state.now - self._state.configuration_at, 3
@@ -257,17 +263,23 @@
         exchange_module.refuse(reply, status, retry_after)
 
 
-def _make_fingerprint(request: callermessages.Request, ask: asks.Ask) -> str:
+def _make_fingerprint(
+    request: callermessages.Request, caller_request: asks.Ask
+) -> str:
     """Name a request by what stays when its caller sends it again."""
     digest = hashlib.blake2b(digest_size=9)
-    for part in (ask.host, request.target, ask.key_digest):
+    for part in (
+        caller_request.host,
+        request.target,
+        caller_request.key_digest,
+    ):
         digest.update(part.encode('latin-1'))
         digest.update(b'\0')
     digest.update(request.body)
     return digest.hexdigest()
 
 
-def _make_digest(fingerprint: str, ask: asks.Ask) -> int:
+def _make_digest(fingerprint: str, request: asks.Ask) -> int:
     """Tell a request from others with the same path, caller and body."""
-    text = f'{fingerprint} {ask.prompt} {ask.answer} {ask.prefix}'
+    text = f'{fingerprint} {request.prompt} {request.answer} {request.prefix}'
     return zlib.crc32(text.encode('latin-1'))
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -131,7 +131,7 @@
             now,
             published_event_seconds=published_event_seconds,
         )
-        state.soundness.begin(run.names)
+        state.health.begin(run.names)
         self._active.add(run)
         connection = None
         try:
@@ -143,7 +143,7 @@
             raise
         finally:
             self._active.discard(run)
-            state.soundness.end(run.names, run.events > 0)
+            state.health.end(run.names, run.events > 0)
             self._release(stream.exchange.service, run)
             if connection is not None:
                 state.pool.release(run.first.address, connection)
@@ -165,7 +165,9 @@
             return await state.pool.acquire(run.first.address, CONNECT_SECONDS)
         except endpointhttp.Broken as broken:
             exchange.failed_endpoints.append(run.first.name)
-            state.eject([run.first.name], str(broken), exchange.ask.name)
+            state.eject(
+                [run.first.name], str(broken), exchange.caller_request.name
+            )
             raise runends.RunEnded(
                 False, f'no connection: {broken}'
             ) from broken
@@ -189,7 +191,7 @@
         connection.send(requests.encode(exchange.request, relayed))
         state.log.write(
             'stream sent',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             chain=chainfinder.format_chain(run.hops),
             send=exchange.sends,
             after=stream.sequence.last_id,
@@ -209,7 +211,7 @@
             self._state.record_rate_limit(
                 run.first.name, verdict.rate_limit, run.began
             )
-            if verdict.name not in (None, exchange.ask.name):
+            if verdict.name not in (None, exchange.caller_request.name):
                 raise runends.RunEnded(True, 'answer to another request')
             if verdict.not_run:
                 exchange.runs -= 1
@@ -248,7 +250,7 @@
         if late or verdict.misdirected:
             exchange.failed_endpoints.append(culprit.name)
             reason = 'misdirected' if verdict.misdirected else 'stalled'
-            state.eject([culprit.name], reason, exchange.ask.name)
+            state.eject([culprit.name], reason, exchange.caller_request.name)
 
     def _record_break(
         self,
@@ -260,12 +262,12 @@
         if broken.fault in _INCONCLUSIVE_FAULTS:
             return
         exchange.failed_endpoints.append(run.first.name)
-        count = state.crashers.report(
+        count = state.poison_requests.report(
             exchange.fingerprint, run.first.name, state.now
         )
         state.log.write(
             'run broken',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             endpoint=run.first.name,
             fault=broken.fault,
             broken_runs=count,
@@ -360,7 +362,7 @@
         if not reply.started:
             reply.start(_make_head(head, None))
         reply.finish(splitter.remainder)
-        self._state.crashers.clear(exchange.fingerprint)
+        self._state.poison_requests.clear(exchange.fingerprint)
         if run.events > 1:
             self._state.longest_gaps.note(run.longest_pause)
 
@@ -380,13 +382,13 @@
             self._check_pace(run, now)
         else:
             self._state.first_event_delays.note(now - run.began)
-            self._state.soundness.accept(run.names, run.began)
+            self._state.health.accept(run.names, run.began)
             run.checked_at = now
         run.events += 1
         exchange.events += 1
         exchange.last_event = now
         run.last_progress = now
-        self._state.soundness.report_progress(run.names, now)
+        self._state.health.report_progress(run.names, now)
 
     def _check_pace(self, run: _Run, now: float) -> None:
         """Suspect the engines of a run whose events come slowly."""
--- a/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
@@ -86,10 +86,10 @@
         judgement = rescues.judge(seconds, limits, evidence)
         if not judgement.moves:
             return judgement.limit
-        state.eject(suspects, 'still', exchange.ask.name)
+        state.eject(suspects, 'still', exchange.caller_request.name)
         before = list(exchange.failed_endpoints)
-        still = state.soundness.find_still(stall.names, stall.last_progress)
-        exchange.failed_endpoints.extend(suspects or still)
+        stalled = state.health.find_still(stall.names, stall.last_progress)
+        exchange.failed_endpoints.extend(suspects or stalled)
         # A permit may be refused, and a slow run is worth more than none.
         hops = self._finder.choose(stream, state.rate_limits.list_limited())
         if hops is None or not state.spend_retry_budget(
@@ -105,16 +105,16 @@
     ) -> rescues.Evidence:
         """Tell what is known of the endpoints of a still run."""
         since = rescues.choose_since(stall.last_progress, now)
-        still = self._state.soundness.find_still(stall.names, since)
-        return rescues.weigh(suspects, still)
+        stalled = self._state.health.find_still(stall.names, since)
+        return rescues.weigh(suspects, stalled)
 
     def _find_suspects(self, stall: Stall, now: float) -> list[str]:
         """List the endpoints that seem to hold up a still run."""
-        soundness = self._state.soundness
+        health = self._state.health
         known = []
         if self._state.has(mechanisms.Mechanism.LEFT_OUT_NAMES):
-            known = soundness.find_left_out(stall.names, now)
+            known = health.find_left_out(stall.names, now)
         since = rescues.choose_since(stall.last_progress, now)
-        return known or soundness.find_suspects(
+        return known or health.find_suspects(
             stall.names, since, now, stall.has_events
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -83,7 +83,7 @@
     occupancy: occupancy_module.Occupancy = attrs.field(
         factory=occupancy_module.Occupancy
     )
-    soundness: soundness_module.Soundness = attrs.field(
+    health: soundness_module.Soundness = attrs.field(
         factory=soundness_module.Soundness
     )
     first_event_delays: pauses_module.Pauses = attrs.field(
@@ -104,10 +104,10 @@
     slow_suspects: set[str] = attrs.field(factory=set)
     slow_suspected: asyncio.Event = attrs.field(factory=asyncio.Event)
     alert_pending: asyncio.Event = attrs.field(factory=asyncio.Event)
-    crashers: crashers_module.Crashers = attrs.field(
+    poison_requests: crashers_module.Crashers = attrs.field(
         factory=crashers_module.Crashers
     )
-    returns: returns_module.Returns = attrs.field(
+    refusal_history: returns_module.Returns = attrs.field(
         factory=returns_module.Returns
     )
     random: random_module.Random = attrs.field(factory=random_module.Random)
@@ -306,7 +306,7 @@
         if self.endpoints.pop(endpoint.name, None) is not None:
             self.listing_version += 1
         self.pool.drop(endpoint.address)
-        self.soundness.forget(endpoint.name)
+        self.health.forget(endpoint.name)
         self.paces.forget(endpoint.name)
         self.rate_limits.forget(endpoint.name)
 
@@ -319,7 +319,7 @@
             if each.service == service
             and not each.draining
             and each.identity not in self.unreadable_since
-            and self.soundness.is_open(each.name, now)
+            and self.health.is_open(each.name, now)
         ]
 
     def list_engines(
@@ -385,7 +385,7 @@
             return
         now = self.now
         for name in names:
-            if self.soundness.accuse(name, now):
+            if self.health.accuse(name, now):
                 self.counters.accusations.inc()
                 self.log.write(
                     'endpoint left out',
@@ -452,7 +452,7 @@
         """
         if not self.has(mechanisms.Mechanism.REFUSAL_PAUSES):
             return
-        pause = self.soundness.refuse(name, self.now, roomy)
+        pause = self.health.refuse(name, self.now, roomy)
         self.alert_pending.set()
         loop = asyncio.get_running_loop()
         loop.call_later(pause, self.wake, service)
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -54,7 +54,7 @@
     ) -> Outcome:
         """Answer a request whose rule names engines."""
         state = self._state
-        sequence = events.EventSequence(exchange.ask.after)
+        sequence = events.EventSequence(exchange.caller_request.after)
         stream = exchange_module.Stream(exchange, profile, sequence)
         ran = False
         hops = None
@@ -112,7 +112,7 @@
         state = self._state
         if not exchange.runs:
             return False
-        expires = self._finder.choose_queue_place(exchange).expires
+        expires = self._finder.choose_queue_wait(exchange).expires
         budget = state.get_retry_budget(exchange.service)
         while state.now < expires:
             if budget.can_spend(state.now):
@@ -128,7 +128,7 @@
     ) -> None:
         self._state.log.write(
             'run ended early',
-            request=stream.exchange.ask.name,
+            request=stream.exchange.caller_request.name,
             reason=ended.reason,
             may_have_run=ended.ran,
             sends=stream.exchange.sends,
@@ -148,7 +148,7 @@
         if reply.started or ran:
             state.log.write(
                 'stream given up',
-                request=exchange.ask.name,
+                request=exchange.caller_request.name,
                 reason=failure.reason,
                 scarce=failure.shortage,
                 events=exchange.events,
@@ -161,11 +161,11 @@
             late = state.now >= exchange.deadline
             exchange_module.refuse(reply, 504 if late else 502)
             return Outcome.UNKNOWN
-        state.returns.refuse(exchange.digest, state.now)
+        state.refusal_history.refuse(exchange.digest, state.now)
         pause = self._choose_retry_after(exchange)
         state.log.write(
             'request refused',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             reason=failure.reason,
             scarce=failure.shortage,
             returned=exchange.was_refused,
@@ -179,7 +179,7 @@
     def _choose_retry_after(self, exchange: exchange_module.Exchange) -> float:
         """Tell when there may be room, with jitter to spread returns."""
         now = self._state.now
-        pause = self._state.returns.choose_pause(now)
+        pause = self._state.refusal_history.choose_pause(now)
         pause *= self._state.random.uniform(*JITTER)
         left = max(0.1, exchange.deadline - now)
         return min(pause, left * returns.LEFT_PART)
