--- a/packages/daemon/src/dunlintide_daemon/crashevidence.py
+++ b/packages/daemon/src/dunlintide_daemon/crashevidence.py
@@ -1,8 +1,8 @@
-"""Evidence about crashes at one process, shared with its neighbours.
+"""Evidence about endpoint crashes, shared with linked processes.
 
-What is new here is passed on to every process that is linked, apart from
-the one that told it. A link's frames keep their order, so who hears of a
-failed attempt over a link has heard of the crash before.
+New evidence is forwarded to every linked process except its source. A link
+keeps the order of its frames, so a process that learns of a failed attempt
+over a link already knows of the crash behind it.
 """
 
 import threading
@@ -23,16 +23,17 @@
 
 _SHOWN_DIGITS = 12
 
-# Sends a frame to all linked processes but one.
+# Sends a frame to all linked processes except the given one.
 Broadcast = Callable[[link_pb2.Frame, links.Link | None], None]
 
 
 @attrs.frozen
 class CompletedStep:
-    """A step that an endpoint has run.
+    """A pipeline step that an endpoint has completed.
 
+    :ivar fingerprint: identifies the request, empty without one
     :ivar position: first position of the step
-    :ivar end: position behind it
+    :ivar end: position after the last one of the step
     """
 
     fingerprint: bytes
@@ -75,9 +76,10 @@
 
 
 class CrashEvidence:
-    """Thread-safe evidence that spreads over links.
+    """Thread-safe crash evidence that is replicated over links.
 
-    :ivar on_news: called without locks when others have told of crashes
+    :ivar on_remote_crash: called when another process reported crashes;
+        no lock is held
     """
 
     def __init__(
@@ -86,9 +88,11 @@
         limits: poison.Limits = poison.Limits(),
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin with no crash.
+        """Start without evidence.
 
-        :param spread: sends to the linked processes; must not block
+        :param broadcast: sends to the linked processes; must not block
+        :param limits: thresholds and lifetimes of evidence
+        :param clock: returns monotonic time in seconds
         """
         self.on_remote_crash: Callable[[], None] = lambda: None
         self._broadcast = broadcast
@@ -105,11 +109,12 @@
         place: poison.Place,
         suspects: Iterable[poison.Suspect],
     ) -> None:
-        """Take note of a crash of the own endpoint and tell of it.
+        """Record and broadcast a crash of this agent's endpoint.
 
-        :param endpoint: name of its agent
-        :param life: incarnation of its agent
-        :param suspects: requests whose steps were under way
+        :param endpoint: name of the agent
+        :param incarnation: incarnation of the agent
+        :param place: layers that the endpoint held
+        :param suspects: requests whose steps were running
         """
         now = self._clock()
         with self._lock:
@@ -122,7 +127,7 @@
             self._evidence.add(crash, now)
             self._send([_write_crash(crash, now)], [], None)
         logging.warning(
-            'crash %s accuses %d requests', name, len(crash.suspects)
+            'crash %s makes %d requests suspects', name, len(crash.suspects)
         )
 
     def _send(
@@ -136,10 +141,11 @@
             self._broadcast(link_pb2.Frame(suspects=message), source)
 
     def receive(self, link: links.Link, message: link_pb2.Suspects) -> None:
-        """Take in what a neighbour knows, and pass on what is new."""
+        """Add the evidence of a neighbour, and forward what is new."""
         now = self._clock()
         max_seconds = self._limits.seconds
-        # The lock also keeps a crash ahead of its clearances on a link.
+        # Sending under the lock keeps a crash ahead of its clearances on each
+        # link.
         with self._lock:
             crashes = [
                 one
@@ -156,9 +162,9 @@
             self.on_remote_crash()
 
     def send_known(self, send: Callable[[link_pb2.Frame], object]) -> None:
-        """Tell a new neighbour all that is known.
+        """Send all known crashes to a new neighbour.
 
-        :param send: sends it a frame; must not block
+        :param send: sends a frame to the neighbour; must not block
         """
         now = self._clock()
         with self._lock:
@@ -174,8 +180,11 @@
     def record_steps(
         self, place: poison.Place, steps: Iterable[CompletedStep]
     ) -> None:
-        """Take note of steps that ran well, and tell who is cleared."""
-        # Most steps say nothing new, so they cost no lock.
+        """Record completed steps, and broadcast which requests they clear.
+
+        :param place: layers that the endpoint holds
+        """
+        # Most steps clear nothing; they are filtered out without the lock.
         relevant = [
             step
             for step in steps
@@ -198,13 +207,13 @@
             self._send([], cleared, None)
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is to be refused."""
+        """Return whether a request must be refused."""
         return self._evidence.is_quarantined(fingerprint)
 
     def must_run_alone(
         self, fingerprint: bytes, team: str, place: poison.Place
     ) -> bool:
-        """Tell whether a request's step must share the endpoint with none."""
+        """Return whether a request's step must run alone on the endpoint."""
         evidence = self._evidence
         if not evidence.is_accused(fingerprint):
             if not evidence.is_watched(team):
@@ -213,13 +222,13 @@
             return evidence.runs_alone(fingerprint, team, place)
 
     def discard_expired(self) -> None:
-        """Forget what has expired; call it a few times a second."""
+        """Discard expired evidence; to be called a few times a second."""
         if len(self._evidence):
             with self._lock:
                 self._evidence.expire(self._clock())
 
     def describe(self) -> dict[str, Any]:
-        """Return the state for a dump, without content."""
+        """Return the state for a dump, without request content."""
         now = self._clock()
         with self._lock:
             self._evidence.expire(now)
--- a/packages/daemon/src/dunlintide_daemon/edge.py
+++ b/packages/daemon/src/dunlintide_daemon/edge.py
@@ -1,9 +1,9 @@
-"""Start of the edge role: takes connections before all else is loaded.
+"""Start of the edge role: opens the listening socket before loading it.
 
-Loading the role takes a while, and callers whose host restarts
-meet a closed port meanwhile; most of them try only twice. So the listening
-socket is opened first, by an address on the command line, and what connects
-waits in its queue until the role reads it.
+Loading the role takes a while. After a restart callers would find the port
+closed meanwhile, and most of them try only twice. So the socket is opened
+first, at an address from the command line, and connections wait in its
+backlog until the role accepts them.
 """
 
 import socket
@@ -11,8 +11,8 @@
 
 __all__ = ['main']
 
-# Connections that may wait until the role takes them: some seconds of the
-# requests of an entry.
+# Connections that may wait until the role accepts them: an entry receives
+# about as many in a few seconds.
 BACKLOG = 512
 USAGE = 'usage: python3 -m dunlintide_daemon.edge HOST:PORT\n'
 BAD_USAGE = 2
@@ -21,8 +21,8 @@
 def open_listener(address: str) -> socket.socket:
     """Listen on ``HOST:PORT``.
 
-    :raises OSError: when that can't be
-    :raises ValueError: when it is no address
+    :raises OSError: when the socket can't be bound
+    :raises ValueError: when the port is not a number
     """
     host, _, port = address.rpartition(':')
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -38,7 +38,7 @@
 
 
 def main() -> int:
-    """Listen, then load and run the role with its settings.
+    """Listen, then load and run the edge role.
 
     :returns: exit status
     """
@@ -48,7 +48,7 @@
     try:
         listener = open_listener(sys.argv[1])
     except (OSError, ValueError) as error:
-        # The role tries again, by its settings, and tells if it fails.
+        # The role opens the address from its settings and reports a failure.
         sys.stderr.write(f'not listening yet: {error}\n')
         listener = None
     from dunlintide_daemon import main as main_module
--- a/packages/daemon/src/dunlintide_daemon/externalsources.py
+++ b/packages/daemon/src/dunlintide_daemon/externalsources.py
@@ -1,4 +1,4 @@
-"""The store and the host list, as the few that watch them see them."""
+"""Clients of the configuration store and the host list, for watchers."""
 
 import contextlib
 import threading
@@ -17,7 +17,7 @@
 
 
 class _ConfigStore(Protocol):
-    """The store's configuration, as ``configstore.ConfigStore`` has it."""
+    """Subset of ``configstore.ConfigStore`` that is used here."""
 
     def watch(
         self,
@@ -27,18 +27,24 @@
         poll_seconds: float,
         on_read: Callable[[int], None],
     ) -> None:
-        """Deliver each new revision until ``stop`` is set."""
+        """Deliver each new revision until ``stop`` is set.
+
+        :param held: configuration that is already known
+        :param poll_seconds: longest time between two reads
+        :param on_read: called with the store's revision at each read
+        """
 
 
 @attrs.frozen
 class ExternalSources:
-    """What the state is drawn from besides peers.
+    """Sources of the fleet's state other than peers.
 
-    :ivar read_hosts: reads the host list, or says why it could not
+    :ivar read_hosts: reads the host list, or returns why it failed
     :ivar configs: configuration in the store
-    :ivar poll_seconds: longest time between two reads of a watcher
-    :ivar hosts_seconds: between two reads of the host list by a watcher
-    :ivar close: closes them
+    :ivar poll_seconds: longest time between two reads of the store by a
+        watcher
+    :ivar hosts_seconds: time between two reads of the host list by a watcher
+    :ivar close: closes the clients
     """
 
     read_hosts: Callable[[], result.Result[Iterable[hostlist.Host], object]]
@@ -51,7 +57,7 @@
     def from_config(
         cls, settings: settings_module.Settings
     ) -> 'ExternalSources':
-        """Build clients of the store and the host list."""
+        """Create clients of the store and the host list."""
         timing = settings.timing
         with contextlib.ExitStack() as stack:
             client = store.Store.from_url(
@@ -80,11 +86,11 @@
         handle_snapshot: Callable[[configstore.Snapshot], None],
         record_revision: Callable[[int], None],
     ) -> None:
-        """Begin without watching.
+        """Start inactive.
 
-        :param find_held: returns the configuration in force
-        :param take: called with each newer one of the store
-        :param note: called with the store's revision at each read
+        :param get_snapshot: returns the configuration in force
+        :param handle_snapshot: called with each newer one from the store
+        :param record_revision: called with the store's revision at each read
         """
         self._sources = sources
         self._get_snapshot = get_snapshot
@@ -93,9 +99,9 @@
         self._stop: threading.Event | None = None
 
     def set_active(self, watcher: bool) -> None:
-        """Begin to follow the store, or end that.
+        """Start or stop following the store.
 
-        :param watcher: whether this process has to watch
+        :param watcher: whether this process is a watcher
         """
         if not watcher and self._stop is not None:
             self._stop.set()
--- a/packages/daemon/src/dunlintide_daemon/gateway/__init__.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry on a platform's store: one event loop, no agents."""
+"""Entry on a platform's store: one event loop and no agents."""
--- a/packages/daemon/src/dunlintide_daemon/gateway/admin.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/admin.py
@@ -1,4 +1,4 @@
-"""Operators' port of an entry: readiness, metrics and a state dump."""
+"""Admin port of an entry: readiness, metrics and a state dump."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 class Admin:
-    """Answers operators and other entries."""
+    """Serves operators, the load balancer and other entries."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
@@ -27,7 +27,7 @@
     async def handle(
         self, request: callermessages.Request, reply: callermessages.Reply
     ) -> None:
-        """Answer one request on the operators' port."""
+        """Answer one request on the admin port."""
         path = request.target.partition('?')[0]
         if path == '/readyz':
             await self.handle_ready(request, reply)
@@ -48,7 +48,7 @@
     async def handle_ready(
         self, request: callermessages.Request, reply: callermessages.Reply
     ) -> None:
-        """Tell the balancer whether new connections are welcome."""
+        """Report to the load balancer whether to send new connections."""
         state = self._state
         ready = state.is_ready
         body = {'ready': ready, 'reasons': state.list_unready()}
@@ -58,7 +58,7 @@
     async def handle_metrics(
         self, request: callermessages.Request, reply: callermessages.Reply
     ) -> None:
-        """Give the metrics as Prometheus reads them."""
+        """Send the metrics in the Prometheus text format."""
         counters = self._state.counters
         counters.version.set(self._state.version)
         text = prometheus_client.generate_latest(counters.registry)
@@ -71,7 +71,7 @@
         reply.send(callermessages.Head(200, [_JSON]), data)
 
     def _dump(self) -> dict[str, object]:
-        """Describe beliefs and holdings; no key and no content shows."""
+        """Return the entry's state, without API keys and request content."""
         state = self._state
         now = state.now
         deployment = state.deployment
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Plain calls of services, answered whole."""
+"""Calls of plain services, whose answers are relayed in one piece."""
 
 import asyncio
 from typing import Container
@@ -19,31 +19,34 @@
 
 Outcome = exchange_module.Outcome
 
-# Time to connect to a service, in seconds.
+# Timeout for a connection to a service, in seconds.
 CONNECT_SECONDS = 0.25
-# A call that may not run twice uses a kept connection only this shortly
-# after its last use, in seconds: on a stale one it may be lost.
+# A call that must not run twice reuses a connection only if it was idle for
+# at most this long, in seconds: on a stale connection the call may be lost.
 MAX_IDLE_SECONDS = 0.3
-# Part of the target after which a repeatable call is also sent to another
-# endpoint: calls take a third of it, so it catches the slow and the lost.
+# Fraction of the target latency after which a repeatable call is hedged.
+# Calls usually take a third of the target, so only slow or lost ones are.
 HEDGE_FRACTION = 0.5
-# Longest wait for a place at an endpoint, as a part of the target.
+# Longest wait for capacity at an endpoint, as a fraction of the target.
 WAIT_FRACTION = 1.0
-# Target where the rule has none, in seconds.
+# Target latency if the rule has none, in seconds.
 DEFAULT_TARGET_SECONDS = 0.5
+# Retry-After where no rate limit is in force, in seconds.
 RETRY_AFTER_SECONDS = 0.3
-# Spread of the times at which refused callers return, as parts of the pause.
+# Range of the random factor on the Retry-After of refused callers.
 JITTER = (0.7, 1.5)
-# Connection failures after which a call stops to look further.
+# Most endpoints that a call tries, hedges aside. Failed connections do not
+# count as sends, so nothing else limits them.
 MAX_CONNECTS = 4
 
 
 @attrs.frozen
 class _SendResult:
-    """What one send gave.
+    """Result of one send.
 
-    :ivar head: None when nothing whole came
-    :ivar ran: whether the call may have run there
+    :ivar head: head of a valid answer, None without one
+    :ivar ran: whether the call may have run at the endpoint
+    :ivar reason: why there is no valid answer, for the log
     """
 
     endpoint: endpoints_module.Endpoint
@@ -54,18 +57,18 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether it is an answer that the caller wants."""
+        """Whether there is an answer other than a server error."""
         return self.head is not None and self.head.status < 500
 
 
 class CallServer:
-    """Serves calls with the beliefs of one entry."""
+    """Relays calls to plain services, with retries and hedges."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
 
     async def serve(self, exchange: exchange_module.Exchange) -> Outcome:
-        """Answer a request whose rule names a plain service."""
+        """Answer a request that is routed to a plain service."""
         answers: list[_SendResult] = []
         pending: set[asyncio.Task] = set()
         try:
@@ -121,7 +124,10 @@
     def _pay_send(
         self, exchange: exchange_module.Exchange, answers: list[_SendResult]
     ) -> bool:
-        """Tell whether another send is allowed, and pay for it."""
+        """Charge another send to the retry budget; the first one is free.
+
+        :returns: whether the call may be sent
+        """
         if not exchange.sends:
             return True
         ran = any(answer.ran for answer in answers)
@@ -140,7 +146,7 @@
             return None
         if not exchange.has_attempts_left:
             return None
-        # An endpoint that names a rate limit is spared what may be in vain.
+        # Endpoints with a rate limit get no hedges, which may be wasted.
         endpoint = self._choose(
             exchange, self._state.rate_limits.list_limited()
         )
@@ -172,9 +178,9 @@
     def _choose(
         self, exchange: exchange_module.Exchange, excluded: Container[str]
     ) -> endpoints_module.Endpoint | None:
-        """Find an endpoint with a place.
+        """Choose an endpoint with free capacity.
 
-        :param spared: names of endpoints that are to get nothing
+        :param excluded: names of endpoints that must not get the call
         """
         state = self._state
         listed = state.list_endpoints(exchange.service)
@@ -194,9 +200,9 @@
     async def _choose_admitted(
         self, exchange: exchange_module.Exchange, expires: float
     ) -> endpoints_module.Endpoint | None:
-        """Find an endpoint with a place that may get a request.
+        """Choose an endpoint with free capacity whose rate limit permits it.
 
-        :param expires: monotonic time until which to look, in seconds
+        :param expires: monotonic time at which the search ends, in seconds
         """
         state = self._state
         while True:
@@ -213,7 +219,10 @@
     async def _find_endpoint(
         self, exchange: exchange_module.Exchange, target: float
     ) -> endpoints_module.Endpoint | None:
-        """Find an endpoint with a place, waiting for a while."""
+        """Choose an endpoint with free capacity, queueing for it if needed.
+
+        :param target: target latency in seconds
+        """
         queue = self._state.get_backlog(exchange.service)
         standing = backlog.Standing.ON_TIME
         wait = target * WAIT_FRACTION
@@ -322,10 +331,10 @@
         endpoint: endpoints_module.Endpoint,
         sent_at: float,
     ) -> None:
-        """Take back what broke at an endpoint that goes on answering.
+        """Discard crash reports about an endpoint that answers again.
 
-        An answer that is lost looks like a crash, and three of them refused
-        a caller for a minute.
+        A lost answer looks like a crash, and three reports would have the
+        request refused for a minute.
         """
         cleared = self._state.poison_requests.clear_endpoint(
             endpoint.name, sent_at
@@ -354,7 +363,9 @@
     def _choose_retry_after(
         self, exchange: exchange_module.Exchange, ran: bool
     ) -> float:
-        """Tell when to return; later the more are refused under a limit.
+        """Choose the Retry-After of a call, in seconds.
+
+        Under a rate limit it grows with the number of refused callers.
 
         :param ran: whether the call may have run, so that it is not refused
         """
@@ -376,7 +387,11 @@
         reason: str = '',
         pending: set[asyncio.Task] | None = None,
     ) -> Outcome:
-        """End a call that got no good answer."""
+        """Answer the caller of a call that got no good answer.
+
+        :param reason: why it ended, by default the reasons of its sends
+        :param pending: sends that are still under way
+        """
         failures = [answer for answer in answers if answer.head is not None]
         if failures:
             return self._forward(exchange, failures[-1])
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -1,4 +1,4 @@
-"""Finds a chain with room for a stream, waiting a while if there is none."""
+"""Chooses a chain of engines for a stream, queueing if none has room."""
 
 import asyncio
 from typing import Iterable
@@ -25,21 +25,21 @@
 Hops = chains.Hops
 Stream = exchange_module.Stream
 
-# Target for the first event and pause where the rule has none, in seconds.
+# Target for the first event and for gaps if the rule has none, in seconds.
 DEFAULT_TARGET_SECONDS = 0.5
-# Part of its memory and places up to which an engine is far from full:
-# what other entries began since they told it is less than the rest.
+# Use of cache and slots below which an engine has ample room, as a fraction:
+# the rest covers what other entries have started since their last message.
 AMPLE_ROOM_FRACTION = 0.5
-# Part of the expected answer for which memory is reserved: streams that
-# share an engine are at all points of their answers, so they take little
-# more than half of it on average.
+# Fraction of the expected answer for which cache is reserved: the streams on
+# an engine are at different points of their answers, so on average they use
+# little more than half.
 ANSWER_RESERVE_FRACTION = 0.7
-# Most ranges of layers that a log line names.
+# Most layer ranges that a log line names.
 MAX_LOGGED_RANGES = 4
 
 
 def format_chain(hops: Hops) -> str:
-    """Write a chain for the log."""
+    """Format a chain for the log."""
     return ','.join(
         f'{hop.endpoint.name}:{hop.start}-{hop.end}' for hop in hops
     )
@@ -47,21 +47,21 @@
 
 @attrs.frozen(eq=False)
 class _CachedTable:
-    """Engines of a service as of one version of the listing."""
+    """Chain table of a service for one version of the endpoint listing."""
 
     version: int
     table: chaintable.ChainTable
 
 
 class ChainFinder:
-    """Chooses chains with the beliefs of one entry."""
+    """Chooses chains by the state of one entry."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
         self._tables: dict[str, _CachedTable] = {}
 
     def estimate(self, stream: Stream) -> chains.Demand:
-        """Tell what a run from here on will take."""
+        """Estimate what the rest of a stream needs of a chain."""
         caller_request, profile = (
             stream.exchange.caller_request,
             stream.profile,
@@ -87,7 +87,7 @@
         profile: profiles.EngineProfile,
         endpoint: endpoints_module.Endpoint,
     ) -> bool:
-        """Tell whether an engine is far from full by what is known."""
+        """Return whether an engine is known to be far from full."""
         usage = self._state.occupancy.get(endpoint.name)
         held = endpoint.end - endpoint.start
         cache = profile.count_cache(endpoint.kind, held)
@@ -97,7 +97,7 @@
         )
 
     def _get_table(self, stream: Stream) -> chaintable.ChainTable:
-        """Give the engines of a service as they are listed now."""
+        """Return the chain table for the current listing, cached."""
         service, profile = stream.exchange.service, stream.profile
         version = self._state.listing_version
         table = self._tables.get(service)
@@ -112,7 +112,7 @@
         return table.table
 
     def _list_unusable(self, stream: Stream) -> set[str]:
-        """Name the engines that are to get no part of a stream now."""
+        """Return the names of engines that must not serve a stream now."""
         unusable = self._state.health.list_unusable(self._state.now)
         unusable.update(stream.exchange.failed_endpoints)
         unusable.update(self._state.list_unreadable())
@@ -120,10 +120,11 @@
         return unusable
 
     def find_shortage(self, stream: Stream) -> str:
-        """Tell for which layers no endpoint has room now, for the log.
+        """Describe the layers for which no endpoint has room, for the log.
 
-        If there is none, those without room in this failure domain: then
-        no other domain holds all layers with room either.
+        If there are none, describe those without room in this entry's
+        failure domain: in that case no other domain has room for all layers
+        either.
         """
         table = self._get_table(stream)
         domain = self._state.settings.failure_domain
@@ -145,9 +146,9 @@
     def choose(
         self, stream: Stream, excluded: Iterable[str] = ()
     ) -> Hops | None:
-        """Find a chain with room now, None if there is none.
+        """Choose a chain with room now, None if there is none.
 
-        :param spared: names of endpoints that are to get no part of it
+        :param excluded: names of endpoints that must not be part of it
         """
         state = self._state
         hops = self._get_table(stream).choose(
@@ -171,9 +172,9 @@
     async def _choose_admitted(
         self, stream: Stream, expires: float
     ) -> Hops | None:
-        """Find a chain with room whose first endpoint may get a request.
+        """Choose a chain whose first endpoint's rate limit permits a request.
 
-        :param expires: monotonic time until which to look, in seconds
+        :param expires: monotonic time at which the search ends, in seconds
         """
         state = self._state
         name = stream.exchange.caller_request.name
@@ -183,13 +184,16 @@
                     state.now
                 )
                 return hops
-            # The endpoint is left out for the next choice.
+            # The endpoint is paused now, so the next choice avoids it.
             if state.now >= expires:
                 return None
         return None
 
     async def find(self, stream: Stream) -> Hops | None:
-        """Find a chain, waiting in turn; None when that is of no use."""
+        """Choose a chain, waiting in the queue if none has room.
+
+        :returns: the chain, None if the wait is hopeless or over
+        """
         state = self._state
         exchange = stream.exchange
         queue = state.get_backlog(exchange.service)
@@ -223,7 +227,7 @@
     def choose_queue_wait(
         self, exchange: exchange_module.Exchange
     ) -> waits.Place:
-        """Tell where a stream waits, at most until its deadline."""
+        """Choose queue class and longest wait, at most to the deadline."""
         terms = exchange.terms
         wait = waits.choose_place(
             exchange.request.arrived,
--- a/packages/daemon/src/dunlintide_daemon/gateway/counters.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/counters.py
@@ -1,7 +1,7 @@
-"""Metrics of an entry, for Prometheus.
+"""Prometheus metrics of an entry.
 
-Labels take values from small fixed sets; none names a team, a key, a
-request or an endpoint.
+Label values come from small fixed sets; no label names a team, an API key,
+a request or an endpoint.
 """
 
 import attrs
@@ -23,19 +23,18 @@
         ``outcome``
     :ivar request_seconds: time from arrival to the end, by ``kind``
     :ivar first_event_seconds: time from arrival to the first event
-    :ivar gap_seconds: pauses between the events of streams
-    :ivar loop_lag_seconds: how late the event loop comes back to a task, a
-        tenth of a second after the last time
+    :ivar gap_seconds: gaps between the events of streams
+    :ivar loop_lag_seconds: how late the event loop resumes a task that sleeps
+        for a tenth of a second
     :ivar resends: sends beyond the first, by ``reason``
-    :ivar accusations: times that an endpoint was left out
-    :ivar waiting: requests that wait for room
-    :ivar orders: orders to engines, by ``reception``
-    :ivar pace_questions: engines asked for their pace
-    :ivar limited_endpoints: endpoints that name a rate limit now
-    :ivar permits: permits asked for, by ``verdict``
-    :ivar store_faults: calls on the store that failed, by ``fault``
-    :ivar refused_items: what others wrote or sent that can't be read, by
-        ``kind``
+    :ivar accusations: ejections of endpoints
+    :ivar waiting: streams that wait for room in a queue
+    :ivar orders: orders to engines, by ``reception`` (their answer)
+    :ivar pace_questions: probes of the pace of engines
+    :ivar limited_endpoints: endpoints with a rate limit in force
+    :ivar permits: permits requested under rate limits, by ``verdict``
+    :ivar store_faults: failed calls of the store, by ``fault``
+    :ivar refused_items: malformed store items and messages, by ``kind``
     :ivar version: version of the configuration in force
     """
 
@@ -86,50 +85,50 @@
             request_seconds=make(
                 histogram,
                 'edge_request_seconds',
-                'Arrival to end',
+                'Time from arrival to end',
                 ('kind',),
                 buckets=_SECONDS,
             ),
             first_event_seconds=make(
                 histogram,
                 'edge_first_event_seconds',
-                'Arrival to first event',
+                'Time from arrival to first event',
                 buckets=_SECONDS,
             ),
             gap_seconds=make(
                 histogram,
                 'edge_gap_seconds',
-                'Pauses between events',
+                'Gaps between events',
                 buckets=_GAP_SECONDS,
             ),
             loop_lag_seconds=make(
                 histogram,
                 'edge_loop_lag_seconds',
-                'Lateness of the event loop',
+                'Lag of the event loop',
                 buckets=_GAP_SECONDS,
             ),
             resends=make(
                 counter, 'edge_resends', 'Sends beyond the first', ('reason',)
             ),
             accusations=make(
-                counter, 'edge_accusations', 'Endpoints left out'
+                counter, 'edge_accusations', 'Ejections of endpoints'
             ),
-            waiting=make(gauge, 'edge_waiting', 'Requests that wait'),
+            waiting=make(gauge, 'edge_waiting', 'Requests that wait for room'),
             orders=make(
                 counter, 'edge_orders', 'Orders to engines', ('reception',)
             ),
             pace_questions=make(
-                counter, 'edge_pace_questions', 'Engines asked for their pace'
+                counter, 'edge_pace_questions', 'Probes of the pace of engines'
             ),
             limited_endpoints=make(
                 prometheus_client.Gauge,
                 'edge_limited_endpoints',
-                'Endpoints that name a rate limit',
+                'Endpoints with a rate limit',
             ),
             permits=make(
                 counter,
                 'edge_permits',
-                'Permits asked for under rate limits',
+                'Permits requested under rate limits',
                 ('verdict',),
             ),
             store_faults=make(
@@ -138,7 +137,7 @@
             refused_items=make(
                 counter,
                 'edge_refused_items',
-                'Entries and messages that can not be read',
+                'Malformed store items and messages',
                 ('kind',),
             ),
             version=make(
--- a/packages/daemon/src/dunlintide_daemon/gateway/events.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/events.py
@@ -1,7 +1,7 @@
-"""Server-sent events on their way through an entry.
+"""Splitting and deduplication of server-sent events.
 
-Only whole events go to the caller, so that a run which breaks within one
-can go on elsewhere without a piece lost, doubled or joined wrongly.
+Only complete events are forwarded. So a run that breaks off within an event
+can be resumed at another endpoint without lost, repeated or garbled data.
 """
 
 __all__ = [
@@ -14,16 +14,16 @@
 
 
 class EventSplitter:
-    """Cuts a byte stream behind whole events.
+    """Splits a byte stream at event boundaries.
 
-    :ivar rest: bytes of an event that is not whole yet
+    :ivar remainder: bytes of an incomplete event
     """
 
     def __init__(self) -> None:
         self.remainder = b''
 
     def split(self, data: bytes) -> bytes:
-        """Take in bytes and give the whole events among them."""
+        """Add received bytes and return the events that are now complete."""
         data = self.remainder + data
         end = data.rfind(_END)
         cut = end + len(_END) if end >= 0 else 0
@@ -43,10 +43,10 @@
 
 
 class EventSequence:
-    """Events that a caller has, over all runs of its stream.
+    """Events that a caller has received, over all runs of its stream.
 
-    :ivar last: id of its last event, None before the first
-    :ivar count: events that were passed on here
+    :ivar last_id: id of the last event, None before the first
+    :ivar count: events that this entry has forwarded
     """
 
     def __init__(self, after: str | None) -> None:
@@ -58,10 +58,11 @@
         return int(text) if text is not None and text.isdecimal() else None
 
     def filter_new(self, data: bytes) -> tuple[bytes, bool]:
-        """Take in whole events.
+        """Select the events that the caller does not have yet.
 
-        :returns: those that the caller does not have, and whether none
-            before them is missing
+        :param data: complete events
+        :returns: the new events up to a missing one, and whether none is
+            missing
         """
         fresh = []
         last = self._get_last()
--- a/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request at an entry: what is known of it and how it may end."""
+"""State of one request at an entry, and its possible outcomes."""
 
 import enum
 
@@ -17,11 +17,10 @@
     'refuse',
 ]
 
-# Least time after which a refused caller is to return, in seconds.
+# Shortest Retry-After, in seconds.
 MIN_RETRY_AFTER_SECONDS = 0.05
-# Times that endpoints may refuse a request that did not run before its
-# caller hears of it: they answer in milliseconds, and each costs a part of
-# the shared budget.
+# Sends beyond the attempts of the rule, for refusals by endpoints. A refusal
+# takes only milliseconds, but each further send uses the shared retry budget.
 MAX_REFUSALS = 2
 
 
@@ -39,21 +38,25 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """A request, its terms and its answer.
+    """A request, the rule that applies to it, and its reply.
 
-    :ivar service: service that it was given to by its rule's shares
+    :ivar request: the HTTP request
+    :ivar caller_request: what was decoded from it
+    :ivar service: service that the rule's traffic split chose
     :ivar deadline: monotonic time by which it must have ended, in seconds
-    :ivar sends: times that it was sent
-    :ivar runs: sends that may have run; a refused one is none
+    :ivar version: version of the configuration that holds the rule
+    :ivar fingerprint: hash of host, path, key and body
+    :ivar sends: times that it was sent to an endpoint
+    :ivar runs: sends that may have run, without refused ones
     :ivar team: name of the team that owns its key, None without one
-    :ivar digest: names this request, and not one like it, over its
-        caller's retries
-    :ivar returned: whether it was refused before
-    :ivar tried: names of endpoints that failed it
-    :ivar events: events that its caller got
-    :ivar first_event: seconds from its arrival to the first one
-    :ivar last_event: monotonic time of the last one, in seconds
-    :ivar longest_gap: longest pause between two, over all runs, in seconds
+    :ivar digest: hash of the fingerprint, the token counts and the prefix;
+        recognizes a request that its caller sends again
+    :ivar was_refused: whether an earlier try was refused
+    :ivar failed_endpoints: names of endpoints that failed it
+    :ivar events: events that were sent to the caller
+    :ivar first_event_delay: seconds from arrival to the first event
+    :ivar last_event: monotonic time of the last event, in seconds
+    :ivar longest_gap: longest gap between events, over all runs, in seconds
     """
 
     request: callermessages.Request
@@ -78,15 +81,16 @@
 
     @property
     def terms(self) -> configuration.Then:
-        """What the rule says."""
+        """Terms of the rule."""
         return self.rule.then
 
     @property
     def has_attempts_left(self) -> bool:
-        """Whether another endpoint may get it.
+        """Whether the limits on runs and sends allow another send.
 
-        Refusals don't end a stream that ran: its caller has a part of it,
-        and the budget and the caller's patience bound its sends.
+        The limit on sends does not apply to a stream that has run: its
+        caller has received a part of it, and the retry budget and the
+        deadline bound its sends.
         """
         attempts = max(1, self.terms.attempts)
         if self.runs >= attempts:
@@ -95,9 +99,9 @@
         return under_way or self.sends < attempts + MAX_REFUSALS
 
     def can_retry(self, ran: bool, now: float) -> bool:
-        """Tell whether another run may serve it.
+        """Return whether another run is allowed.
 
-        :param ran: whether one may have run so far
+        :param ran: whether a run may have taken place
         :param now: monotonic time in seconds
         """
         if ran and not self.is_repeatable:
@@ -106,17 +110,17 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run again after it may have run."""
+        """Whether it may be run again after a run may have taken place."""
         terms = self.terms
         return bool(terms.repeatable) or (terms.stream and terms.resumable)
 
 
 @attrs.frozen(eq=False)
 class Stream:
-    """A request for a stream, over all of its runs.
+    """A request for an event stream, over all of its runs.
 
     :ivar profile: cost model of the engines that serve it
-    :ivar sequence: events that its caller has
+    :ivar sequence: events that its caller has received
     """
 
     exchange: Exchange
@@ -127,9 +131,10 @@
 def refuse(
     reply: callermessages.Reply, status: int, retry_after: float | None = None
 ) -> None:
-    """Answer a request with a failure of the entry's own.
+    """Answer a request with an error status from the entry itself.
 
-    :param retry_after: seconds after which to return, None to say nothing
+    :param retry_after: value of the Retry-After header in seconds, None to
+        omit the header
     """
     headers = []
     if retry_after is not None:
--- a/packages/daemon/src/dunlintide_daemon/gateway/follower.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/follower.py
@@ -1,4 +1,8 @@
-"""Keeps an entry's beliefs in step with the platform's store."""
+"""Applies changes in the platform's store to an entry's state.
+
+The store may be restored from a copy that is some seconds old, which begins a
+new era and may bring back removed keys and lose recent ones.
+"""
 
 import asyncio
 import random
@@ -15,45 +19,45 @@
 
 __all__ = ['Follower']
 
-# Longest wait of one watch, as a part of the time that a leaving endpoint may
-# still be used: a connection that went silent is noticed within it.
+# Timeout of one watch, as a fraction of the drain time, for which a leaving
+# endpoint still accepts requests: a dead connection is noticed within it.
 WATCH_TIMEOUT_FRACTION = 0.8
-# Pause between two watches, as a part of the same time: changes that come
-# together cost one call. Endpoints write all the time, so without a pause
-# each of their writes costs one call of each entry.
+# Pause between two watches, as a fraction of the drain time. It batches
+# changes: endpoints write all the time, and without it each write would cost
+# one call by each entry.
 BATCH_PAUSE_FRACTION = 0.3
-# Pauses between tries while the store fails, in seconds, with jitter so
-# that entries do not return together.
+# Range of the pause between tries while the store fails, in seconds; jitter
+# keeps entries from retrying at the same time.
 RETRY_SECONDS = (0.1, 0.4)
-# Time after the store's return in which a missing endpoint may just not
-# have written yet, in seconds.
+# Time after the store's recovery in which a missing key is not treated as
+# removed, in seconds: its endpoint may not have written again yet.
 RECOVERY_GRACE_SECONDS = 2.2
-# Failures for this long count as an outage, in seconds.
+# Shortest time of failures that counts as an outage, in seconds.
 OUTAGE_SECONDS = 0.8
-# How long an endpoint that is gone is remembered, in seconds: a copy of the
-# store that is some seconds old may still list it.
+# How long a removed key is remembered, in seconds: a copy of the store that
+# is some seconds old may still hold it.
 REMOVAL_MEMORY_SECONDS = 60.0
-# Time after the return from a copy by which the store no longer lists what
-# fell silent, in seconds: three pauses between the reports of an endpoint.
+# Time after the store's recovery by which its leases of dead endpoints have
+# expired, in seconds: three report intervals of an endpoint.
 CONFIRMATION_SECONDS = 4.5
 
-# How long an endpoint whose entry can't be read still holds its layers, in
-# seconds: one that lives writes again within 1.2 s, and the store drops a
-# silent one after three times that.
+# How long an endpoint with a malformed item still counts as holding its
+# layers, in seconds: a live one writes again within 1.2 s, and the store drops
+# a silent one after three times that.
 UNREADABLE_SECONDS = 3.6
-# How far ahead of this host's clock an endpoint may say that it began, in
+# Most by which an endpoint's start time may be ahead of this host's clock, in
 # seconds: clocks differ by seconds.
 MAX_CLOCK_SKEW_SECONDS = 60.0
 
 EntryItemHandler = Callable[[storevalues.Item], None]
 Revision = storevalues.Revision
 
-# Stands for all revisions of the eras before the present one.
+# Placeholder that is less than all revisions of the current era.
 _EARLIER_ERA = Revision(-1, 0)
 
 
 class Follower:
-    """Reads the store and applies what changes."""
+    """Reads the store and applies its changes to an entry's state."""
 
     def __init__(
         self,
@@ -61,16 +65,16 @@
         store: store_module.Store,
         handle_entry_item: EntryItemHandler,
     ) -> None:
-        """Prepare to follow.
+        """Prepare to follow the store.
 
-        :param handle_own: told of the keys that entries write
+        :param handle_entry_item: called with items that entries wrote
         """
         self._state = state
         self._store = store
         self._handle_entry_item = handle_entry_item
         self._revision: Revision | None = None
-        # Revision of the first whole reading in an era; what changed up to it
-        # may come from a copy.
+        # Revision of the first full read in an era; items up to it may come
+        # from a copy.
         self._base_revision = _EARLIER_ERA
         self._pending_removals: set[str] = set()
         self._revisions: dict[str, Revision] = {}
@@ -82,7 +86,7 @@
         self._logged_problems: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the store until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             work = self._read_all if self._revision is None else self._watch
@@ -98,9 +102,9 @@
                 await asyncio.sleep(random.uniform(*RETRY_SECONDS))
 
     def begin_era(self) -> None:
-        """Read everything anew, and keep what is missing for a while.
+        """Read everything again, and keep missing keys for a while.
 
-        The platform writes again what the store lost.
+        The platform writes lost keys again.
         """
         self._revision = None
         self._base_revision = _EARLIER_ERA
@@ -139,7 +143,7 @@
             )
 
     def _describe_revision(self) -> dict[str, int | None]:
-        """Tell up to where the store is known, for the log."""
+        """Return the last known revision and era, for the log."""
         known = self._revision
         return {
             'revision': known.number if known else None,
@@ -173,9 +177,10 @@
         return True
 
     def _remove_unlisted(self, present: set[str], revision: Revision) -> None:
-        """Remove what a whole reading did not show.
+        """Remove known keys that a full read does not contain.
 
-        :param revision: that of the reading
+        :param present: keys that it contains
+        :param revision: revision of the read
         """
         gone = [
             key
@@ -214,7 +219,7 @@
         return True
 
     def apply(self, item: storevalues.Item) -> None:
-        """Take in what a key holds now, unless something newer was."""
+        """Apply an item unless a newer one of its key is known."""
         known = self._revisions.get(item.key)
         if known is not None and item.revision <= known:
             if item.revision < known:
@@ -244,10 +249,10 @@
             self._handle_entry_item(item)
 
     def _is_superseded(self, item: storevalues.Item) -> bool:
-        """Tell whether a key was written before it was seen to be gone.
+        """Return whether an item was written before its key was removed.
 
-        A copy may bring it back. What lives writes again or is still listed
-        later on.
+        A copy of the store may bring it back. If its endpoint is alive, it
+        writes again or is still listed later.
         """
         if item.key not in self._removed or item.value is None:
             return False
@@ -276,7 +281,7 @@
         self._state.apply_configuration(decoded.ok_value, item.value)
 
     def _reject(self, kind: str, item: storevalues.Item, problem: str) -> None:
-        """Count what can't be read, and log it once for each problem."""
+        """Count a malformed item, and log it unless the problem is known."""
         self._state.counters.refused_items.labels(kind).inc()
         if self._logged_problems.get(item.key) == problem:
             return
@@ -298,21 +303,22 @@
         if item.revision <= self._base_revision and self._has_newer_report(
             endpoint
         ):
-            # It writes again what the store lost.
+            # The copy holds an older report; the endpoint writes the newer one
+            # again.
             self._log_stale_item(item, _EARLIER_ERA)
             return
         self._state.apply_endpoint(endpoint)
 
     def _has_newer_report(self, endpoint: endpoints_module.Endpoint) -> bool:
-        """Tell whether a later report of an endpoint is known."""
+        """Return whether a later report of an endpoint is known."""
         known = self._state.endpoints.get(endpoint.name)
         if known is None:
             return False
-        is_listed_again = known.draining and not endpoint.draining
-        return is_listed_again or endpoint.reports < known.reports
+        has_lost_drain = known.draining and not endpoint.draining
+        return has_lost_drain or endpoint.reports < known.reports
 
     def _remove(self, item: storevalues.Item) -> None:
-        """Forget a key, but not one that an outage or a copy made lapse."""
+        """Remove a key, later if an outage or a copy may have lost it."""
         if self._state.now - self._recovered_at < RECOVERY_GRACE_SECONDS:
             self._pending_removals.add(item.key)
             self._revisions[item.key] = item.revision
@@ -345,7 +351,7 @@
             self._reread_reappeared()
 
     def _reread_reappeared(self) -> None:
-        """Believe that what is still listed lives, though it was gone."""
+        """Reread the store to accept removed keys that are still listed."""
         if not self._reappeared:
             return
         for key in self._reappeared:
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -1,7 +1,7 @@
-"""What entries tell each other, by datagrams.
+"""Gossip between entries, by datagrams.
 
-Each message holds the whole of what its sender carries, so a lost one is
-made good by the next. A digest that stands for no endpoint here is left out.
+Each message holds its sender's complete usage, so the next one makes up for
+a lost one. Digests of endpoints that are unknown here are ignored.
 """
 
 import asyncio
@@ -17,40 +17,43 @@
 
 __all__ = ['Gossip']
 
-# Pause between two messages to an entry of the same failure domain, in
-# seconds: about a tenth of the time that a stream is under way.
+# Time between two messages to an entry of the same failure domain, in seconds:
+# about a tenth of the duration of a stream.
 INTERVAL_SECONDS = 0.15
-# Entries of other domains seldom use the same endpoints, and bytes between
-# domains are scarce: for so many entries every third message goes to them,
-# for more entries fewer.
+# Entries of other failure domains seldom use the same endpoints, and traffic
+# between domains is expensive. With up to about this many other entries every
+# third message goes to other domains, with twice as many every sixth, and so
+# on.
 ENTRIES_PER_STEP = 6
-# Shortest pause between two messages about doubted endpoints, in seconds:
-# by the time of the next regular one each entry has sent a request to a dead
-# endpoint, and each is refused at the cost of the shared budget.
+# Shortest time between two alerts, in seconds. The regular interval is too
+# long: within it each entry sends a request to a dead endpoint, and each
+# failure uses the shared retry budget.
 ALERT_INTERVAL_SECONDS = 0.03
-# Other entries up to which all of them are told of doubts at once: the bytes
-# grow with the square of their number, and with few entries a failure domain
-# has hardly another one to tell.
+# Number of other entries up to which alerts go to all of them. Traffic grows
+# with the square of the number, but with few entries a failure domain has
+# hardly a second one to alert.
 MAX_ALERTED_ENTRIES = 32
-# How long news of a leaving endpoint or a broken run is repeated, in
-# seconds.
+# How long a leaving endpoint or a broken run is reported, in seconds.
 REPEAT_SECONDS = 3.0
-# How long a refusal is repeated, in seconds: no caller is told to return
-# sooner, and at the most two messages of three are lost.
+# How long a refusal is reported, in seconds: no caller is asked to return
+# sooner, and at most two of three messages are lost.
 REFUSAL_REPEAT_SECONDS = 0.5
-# How long an entry that is not listed any more may still coordinate rate
-# limits beyond its time to stop, in seconds.
+# How long after its shutdown period an entry that is no longer listed may
+# still coordinate rate limits, in seconds.
 DEPARTED_GRACE_SECONDS = 2.0
-# Spread of the pauses that entries keep before an engine that refused one of
-# them as full, as parts of the usual pause.
+# Range of the random factor on the pause that entries make when an engine
+# refused a request of another entry because it was full.
 FULL_PAUSE_JITTER = (0.5, 1.5)
 
 
 class Gossip(asyncio.DatagramProtocol):
     """Sender and receiver of an entry's datagrams.
 
-    :ivar entries: other entries by name
-    :ivar receive_permit: gets datagrams about permits, and their source
+    :ivar entries: other listed entries by name
+    :ivar receive_permit: called with datagrams about permits and the address
+        of their sender
+    :ivar newer_entry: name of an entry with a newer configuration
+    :ivar newer_entry_found: set when ``newer_entry`` changes
     """
 
     def __init__(self, state: state_module.State) -> None:
@@ -71,7 +74,7 @@
         self._state.log.write('gossip failed', error=str(error))
 
     def set_entry(self, entry: keys.Entry) -> None:
-        """Take in an entry that is listed."""
+        """Add or update an entry that is listed."""
         if entry.name == self._state.settings.name:
             return
         self.entries[entry.name] = entry
@@ -81,9 +84,9 @@
         self._departed.pop(entry.name, None)
 
     def drop_entry(self, name: str) -> None:
-        """Stop to tell an entry that is not listed any more.
+        """Remove an entry that is no longer listed.
 
-        While it finishes its work it may coordinate rate limits as before.
+        It may still coordinate rate limits while it finishes its work.
         """
         entry = self.entries.pop(name, None)
         if entry is not None:
@@ -93,7 +96,7 @@
         self._state.occupancy.drop_remote(name)
 
     async def run(self) -> None:
-        """Tell the others until cancelled."""
+        """Send messages to the other entries until cancelled."""
         rounds = 0
         while True:
             await self._wait(INTERVAL_SECONDS)
@@ -115,7 +118,7 @@
                 self._state.permits.remove_member(name)
 
     def send(self, name: str, data: bytes) -> None:
-        """Send a datagram to an entry, also to one that departs."""
+        """Send a datagram to an entry, even if it is no longer listed."""
         entry = self.entries.get(name)
         if entry is None and name in self._departed:
             entry = self._departed[name][1]
@@ -127,7 +130,7 @@
         self._transport.sendto(data, (host, int(port)))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait for the next regular message; tell doubts meanwhile."""
+        """Wait for the next regular message, sending alerts meanwhile."""
         alert_pending = self._state.alert_pending
         due = self._state.now + seconds
         while (left := due - self._state.now) > 0:
@@ -141,11 +144,10 @@
             await asyncio.sleep(ALERT_INTERVAL_SECONDS)
 
     def _build_alert(self) -> tuple[gossipmessages.Message, set[str]]:
-        """Build a message of doubts and refusals alone.
+        """Build a message with only ejections, refusals and paces.
 
-        :returns: the message and the failure domains that it concerns: among
-            many entries, while chains stay in their domain, bytes between
-            domains are spared
+        :returns: the message and the failure domains to send it to; with many
+            entries only this one, unless it concerns an endpoint of another
         """
         state = self._state
         doubted = state.health.list_doubted(state.now)
@@ -176,7 +178,7 @@
         return {each.domain for each in self.entries.values()}
 
     def _choose_cross_domain_interval(self) -> int:
-        """Tell which of the messages also goes to other domains."""
+        """Return every how many messages one also goes to other domains."""
         return 3 * max(1, round(len(self.entries) / ENTRIES_PER_STEP))
 
     def _build(self) -> gossipmessages.Message:
@@ -232,9 +234,9 @@
     def _broadcast(
         self, message: gossipmessages.Message, domains: Container[str]
     ) -> None:
-        """Send a message to the entries of failure domains.
+        """Send a message, and rate limits if there are any.
 
-        Rate limits go along only where there are any.
+        :param domains: failure domains of the entries to send to
         """
         sent = [gossipmessages.encode(message)]
         news = self._state.permits.make_news(self._state.now)
@@ -246,7 +248,7 @@
                     self._send_to(entry, data)
 
     def _get_digests(self) -> dict[int, str]:
-        """List what a digest may stand for, anew when the listing changes."""
+        """Return the names by digest, rebuilt when the listing changes."""
         version = self._state.listing_version
         if version != self._digests_version:
             self._digests = self._build_digests()
@@ -315,8 +317,8 @@
                 if digest in names
             }
             self._apply_progress(message, names, now)
-            # Those that wait look again only if something came free: with
-            # dozens of entries messages come every few milliseconds.
+            # Waiters are woken only if capacity was freed: with dozens of
+            # entries messages come every few milliseconds.
             if state.occupancy.set_remote(message.sender, usages, now):
                 state.wake_all()
         if message.version > state.version and message.sender in self.entries:
@@ -329,7 +331,7 @@
         names: dict[int, str],
         now: float,
     ) -> None:
-        """Take in through which endpoints streams of another entry flow."""
+        """Record at which endpoints streams of another entry progress."""
         health = self._state.health
         for (digest, *_), age in zip(message.usages, message.ages):
             if age < gossipmessages.LONGEST_AGE and digest in names:
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossipmessages.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossipmessages.py
@@ -1,7 +1,7 @@
-"""Messages that entries send each other about what they see and use.
+"""Gossip messages between entries about endpoints and their usage.
 
-Endpoints go by a short digest of their names, which makes a message half as
-long.
+Endpoints are identified by a short digest of their names, which halves the
+length of a message.
 """
 
 import functools
@@ -22,13 +22,13 @@
     'encode',
 ]
 
-# Reserved memory is told in as many tokens times layers.
+# Unit of reserved cache: tokens times layers.
 CACHE_UNIT = 1000
-# Ages of an endpoint's last move are told in this unit, in seconds, and not
-# at all beyond the longest, which takes one byte.
+# Unit of the time since the last progress at an endpoint, in seconds, and the
+# largest value that is sent, which fits one byte; it means "none known".
 AGE_UNIT = 0.01
 LONGEST_AGE = 127
-# Paces of engines are told in this unit, 1 for the published one.
+# Unit of the pace of engines; a pace of 1 is the published one.
 PACE_UNIT = 0.01
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
@@ -38,20 +38,22 @@
     """One datagram.
 
     :ivar sender: name of the entry
-    :ivar version: configuration in force there, 0 for none
-    :ivar usages: digest of an endpoint or a pipe, sequences, started and
-        reserved memory in its unit; None if only doubts are told
+    :ivar version: version of the sender's configuration, 0 for none
+    :ivar usages: digest of an endpoint or of a pipe between two failure
+        domains, sequences, started ones, and reserved cache in
+        ``CACHE_UNIT``; None in an alert
     :ivar leaving: digests of endpoints that leave
-    :ivar doubted: digests of endpoints that are left out
-    :ivar broken: fingerprints and the endpoints at which they broke
-    :ivar refusing: digests of endpoints that go on refusing, though far
-        from full
-    :ivar refused: digests of requests that were refused just now
-    :ivar ages: for each use, how long ago a stream that flows through the
-        endpoint moved, in its unit; the longest if none does
-    :ivar full: digests of endpoints that just refused its sender
-    :ivar paces: digests of engines that its sender asked lately, and their
-        paces in hundredths
+    :ivar doubted: digests of endpoints that the sender ejected
+    :ivar broken: fingerprints of requests whose runs broke off, each with the
+        name of the endpoint
+    :ivar refused: digests of requests that were refused recently
+    :ivar refusing: digests of endpoints that keep refusing requests although
+        they are far from full
+    :ivar ages: for each item of ``usages``, time since a stream through the
+        endpoint made progress, in ``AGE_UNIT``; ``LONGEST_AGE`` if none did
+    :ivar full: digests of endpoints that just refused the sender
+    :ivar paces: digests of engines that the sender probed recently, and
+        their paces in ``PACE_UNIT``
     """
 
     sender: str
@@ -73,19 +75,19 @@
 
 @functools.lru_cache(maxsize=4096)
 def digest(name: str) -> int:
-    """Give the digest by which an endpoint or a pipe goes."""
+    """Return the digest that identifies an endpoint or a pipe."""
     return zlib.crc32(name.encode())
 
 
 def encode(message: Message) -> bytes:
-    """Write a message."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> result.Result[Message, str]:
-    """Read a message.
+    """Decode a message.
 
-    :returns: the message, or what is wrong with it
+    :returns: the message, or why it is malformed
     """
     try:
         return result.Ok(_decoder.decode(data))
--- a/packages/daemon/src/dunlintide_daemon/gateway/leadership.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Who orders layers: the holder of a key under a lease."""
+"""Election of the entry that orders layers, by a key under a lease."""
 
 import asyncio
 import random
@@ -14,26 +14,28 @@
 
 __all__ = ['Leadership']
 
-# Time that a leadership lives without renewal, in seconds: engines stay
-# without orders for as long when a leader dies.
+# Lifetime of a leadership without renewal, in seconds: when a leader dies,
+# engines get no orders for as long.
 LEASE_SECONDS = 3.0
 RENEW_INTERVAL_SECONDS = 0.9
-# Pause before a free key is taken, in seconds, so that few try at once.
+# Range of the delay before a free key is claimed, in seconds: it keeps
+# entries from claiming at the same time.
 CLAIM_DELAY_SECONDS = (0.0, 0.25)
 CLAIM_POLL_SECONDS = 0.5
-# Pause between tries to renew while the store fails, in seconds.
+# Range of the pause between renewals while the store fails, in seconds.
 RENEW_RETRY_SECONDS = (0.1, 0.3)
-# Bits of a fence that hold the revision; the era stands above them, so that a
-# fence of a later era is above all that engines remember.
+# Low bits of a fencing token that hold the revision. The era is above them, so
+# a token of a later era is greater than all that engines have seen.
 _REVISION_BITS = 40
-# Stands between the identity of a leader and the era of its claim.
+# Separates the identity of a leader from the era of its claim in the key's
+# value.
 _ERA_MARK = '@'
-# Answers that end a leadership.
+# Faults of a renewal that end a leadership.
 _ENDED = (storevalues.Fault.MISSING, storevalues.Fault.REJECTED)
 
 
 def _read_clock() -> float:
-    """Read a clock that also counts the time of a suspended host."""
+    """Read a clock that also runs while the host is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -43,9 +45,11 @@
 
 @attrs.frozen
 class _Claim:
-    """The key as it was last seen.
+    """The leader's key as it was last read.
 
-    :ivar is_vacant: whether it was claimed in another era than it was seen in
+    :ivar holder: identity of the claimant and era of its claim
+    :ivar is_void: whether it was claimed in another era than that of its
+        revision, so that its holder does not lead
     """
 
     holder: str
@@ -54,10 +58,10 @@
 
     @classmethod
     def from_item(cls, item: storevalues.Item) -> '_Claim':
-        """Read the key.
+        """Parse the key.
 
-        A claim may come to pass in a later era than it was sent in, and a
-        copy may bring one back; its holder does not lead by it.
+        A claim may be carried out in a later era than it was sent in, or be
+        restored from a copy of the store. Such a claim is void.
         """
         holder = item.value.decode('utf-8', 'replace')
         _, mark, era = holder.rpartition(_ERA_MARK)
@@ -66,10 +70,10 @@
 
 
 class Leadership:
-    """An entry's claim to lead.
+    """Leader election from the view of one entry.
 
-    :ivar fence: rises with each leader, over all eras of the store, 0 while
-        not leading
+    :ivar fence: fencing token, which rises with each leader over all eras of
+        the store; 0 while not leading
     """
 
     def __init__(
@@ -86,20 +90,21 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether orders may be given now.
+        """Whether this entry may give orders now.
 
-        A store that is away ends no leadership: nobody else can begin one
-        there meanwhile, and layers that are lost would wait for its return.
-        Where only this entry is cut off, another may lead as well; orders say
-        how many the engine must have accepted, so of two one takes effect.
+        A leadership survives an outage of the store: no other entry can claim
+        it meanwhile, and lost layers would have to wait for the end of the
+        outage. If only this entry is cut off, another one may lead as well.
+        Then an engine accepts just one of two orders, since each names the
+        number of orders that the engine must have accepted before.
         """
         if not self.fence:
             return False
-        # Without a try for so long it was suspended itself.
+        # No attempt to renew for so long means that this host was suspended.
         return _read_clock() - self._attempted_at < LEASE_SECONDS
 
     def handle_item(self, item: storevalues.Item) -> None:
-        """Take note of a change of the key."""
+        """Process a change of the leader's key."""
         if item.value is None:
             self._claim = None
         else:
@@ -109,10 +114,10 @@
         self._changed.set()
 
     def begin_era(self) -> None:
-        """Give up what the store may not know any more.
+        """Give up the leadership in a new era of the store.
 
-        The key and its lease may be gone or another entry's. What the copy
-        holds of the key is read before it is claimed again.
+        The key and its lease may be gone or belong to another entry. The key
+        is read from the restored store before it is claimed again.
         """
         if self.fence:
             self._end_leadership(f'era {self._store.era} of the store')
@@ -121,7 +126,10 @@
         self._changed.set()
 
     async def run(self) -> None:
-        """Lead whenever nobody else does, until cancelled."""
+        """Claim and keep the leadership if no other entry has it.
+
+        Runs until cancelled.
+        """
         while True:
             if self.fence:
                 await self._renew()
@@ -192,9 +200,10 @@
     async def _resolve_claim(
         self, lease: storevalues.Lease, value: bytes, began: float
     ) -> None:
-        """Read whether a claim without an answer was done.
+        """Find out whether a claim without an answer was carried out.
 
-        :param value: that was to be written, of this claim alone in its era
+        :param value: value of the claim, unique within its era
+        :param began: time before the lease was requested, in seconds
         """
         read = await self._store.get(keys.LEADER_KEY)
         done = (
@@ -206,7 +215,7 @@
         if done:
             self._begin(lease, read.ok_value.revision, began)
             return
-        # It may still come to pass; the lease takes the key along.
+        # It may still be carried out; ending the lease removes the key.
         await self._store.end_lease(lease)
         await self._wait(CLAIM_POLL_SECONDS)
 
@@ -227,7 +236,7 @@
         )
 
     async def resign(self) -> None:
-        """Stop to lead at once, so that another begins soon."""
+        """Give up the leadership, so that another entry can take over."""
         lease, self.fence = self._lease, 0
         if lease is not None:
             self._lease = None
--- a/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
@@ -1,9 +1,9 @@
-"""Finds engines that are dead but still listed, for the leader.
+"""Detection of engines that are dead but still listed, for the leader.
 
-The listing drops a dead engine only when its lease has run out, later while
-the store is away. Meanwhile its failure domain may have no whole chain. So
-an engine that is doubted for a while is asked for its state; one that does
-not answer twice is lost until something moves through it.
+The listing drops a dead engine only when its lease expires, and later during
+an outage of the store. Until then its failure domain may have no complete
+chain. So an engine that has been suspected for a while is probed. One that
+fails two probes counts as lost until a request makes progress through it.
 """
 
 import asyncio
@@ -15,26 +15,25 @@
 
 __all__ = ['LossDetector']
 
-# How long an engine is doubted before it is asked, in seconds: most doubts
-# end sooner, as other requests move through it.
+# How long an engine is suspected before it is probed, in seconds: most
+# suspicions end sooner because other requests make progress through it.
 PROBE_AFTER_SECONDS = 0.8
-# How long an engine that is far from full refuses all requests before its
-# layers count as lost, in seconds: it may just be out of memory for a moment,
-# and is tried again after 0.3 and 0.6 s.
+# How long an engine that is far from full refuses all requests before it
+# counts as lost, in seconds: it may be out of memory for a moment, and is
+# tried again after 0.3 and 0.6 s.
 REFUSAL_LOSS_SECONDS = 1.0
-# Times that an engine is asked in vain before it counts as lost: each
-# waits most of a second, and one alone may meet a lost packet.
+# Failed probes after which an engine counts as lost. Each waits for most of a
+# second; a single one may fail by a lost packet.
 MAX_PROBES = 2
-# Pause before an engine that answered is asked again, in seconds; each
-# question counts as a probe.
+# Shortest time before an engine is probed again, in seconds.
 PROBE_INTERVAL_SECONDS = 5.0
-# Part of the engines of which more than it seem lost only to an entry that
-# is cut off itself: a failure domain of three is the most that fails at once.
+# Largest fraction of the engines that may count as lost. At most one failure
+# domain of three fails at a time; if more seem lost, this entry is cut off.
 MAX_LOST_FRACTION = 0.34
 
 
 class LossDetector:
-    """Engines that are known to be dead."""
+    """Detector of lost engines of one service."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
@@ -43,9 +42,9 @@
         self._tasks: set[asyncio.Task] = set()
 
     def find_lost(self, engines: list[endpoints_module.Endpoint]) -> set[str]:
-        """Ask doubted engines, and return the names of lost ones.
+        """Start probes of suspected engines, and return names of lost ones.
 
-        :param engines: those that are listed
+        :param engines: engines that are listed
         """
         if not self._state.has(mechanisms.Mechanism.LOSS_QUESTIONS):
             return set()
@@ -67,10 +66,10 @@
     def _list_refusing(
         self, engines: list[endpoints_module.Endpoint], now: float
     ) -> set[str]:
-        """List the engines that leave, by how they refuse.
+        """Return the names of engines that have refused requests for long.
 
-        While the store is away it does not list that engines drain, and
-        their layers would be ordered elsewhere only after its return.
+        They are probably draining. During an outage of the store this is not
+        listed, and their layers would be ordered elsewhere only after it.
         """
         measure = self._state.health.measure_refusing
         return {
@@ -80,7 +79,7 @@
         }
 
     def _forget(self, listed: set[str]) -> None:
-        """Drop what is gone from the listing, and what works again."""
+        """Forget engines that are not listed or make progress again."""
         for known in (self._probed_at, self._lost_at):
             for name in [each for each in known if each not in listed]:
                 del known[name]
--- a/packages/daemon/src/dunlintide_daemon/gateway/paceprober.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/paceprober.py
@@ -1,6 +1,6 @@
-"""Asks engines for their pace where streams are slow or stand still.
+"""Probes of the pace of engines whose streams are slow or stalled.
 
-An engine that does not answer is left out like one that fails streams.
+An engine that does not answer is ejected like one that fails streams.
 """
 
 import asyncio
@@ -10,21 +10,21 @@
 
 __all__ = ['PaceProber']
 
-# Longest pause between two looks at slow engines, in seconds.
+# Longest time between two checks of which slow engines to probe, in seconds.
 POLL_SECONDS = 0.2
-# Questions under way at the same time.
+# Most probes under way at the same time.
 MAX_PROBES = 16
 
 
 class PaceProber:
-    """Asker of engines, of its entry's failure domain and others alike."""
+    """Prober of engines in all failure domains."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Ask engines that are suspected or slow, until cancelled."""
+        """Probe engines that are slow or suspected of it, until cancelled."""
         suspected = self._state.slow_suspected
         while True:
             try:
@@ -59,8 +59,8 @@
         read = await orders.read_report(address)
         state.counters.pace_questions.inc()
         if read.is_err():
-            # Where all streams of a dead engine share its whole chain, none
-            # of them shows which engine it is.
+            # If all streams through a dead engine use the same chain, only a
+            # probe shows which engine of the chain it is.
             state.eject([name], f'no report: {read.err_value}')
             return
         state.record_rate_limit(name, read.ok_value.rate_limit, sent)
--- a/packages/daemon/src/dunlintide_daemon/gateway/permitcodec.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/permitcodec.py
@@ -1,4 +1,4 @@
-"""Messages about permits as they go between entries in datagrams."""
+"""Encoding of messages about permits in datagrams between entries."""
 
 import msgspec
 import result
@@ -11,7 +11,7 @@
     'encode',
 ]
 
-# First byte of these messages; no other message between entries begins so.
+# First byte of these messages; gossip messages never begin with it.
 MARK = b'\xc1'
 _ASK = b'?'
 _ANSWER = b'!'
@@ -31,25 +31,29 @@
 
 
 def encode(message: permits.Message) -> bytes:
-    """Write a message."""
+    """Encode a message."""
     return MARK + _kinds[type(message)] + _encoder.encode(message)
 
 
 def decode(data: bytes) -> result.Result[permits.Message, str]:
-    """Read a message.
+    """Decode a message.
 
-    :returns: the message, or what is wrong with it
+    :returns: the message, or why it is malformed
     """
     decoder = _decoders.get(data[1:2])
     if decoder is None:
-        return result.Err(f'kind {data[1:2]!r}')
+        return result.Err(f'unknown kind {data[1:2]!r} of permit message')
     try:
         message = decoder.decode(data[2:])
     except msgspec.DecodeError as error:
         return result.Err(str(error))
     for endpoint, limit, age in permits.list_limits(message):
         if limit is not None and not 0 <= limit < float('inf'):
-            return result.Err(f'limit {limit} of {endpoint}')
+            return result.Err(
+                f'limit {limit} of {endpoint} is negative or not finite'
+            )
         if not 0 <= age <= float('inf'):
-            return result.Err(f'age {age} of {endpoint}')
+            return result.Err(
+                f'age {age} of {endpoint} is negative or not a number'
+            )
     return result.Ok(message)
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -1,4 +1,4 @@
-"""Orders engines to hold layers, while this entry leads."""
+"""Orders engines to load layers, while this entry is the leader."""
 
 import asyncio
 import collections
@@ -18,35 +18,38 @@
 __all__ = ['Placer']
 
 TICK_SECONDS = 0.2
-# A layout waits until no engine has been listed for this long, in seconds,
-# so that it sees all of them.
+# How long no new engine must have been listed before a layout is planned, in
+# seconds, so that it includes all engines.
 SETTLE_SECONDS = 0.5
 # The same while no engine holds a layer. Engines that start together are
-# listed over the time between two of their reports, and a layout made for the
-# first of them alone gives longer chains.
+# listed within one report interval, and a layout for only the first of them
+# has longer chains.
 INITIAL_SETTLE_SECONDS = 1.5
-# Time after which an order that shows no effect is looked into, in
-# seconds, beside the time to load.
+# Time after which an order without effect is checked, in seconds, in addition
+# to the time to load.
 EFFECT_SECONDS = 2.5
-# Time for which layers must be lost before an engine is moved to them, in
-# seconds: an engine that comes back empty is given them at once.
+# How long layers must be without enough engines before an engine is moved to
+# them, in seconds: an engine that restarts empty is ordered to them at once.
 SCARCE_SECONDS = 0.4
-# Time without a change of what engines hold after which an engine is also
-# moved to layers that few hold, in seconds: most that crash are back by then.
+# Time without a change of the held layers after which engines are also moved
+# to layers that few engines hold, in seconds: most engines that crash have
+# restarted by then.
 STEADY_SECONDS = 2.0
-# Orders under way at the same time.
+# Most orders under way at the same time.
 MAX_SENDING = 16
-# Pause before an order that was not accepted is given anew, in seconds.
+# Pause before an order that was not accepted is sent again, in seconds.
 RETRY_SECONDS = 0.8
 
 
 @attrs.define(eq=False)
 class _PendingOrder:
-    """An order that may have been carried out.
+    """An order whose effect is not listed yet.
 
-    :ivar expected: orders that the engine should have accepted before
-    :ivar due: monotonic time by which its effect should show, in seconds
-    :ivar retry_at: when it is looked into and given anew
+    :ivar expected: number of orders that the engine must have accepted before
+    :ivar due: monotonic time by which its effect should be listed, in seconds
+    :ivar retry_at: monotonic time at which it is checked and sent again, in
+        seconds
+    :ivar checked: whether it may be sent without asking the engine first
     """
 
     placement: layout.Placement
@@ -58,10 +61,11 @@
 
 @attrs.define(eq=False)
 class _ServiceLayers:
-    """What the engines of a service held when it changed last.
+    """What the engines of a service held at the last change of it.
 
+    :ivar ranges: first layers by engine, and the known demand
     :ivar changed: monotonic time of the change, in seconds
-    :ivar settled: whether nothing is to be moved
+    :ivar is_settled: whether no engine has to be moved
     """
 
     ranges: tuple
@@ -70,7 +74,7 @@
 
 
 class Placer:
-    """Giver of orders, for all services with engines."""
+    """Planner and sender of orders, for all services with engines."""
 
     def __init__(
         self,
@@ -91,7 +95,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Give orders whenever this entry leads, until cancelled."""
+        """Plan and send orders while this entry leads, until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             if not self._leadership.is_leading:
@@ -153,7 +157,8 @@
                 del self._pending[name]
         known = self._demands[service].list_known()
         for placement in layout.plan_new(profile, holding, empty, known):
-            # A new engine has accepted none; another refuses and tells.
+            # A new engine has accepted no order. Any other engine refuses this
+            # one, and its count of orders is read before the next try.
             self._add_order(_PendingOrder(placement), profile, now)
         if not empty and self._state.has(mechanisms.Mechanism.MOVES):
             self._plan_moves(service, profile, holding, now)
@@ -165,7 +170,7 @@
         listed: list[endpoints_module.Endpoint],
         now: float,
     ) -> None:
-        """Record what streams take of each failure domain."""
+        """Record the cache that streams use in each failure domain."""
         taken: dict[str, float] = collections.defaultdict(float)
         for each in listed:
             usage = self._state.occupancy.get(each.name)
@@ -180,7 +185,7 @@
         holding: list[layout.Placement],
         now: float,
     ) -> None:
-        """Move engines where layers have been scarce for a while."""
+        """Move engines to layers that have been scarce for a while."""
         known = self._demands[service].list_known()
         ranges = (
             tuple((each.endpoint.name, each.start) for each in holding),
@@ -234,7 +239,7 @@
     def _has_taken_effect(
         order: _PendingOrder, engine: endpoints_module.Endpoint
     ) -> bool:
-        """Tell whether the listing shows the effect of an order."""
+        """Return whether the listing shows the effect of an order."""
         wanted = order.placement
         return (engine.start, engine.end) == (wanted.start, wanted.end)
 
@@ -277,7 +282,8 @@
             fence=fence,
             reception=reception,
         )
-        # Giving it anew is safe: the expected count admits it once.
+        # Sending it again is safe: by the expected number of orders the engine
+        # accepts it only once.
         order.checked = False
         if reception in (orders.Reception.BEGUN, orders.Reception.HELD):
             order.retry_at = order.due
@@ -285,9 +291,9 @@
             order.retry_at = self._state.now + RETRY_SECONDS
 
     async def _should_resend(self, order: _PendingOrder) -> bool:
-        """Ask an engine what became of an order.
+        """Ask an engine whether it has carried out an order.
 
-        :returns: whether it should be given again
+        :returns: whether the order should be sent again
         """
         endpoint = order.placement.endpoint
         if not await self._state.admit(endpoint.name):
@@ -310,7 +316,7 @@
         wanted = (placement.start, placement.end)
         before = (endpoint.start, endpoint.end)
         if report.busy or held not in (before, (0, 0)) or held == wanted:
-            # The listing will show it, or that it was lost again.
+            # The listing will show the layers, or that they were lost again.
             order.retry_at = self._state.now + EFFECT_SECONDS
             return False
         return True
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -1,4 +1,4 @@
-"""The process of an entry: starts its parts, reloads and stops them."""
+"""Process of an entry: start, reload of settings and graceful shutdown."""
 
 import asyncio
 import contextlib
@@ -39,17 +39,17 @@
 
 FLUSH_SECONDS = 0.1
 EXPIRY_SECONDS = 0.5
-# Lateness of the event loop that is logged, in seconds: streams are late then.
+# Lag of the event loop from which it is logged, in seconds: it delays streams.
 STALL_THRESHOLD_SECONDS = 0.1
-# How often the settings file is looked at, since it may change without a
-# signal, in seconds.
+# Time between two checks of the settings file, in seconds: it may change
+# without a SIGHUP.
 RELOAD_SECONDS = 1.0
-# Time after SIGTERM at which resting connections are closed, in seconds:
-# by then the balancer has seen two answers that the entry isn't ready.
+# Time after SIGTERM at which idle connections are closed, in seconds: by then
+# the load balancer has twice seen that the entry is not ready.
 KEEP_ALIVE_SECONDS = 2.6
-# Time left before SIGKILL when what still runs is cut, in seconds.
+# Time before SIGKILL at which requests under way are cut off, in seconds.
 KILL_MARGIN_SECONDS = 0.35
-# Time to fetch a configuration from another entry, in seconds.
+# Timeout for fetching a configuration from another entry, in seconds.
 FETCH_TIMEOUT_SECONDS = 1.0
 
 
@@ -68,7 +68,7 @@
 
 
 class _EntryProcess:
-    """The parts of an entry and their lives."""
+    """Components of an entry, and their start and shutdown."""
 
     def __init__(
         self,
@@ -108,7 +108,8 @@
         self._follower = follower_module.Follower(
             self._state, self._store, self._handle_entry_item
         )
-        # The reading comes last, with what the others gave up in mind.
+        # The follower is last: the others must have given up their leases
+        # before it reads the store again.
         self._store.era_listeners += (
             self._registrar.begin_era,
             self._leadership.begin_era,
@@ -134,7 +135,7 @@
         self._state.log.write(what, error=repr(error))
 
     def _handle_entry_item(self, item: storevalues.Item) -> None:
-        """Take in a key that an entry wrote."""
+        """Dispatch a change of a key that entries write."""
         if item.key == keys.LEADER_KEY:
             self._leadership.handle_item(item)
         elif item.key.startswith(keys.ENTRY_PREFIX):
@@ -153,7 +154,7 @@
                 self._log_error('entry refused', ValueError(decoded.err_value))
 
     async def run(self) -> None:
-        """Serve until SIGTERM and what it leaves time for."""
+        """Serve until SIGTERM, then shut down gracefully."""
         state = self._state
         settings = state.settings
         loop = asyncio.get_running_loop()
@@ -199,7 +200,7 @@
         stack.callback(transport.close)
 
     async def _listen_to_callers(self, address: str) -> None:
-        """Take the socket that is open already if it is the right one."""
+        """Listen for callers, on the open socket if its address fits."""
         listener, self._listener = self._listener, None
         if listener is not None and listener.getsockname() == _split_address(
             address
@@ -215,7 +216,7 @@
         stack: contextlib.AsyncExitStack,
         work: Callable[[], Coroutine],
     ) -> None:
-        """Keep a loop running; what ends it is logged, then it goes on."""
+        """Run a loop as a task; log an exception and restart the loop."""
 
         async def rerun() -> None:
             while True:
@@ -244,7 +245,7 @@
             await asyncio.sleep(FLUSH_SECONDS)
             self._record_lag(state.now - slept - FLUSH_SECONDS)
             state.log.flush()
-            # Engines that were left out for a time come back unannounced.
+            # Nothing else wakes waiters when the ejection of an engine ends.
             state.wake_all()
             if state.now - expired_at >= EXPIRY_SECONDS:
                 expired_at = state.now
@@ -253,13 +254,16 @@
                 state.permits.expire(state.now, state.endpoints)
 
     def _record_lag(self, seconds: float) -> None:
-        """Take note of how late the event loop was."""
+        """Record the lag of the event loop.
+
+        :param seconds: measured lag
+        """
         self._state.counters.loop_lag_seconds.observe(max(0.0, seconds))
         if seconds >= STALL_THRESHOLD_SECONDS:
             self._state.log.write('loop stalled', seconds=round(seconds, 3))
 
     async def _fetch_newer(self) -> None:
-        """Take a configuration that another entry has first."""
+        """Fetch newer configurations from other entries."""
         while True:
             await self._gossip.newer_entry_found.wait()
             self._gossip.newer_entry_found.clear()
@@ -305,7 +309,7 @@
             self._reload()
 
     def _reload(self) -> None:
-        """Apply the settings file if it has changed and is right."""
+        """Apply the settings file if it has changed and is valid."""
         state = self._state
         try:
             text = self._path.read_text(encoding='utf-8')
@@ -324,7 +328,7 @@
         self._apply_settings(loaded.ok_value)
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Put in force what may change while the process runs."""
+        """Apply the settings that may change while the process runs."""
         state = self._state
         kept = attrs.evolve(
             state.settings,
@@ -346,7 +350,7 @@
         state.log.write_always('settings reloaded', ignored=ignored)
 
     async def _shut_down(self) -> None:
-        """Finish what is under way, as long as the time allows."""
+        """Finish requests under way, as long as the grace period allows."""
         state = self._state
         state.stopping = True
         began = state.stopping_since = state.now
@@ -373,18 +377,18 @@
     text: str,
     listener: socket.socket | None = None,
 ) -> int:
-    """Run an entry until it is told to stop.
+    """Run an entry until SIGTERM or SIGINT.
 
     :param path: settings file, read again when it changes
-    :param text: what it held when the settings were read
-    :param listener: where callers connect already, None to open it
+    :param text: content of the file from which ``settings`` were read
+    :param listener: open listening socket, None to open it by the settings
     :returns: exit status
     """
 
     async def serve() -> None:
         await _EntryProcess(settings, path, text, listener).run()
 
-    # What start-up made lives on; leaving it out shortens collections.
+    # Objects from start-up stay alive; freezing them shortens collections.
     gc.collect()
     gc.freeze()
     asyncio.run(serve())
--- a/packages/daemon/src/dunlintide_daemon/gateway/ratelimiter.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/ratelimiter.py
@@ -1,7 +1,7 @@
-"""Keeps the rate limits of endpoints together with the other entries.
+"""Enforcement of endpoints' rate limits, shared with the other entries.
 
-Whatever is sent to an endpoint is admitted here first: requests, hedges,
-failovers, orders and reports.
+Everything that is sent to an endpoint needs a permit: requests, hedges,
+failovers, orders and calls for its report.
 """
 
 import asyncio
@@ -17,21 +17,25 @@
 
 
 class RateLimiter:
-    """Asker for permits, and answerer of other entries."""
+    """Requests permits, and handles messages about permits."""
 
     def __init__(self, state: state_module.State, send: SendDatagram) -> None:
-        """Prepare to ask.
+        """Create a limiter without requests under way.
 
-        :param send: sends a datagram to an entry, by name
+        :param send: sends a datagram to an entry, given by its name
         """
         self._state = state
         self._send_datagram = send
         self._waiting: dict[int, asyncio.Event] = {}
 
     async def admit(self, name: str, request: str = '') -> bool:
-        """Ask whether something may be sent to an endpoint now.
+        """Request a permit to send something to an endpoint now.
 
-        :param request: id of the request that is to be sent, if it is one
+        Without a rate limit it is granted at once.
+
+        :param name: name of the endpoint
+        :param request: id of the request to be sent, empty if it is none
+        :returns: whether the permit was granted
         """
         state = self._state
         limit = state.rate_limits.get(name)
@@ -53,7 +57,7 @@
     async def _wait(
         self, awake: asyncio.Event, ticket: permits_module.Ticket
     ) -> None:
-        """Wait for an answer, or until the next message is due."""
+        """Wait for a reply, at most until the next message is due."""
         try:
             async with asyncio.timeout(ticket.due - self._state.now):
                 await awake.wait()
@@ -83,9 +87,9 @@
             loop.call_later(ticket.pause, state.wake, endpoint.service)
 
     def receive(self, data: bytes, source: str) -> None:
-        """Take in a datagram about permits.
+        """Process a datagram about permits.
 
-        :param source: address of its sender, for the log
+        :param source: address of the sender, for the log
         """
         state = self._state
         decoded = permitcodec.decode(data)
--- a/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
@@ -1,4 +1,4 @@
-"""Keeps an entry listed in the store, so that others find it."""
+"""Registration of an entry in the store, so that others find it."""
 
 import asyncio
 import random
@@ -12,18 +12,18 @@
 
 __all__ = ['Registrar']
 
-# Time after which a silent entry is not listed any more, in seconds.
+# Time without renewal after which an entry is no longer listed, in seconds.
 LEASE_SECONDS = 8.0
-# Pause between renewals, in seconds: two may fail in a row.
+# Time between renewals, in seconds: two may fail in a row.
 RENEW_INTERVAL_SECONDS = 2.5
 RETRY_SECONDS = (0.3, 0.8)
-# Pause before a lost registration is made anew, so that entries that lost it
-# together do not write together.
+# Range of the delay before a lost registration is renewed, in seconds: entries
+# that lose theirs at the same time do not write at the same time.
 REREGISTER_DELAY_SECONDS = (0.0, 0.3)
 
 
 class Registrar:
-    """Holder of the lease under which an entry is listed."""
+    """Keeper of the lease under which an entry is listed."""
 
     def __init__(
         self,
@@ -39,10 +39,10 @@
         self._registration_lost = asyncio.Event()
 
     async def run(self) -> None:
-        """Stay listed until the entry stops."""
+        """Register, and renew the lease until the entry stops."""
         while True:
             if self._state.stopping:
-                # What is kept is what others count on; see leave.
+                # No renewal while stopping; ``unregister`` ends the lease.
                 await asyncio.sleep(RENEW_INTERVAL_SECONDS)
                 continue
             if self._lease is None:
@@ -55,7 +55,7 @@
                 await asyncio.sleep(random.uniform(*RETRY_SECONDS))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait, or until the registration is lost."""
+        """Wait, at most until the registration is lost."""
         self._registration_lost.clear()
         if self._lease is None:
             return
@@ -67,13 +67,13 @@
         await asyncio.sleep(random.uniform(*REREGISTER_DELAY_SECONDS))
 
     def begin_era(self) -> None:
-        """Register anew; the key and its lease may be gone."""
+        """Register again, since the key and its lease may be lost."""
         self._drop_lease(f'era {self._store.era} of the store')
 
     def handle_item(self, item: storevalues.Item) -> None:
-        """Register anew if the own key is gone or not under the own lease.
+        """Register again if the entry's key is gone or under another lease.
 
-        A write of an earlier registration that comes late replaces the key.
+        A late write of an earlier registration can replace the key.
         """
         if self._lease is None or self._revision is None:
             return
@@ -97,8 +97,8 @@
         key = keys.make_entry_key(self._entry.name)
         value = keys.encode_entry(self._entry)
         write = storevalues.Write(key, value, begun.ok_value)
-        # Without a condition: the newest life of a name replaces others,
-        # and a write that comes late says the same.
+        # Without a condition: the newest incarnation of an entry replaces
+        # older ones, and a late write has the same value.
         written = await self._store.write((), (write,))
         if written.is_ok():
             self._lease = begun.ok_value
@@ -107,7 +107,7 @@
                 'registered', lease=self._lease.number, era=self._lease.era
             )
         if self._state.stopping:
-            # The stop came while the call was under way.
+            # The stop began while the call was under way.
             await self.unregister()
         return written.map(lambda _: None)
 
@@ -120,7 +120,7 @@
         return kept
 
     async def unregister(self) -> None:
-        """End the lease, so that others stop to count on this entry."""
+        """End the lease, so that others no longer use this entry."""
         if self._lease is not None:
             ended = await self._store.end_lease(self._lease)
             if ended.is_err():
--- a/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the rule, the team and who serves."""
+"""Admits callers' requests and routes them to services by rules."""
 
 import asyncio
 import contextlib
@@ -22,24 +22,26 @@
 
 Outcome = exchange_module.Outcome
 
-# When to return to an entry that knows no configuration yet, in seconds.
+# Retry-After while the entry has no configuration yet, in seconds.
 UNREADY_RETRY_SECONDS = 0.5
-# How long a request waits for the first reading of the store, in seconds.
-# When a host restarts, what connects before its process knows anything would
-# be turned away with its caller's last try.
+# How long a request waits for the first read of the store, in seconds. Without
+# it a request that arrives just after a restart would be refused, often at
+# its caller's last try.
 FIRST_READING_TIMEOUT_SECONDS = 0.3
-# Time after SIGTERM from which on streams are refused, in seconds: later
-# ones could not end before the process must, and by then the balancer has
-# had two answers that the entry isn't ready.
+# Time after SIGTERM from which streams are refused, in seconds. Later ones
+# could not end before the process must, and by then the load balancer has
+# twice seen that the entry is not ready.
 STREAM_CUTOFF_SECONDS = 2.8
-# Time before the process must end from which on calls are refused too.
+# Time before the process must end from which calls are refused too, in
+# seconds.
 CALL_CUTOFF_SECONDS = 1.5
-# When to return with a request that seems to crash endpoints, in seconds.
+# Retry-After of a request that is suspected of crashing endpoints, in
+# seconds.
 CRASHER_RETRY_SECONDS = 5.0
 
 
 class RequestHandler:
-    """Answers each request of a caller."""
+    """Answers the requests of callers."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
@@ -114,7 +116,7 @@
         reply: callermessages.Reply,
         caller_request: asks.Ask,
     ) -> exchange_module.Exchange | None:
-        """Find the terms of a request, or refuse it at once."""
+        """Build the exchange of a request, None if it was refused."""
         deployment = self._state.deployment
         if not self._state.is_initialized:
             self._deny(
@@ -165,13 +167,13 @@
             len(state.listed_entries),
             state.stopping_since + state.settings.grace - now,
         )
-        # Callers honour no longer one.
+        # Callers do not honour a longer one.
         return min(pause, (exchange.deadline - now) * returns.LEFT_PART)
 
     def _is_too_late(
         self, exchange: exchange_module.Exchange, now: float
     ) -> bool:
-        """Tell whether the process ends before it could answer."""
+        """Return whether the process ends before it could answer."""
         state = self._state
         if not state.stopping:
             return False
@@ -266,7 +268,7 @@
 def _make_fingerprint(
     request: callermessages.Request, caller_request: asks.Ask
 ) -> str:
-    """Name a request by what stays when its caller sends it again."""
+    """Hash what stays the same when a caller sends a request again."""
     digest = hashlib.blake2b(digest_size=9)
     for part in (
         caller_request.host,
@@ -280,6 +282,6 @@
 
 
 def _make_digest(fingerprint: str, request: asks.Ask) -> int:
-    """Tell a request from others with the same path, caller and body."""
+    """Hash a request such that those with equal bodies mostly differ."""
     text = f'{fingerprint} {request.prompt} {request.answer} {request.prefix}'
     return zlib.crc32(text.encode('latin-1'))
--- a/packages/daemon/src/dunlintide_daemon/gateway/runends.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runends.py
@@ -1,4 +1,4 @@
-"""How runs of a stream end before its answer is whole."""
+"""Exception for runs of a stream that end early."""
 
 from dunlintide_core.pipeline import chains
 
@@ -8,12 +8,15 @@
 
 
 class RunEnded(Exception):
-    """How a run ended without a whole answer; its stream decides on.
+    """A run ended before its answer was complete.
 
-    :ivar ran: whether it may have run
-    :ivar reason: for the log
-    :ivar retry: whether another chain may do better
-    :ivar hops: the chain on which it goes on, paid for, None to find one
+    The stream server decides whether the stream is resumed.
+
+    :ivar ran: whether the request may have run
+    :ivar reason: reason for the log
+    :ivar retry: whether another chain may succeed
+    :ivar next_hops: chain for the next run, already charged to the retry
+        budget; None to choose one
     """
 
     def __init__(
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -1,4 +1,4 @@
-"""One run of a stream on a chain: its send, its events, its end."""
+"""Runs of streams on chains: send the request and relay the events."""
 
 import asyncio
 from typing import Awaitable, Callable, TypeVar
@@ -27,19 +27,19 @@
 Stream = exchange_module.Stream
 _Part = TypeVar('_Part')
 
-# Time to connect to an engine, in seconds: links take under a
+# Timeout for a connection to an engine, in seconds: connecting takes under a
 # millisecond, and a lost packet is sent again only after a second.
 CONNECT_SECONDS = 0.25
-# How long engines hold on to a run that was left because one of its parts
-# stood still, in seconds: those before it wait for the dead one.
+# How long the engines of a run that was moved because it stalled still hold
+# it, in seconds: those before a dead engine wait for it.
 HELD_SECONDS = 1.5
-# Answers at least this late after the send blame a dead endpoint, sooner
-# ones a full or leaving one, in seconds.
+# Time after the send from which a refusal means that an endpoint is dead, in
+# seconds; an earlier one means that it is full or leaving.
 DEAD_AFTER_SECONDS = 0.5
-# Time over which the events of a run are counted to judge its pace, in
-# seconds; single pauses say little.
+# Time over which the mean interval of events is measured, in seconds; single
+# gaps vary too much.
 PACE_WINDOW_SECONDS = 0.25
-# Breaks that say nothing of the endpoint that received the run.
+# Faults for which the first endpoint of the chain is not to blame.
 _INCONCLUSIVE_FAULTS = (
     endpointhttp.Fault.TIMEOUT,
     endpointhttp.Fault.ABANDONED,
@@ -50,15 +50,15 @@
 class _Run:
     """One run of a stream on a chain.
 
-    :ivar began: monotonic time of its send, in seconds
-    :ivar moved: when its last event came
-    :ivar longest: its longest pause between events, in seconds
-    :ivar published: time of an event by what is published of its endpoints,
-        in seconds
-    :ivar paced: events since its mean time between events was judged
-    :ivar paced_since: monotonic time of that, in seconds
-    :ivar lingers: whether its endpoints hold it for a while after its end
-    :ivar connection: to the first endpoint, None until there is one
+    :ivar began: monotonic time of the send, in seconds
+    :ivar last_progress: monotonic time of the last event, or of the send
+    :ivar longest_pause: longest pause between its events, in seconds
+    :ivar published_event_seconds: time per event by the published speed of
+        its engines
+    :ivar events_since_check: events since its pace was last checked
+    :ivar checked_at: monotonic time of that check, in seconds
+    :ivar is_held: whether its engines still hold it for a while after its end
+    :ivar connection: connection to the first endpoint, None before it exists
     """
 
     hops: Hops
@@ -87,13 +87,13 @@
 def _make_head(
     head: endpointhttp.AnswerHead, length: int | None
 ) -> callermessages.Head:
-    """Build what the caller gets of an endpoint's head."""
+    """Build the head for the caller from that of an endpoint."""
     headers = requests.list_reply_headers(head)
     return callermessages.Head(head.status, headers, length, head.reason)
 
 
 class RunServer:
-    """Runs streams on chains with the beliefs of one entry."""
+    """Runs streams on chains, one run at a time for each stream."""
 
     def __init__(
         self, state: state_module.State, finder: chainfinder.ChainFinder
@@ -105,9 +105,9 @@
         state.incarnation_listeners.append(self._abandon_runs)
 
     def _abandon_runs(self, name: str) -> None:
-        """End the runs through a life of an endpoint that is over.
+        """Abandon the runs through an incarnation of an endpoint that ended.
 
-        They stand still until their engines give them up, seconds later.
+        They would stall until their engines give them up, seconds later.
         """
         for run in list(self._active):
             if run.connection is not None and name in run.names:
@@ -116,7 +116,7 @@
     async def run(self, stream: Stream, hops: Hops) -> Outcome:
         """Run a stream on a chain.
 
-        :raises RunEnded: when it ends without a whole answer
+        :raises RunEnded: when it ends without a complete answer
         """
         state = self._state
         now = state.now
@@ -149,7 +149,7 @@
                 state.pool.release(run.first.address, connection)
 
     def _release(self, service: str, run: _Run) -> None:
-        """Give back what a run took, later if its engines still hold it."""
+        """Release a run's reservation, later if its engines still hold it."""
         state = self._state
         if not run.is_held:
             state.release(service, run.reservation)
@@ -231,19 +231,20 @@
             raise runends.RunEnded(True, f'run broke: {broken}') from broken
         return Outcome.COMPLETE
 
-    # What a run's end says of endpoints.
+    # Conclusions from the end of a run about endpoints.
 
     def _blame_refusal(
         self, stream: Stream, run: _Run, verdict: requests.Verdict
     ) -> None:
-        """Leave out the endpoint at fault, the first if none is named."""
+        """Blame a refusal on the endpoint named in it, else on the first."""
         state = self._state
         exchange = stream.exchange
         culprit = run.first
         for hop in run.hops:
             if hop.endpoint.address == verdict.culprit:
                 culprit = hop.endpoint
-        # A full one may serve it a moment later; a dead one will not.
+        # A full endpoint may accept the request a moment later; a dead one
+        # will not.
         roomy = self._finder.has_ample_room(stream.profile, culprit)
         state.record_refusal(culprit.name, exchange.service, roomy)
         late = state.now - run.began >= DEAD_AFTER_SECONDS
@@ -273,7 +274,7 @@
             broken_runs=count,
         )
 
-    # What the caller gets.
+    # Relay of the answer to the caller.
 
     async def _read_head(
         self, stream: Stream, run: _Run, connection: endpointhttp.Connection
@@ -295,10 +296,11 @@
         target: float | None,
         read: Callable[[float], Awaitable[_Part]],
     ) -> _Part:
-        """Read a part of the answer, and judge the run while none comes.
+        """Read a part of the answer, and check the run while it stalls.
 
-        :param target: silence allowed, in seconds, None for the usual one
-        :param read: takes the loop time until which it waits
+        :param target: longest wait by the rule in seconds, None for the
+            default
+        :param read: reads until the given time of the event loop
         """
         limits = self._stall_monitor.choose_limits(target, run.events > 0)
         limit = limits.named
@@ -321,7 +323,11 @@
         connection: endpointhttp.Connection,
         head: endpointhttp.AnswerHead,
     ) -> Outcome:
-        """Try elsewhere after an endpoint's own failure, or pass it on."""
+        """Forward an endpoint's error answer, unless a retry is possible.
+
+        :raises RunEnded: when the stream may be retried, or when its reply
+            has started already
+        """
         exchange = stream.exchange
         again = exchange.can_retry(True, self._state.now)
         if again and head.status >= 500:
@@ -342,7 +348,7 @@
         connection: endpointhttp.Connection,
         head: endpointhttp.AnswerHead,
     ) -> None:
-        """Pass whole events on until the answer is whole."""
+        """Forward complete events until the answer is complete."""
         exchange, sequence = stream.exchange, stream.sequence
         reply = exchange.reply
         splitter = events.EventSplitter()
@@ -391,7 +397,7 @@
         self._state.health.report_progress(run.names, now)
 
     def _check_pace(self, run: _Run, now: float) -> None:
-        """Suspect the engines of a run whose events come slowly."""
+        """Mark the engines of a run as possibly slow if its events are."""
         run.events_since_check += 1
         elapsed = now - run.checked_at
         if elapsed < PACE_WINDOW_SECONDS or not run.published_event_seconds:
--- a/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
@@ -1,4 +1,4 @@
-"""Runs that stand still: how long they may, and when they are moved."""
+"""Stalled runs: how long they may stall, and when they are moved."""
 
 import attrs
 
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class Stall:
-    """A run that stands still.
+    """A run that makes no progress.
 
-    :ivar names: endpoints of its chain
-    :ivar moved: monotonic time of its last event, in seconds
-    :ivar flows: whether it has made an event
+    :ivar names: names of the endpoints of its chain
+    :ivar last_progress: monotonic time of its last event, in seconds
+    :ivar has_events: whether it has produced an event
     """
 
     names: list[str]
@@ -32,7 +32,7 @@
 
 
 class StallMonitor:
-    """Decides on still runs with the beliefs of one entry."""
+    """Decides whether stalled runs are moved to another chain."""
 
     def __init__(
         self, state: state_module.State, finder: chainfinder.ChainFinder
@@ -43,11 +43,11 @@
     def choose_limits(
         self, target: float | None, has_events: bool
     ) -> rescues.Limits:
-        """Tell how long a run may stand still.
+        """Choose how long a run may stall.
 
-        :param target: silence that the rule allows, in seconds, None for
-            the usual one
-        :param has_events: whether it has made an event
+        :param target: wait for an event that the rule allows, in seconds,
+            None for the default
+        :param has_events: whether the run has produced an event
         """
         state = self._state
         usual = None
@@ -63,13 +63,13 @@
     def check(
         self, stream: Stream, stall: Stall, limits: rescues.Limits
     ) -> float:
-        """Decide whether a still run is moved to another chain.
+        """Decide whether a stalled run is moved to another chain.
 
-        It is left only for a chain that is at hand and paid for, since a
-        slow run is worth more than none.
+        It is moved only if a chain has room and the retry budget allows it:
+        a slow run is better than none.
 
-        :returns: how long to wait from its last event, in seconds
-        :raises RunEnded: when it is moved, or its time is up
+        :returns: time from its last event to the next check, in seconds
+        :raises RunEnded: when it is moved, or its deadline has passed
         """
         state = self._state
         exchange = stream.exchange
@@ -90,7 +90,8 @@
         before = list(exchange.failed_endpoints)
         stalled = state.health.find_still(stall.names, stall.last_progress)
         exchange.failed_endpoints.extend(suspects or stalled)
-        # A permit may be refused, and a slow run is worth more than none.
+        # Endpoints with a rate limit are excluded, since a permit may be
+        # refused and a slow run is better than none.
         hops = self._finder.choose(stream, state.rate_limits.list_limited())
         if hops is None or not state.spend_retry_budget(
             exchange.service, 'stream'
@@ -103,13 +104,13 @@
     def _collect_evidence(
         self, stall: Stall, suspects: list[str], now: float
     ) -> rescues.Evidence:
-        """Tell what is known of the endpoints of a still run."""
+        """Classify what is known of the endpoints of a stalled run."""
         since = rescues.choose_since(stall.last_progress, now)
         stalled = self._state.health.find_still(stall.names, since)
         return rescues.weigh(suspects, stalled)
 
     def _find_suspects(self, stall: Stall, now: float) -> list[str]:
-        """List the endpoints that seem to hold up a still run."""
+        """Return the names of endpoints that seem to stall a run."""
         health = self._state.health
         known = []
         if self._state.has(mechanisms.Mechanism.LEFT_OUT_NAMES):
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -1,4 +1,4 @@
-"""What one entry knows and holds; all of it lives on the event loop."""
+"""Shared state of one entry; to be used on the event loop only."""
 
 import asyncio
 import random as random_module
@@ -29,51 +29,65 @@
 
 __all__ = ['State']
 
-# Waiters that are woken at a time, and pause between two such times, in
-# seconds: each looks for a chain, and with dozens of other entries telling of
-# their use the news come every few milliseconds.
+# Waiters that are woken at a time, and the time between two wake-ups, in
+# seconds. Each waiter searches for a chain, and with dozens of other entries
+# messages about freed capacity arrive every few milliseconds.
 _WAKE_BATCH = 3
 _WAKE_DELAY_SECONDS = 0.03
 
 
 async def _admit_all(name: str, request: str = '') -> bool:
-    """Admit whatever is sent, where there is nobody to share limits with."""
+    """Grant every permit; the default before a rate limiter is set."""
     return True
 
 
 @attrs.define(eq=False)
 class State:
-    """Beliefs and holdings of an entry.
-
+    """What one entry knows of endpoints and other entries, and its load.
+
+    :ivar pool: connections to endpoints
+    :ivar occupancy: use of endpoints by this entry and by others
+    :ivar health: ejections and refusals of endpoints
+    :ivar first_event_delays: times from a send to its first event
+    :ivar longest_gaps: longest gaps between the events of runs
+    :ivar event_intervals: mean intervals of the events of runs, relative to
+        the published speed of their engines
+    :ivar paces: measured paces of engines
+    :ivar rate_limits: rate limits that endpoints announced
+    :ivar permits: permits for endpoints with a rate limit
+    :ivar admit: requests a permit to send to an endpoint, by the name of the
+        endpoint and the id of the request
+    :ivar slow_suspects: names of engines that may be slow
+    :ivar slow_suspected: set when ``slow_suspects`` has grown
+    :ivar alert_pending: set when other entries are to be alerted at once
+    :ivar poison_requests: requests that may crash endpoints
+    :ivar refusal_history: requests that were refused recently
     :ivar deployment: configuration in force, None before the first
-    :ivar endpoints: endpoints by name, leaving ones among them
-    :ivar listing_version: counts changes of which endpoints take requests
+    :ivar configuration_value: its encoded form, for other entries
+    :ivar configuration_at: monotonic time at which it was applied, in seconds
+    :ivar endpoints: endpoints by name, including those that leave
+    :ivar listing_version: counts changes of which endpoints accept requests
         and which layers they hold
-    :ivar lives: newest known life of each endpoint, by identity
-    :ivar unreadable: endpoints whose entry can't be read, by identity, and
-        since when
-    :ivar life_listeners: told the name of each life that another one ended
-    :ivar listed: whether the endpoints were read at least once
-    :ivar informed: set once configuration and endpoints are known
-    :ivar entries: names of all entries that were ever seen
-    :ivar others: names of the other entries that are listed; one that stops
-        is not
-    :ivar backlogs: waiting requests by service
-    :ivar waking: services whose queues are about to be woken
-    :ivar first_events: times from a send to its first event
-    :ivar pauses: longest pauses between events
-    :ivar event_times: mean times between the events of runs, against what is
-        published of their engines
-    :ivar paces: what engines told of their pace
-    :ivar rate_limits: limits that endpoints named
-    :ivar permits: permits for endpoints with a limit
-    :ivar admit: asks whether something may be sent to an endpoint, by its
-        name and the id of the request
-    :ivar slow_suspects: names of engines that may be slow
-    :ivar slow_suspected: set when there is one
-    :ivar alarmed: set when other entries are to be told of doubts at once
-    :ivar stopping: whether the process takes no new connections
-    :ivar stopping_at: monotonic time of SIGTERM, in seconds
+    :ivar leaving_since: endpoints that announced that they leave, by name,
+        and the monotonic time of it, in seconds
+    :ivar incarnations: newest known incarnation of each endpoint, by identity
+    :ivar unreadable_since: endpoints whose item in the store is malformed, by
+        identity, and the monotonic time since when, in seconds
+    :ivar incarnation_listeners: called with the name of each incarnation that
+        a newer one replaced
+    :ivar has_listing: whether the endpoints were read at least once
+    :ivar initialized: set once configuration and endpoints are known
+    :ivar listing_read_at: monotonic time at which the listing was last up to
+        date, in seconds
+    :ivar known_entries: names of all entries that were ever listed
+    :ivar listed_entries: names of the other entries that are listed, which
+        one that stops is not
+    :ivar backlogs: queues of waiting requests by service
+    :ivar retry_budgets: retry budgets by service
+    :ivar waking_services: services whose queues are about to be woken
+    :ivar stopping: whether the process accepts no new connections
+    :ivar stopping_since: monotonic time of SIGTERM, in seconds
+    :ivar change_listeners: called when endpoints or configuration changed
     """
 
     settings: settings_module.EdgeSettings
@@ -152,7 +166,7 @@
         return time.monotonic()
 
     def has(self, mechanism: mechanisms.Mechanism) -> bool:
-        """Tell whether a mechanism is on."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.settings.experiments.off
 
     @property
@@ -162,11 +176,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether new connections are accepted."""
         return self.is_initialized and not self.stopping
 
     def list_unready(self) -> list[str]:
-        """Tell why new connections are not welcome."""
+        """Return the reasons why new connections are not accepted."""
         reasons = (
             (self.deployment is None, 'no configuration'),
             (not self.has_listing, 'endpoints not listed yet'),
@@ -177,10 +191,10 @@
     def apply_configuration(
         self, deployment: deployments.Deployment, value: bytes
     ) -> bool:
-        """Put a configuration in force unless it is not newer.
+        """Put a configuration in force if it is newer than the current one.
 
-        :param value: as it lies in the store, for other entries
-        :returns: whether it is in force now
+        :param value: its encoded form in the store, for other entries
+        :returns: whether it was put in force
         """
         held = self.deployment
         if held is not None and deployment.version <= held.version:
@@ -199,13 +213,13 @@
         return True
 
     def apply_endpoint(self, endpoint: endpoints_module.Endpoint) -> None:
-        """Take in an endpoint or what changed of it."""
+        """Add or update an endpoint that is listed."""
         self.unreadable_since.pop(endpoint.identity, None)
         if not self._apply_incarnation(endpoint):
             return
         before = self.endpoints.get(endpoint.name)
         if endpoint.name in self.leaving_since and not endpoint.draining:
-            # A listing that is older than what is known of its leaving.
+            # The listing is older than the announcement that it leaves.
             endpoint = attrs.evolve(endpoint, draining=True)
         if before == endpoint:
             return
@@ -226,9 +240,9 @@
         self.notify_listeners()
 
     def _apply_incarnation(self, endpoint: endpoints_module.Endpoint) -> bool:
-        """Take note of the life of an endpoint that is listed.
+        """Record the incarnation of an endpoint.
 
-        :returns: whether it is the newest that is known
+        :returns: whether it is the newest known one
         """
         known = self.incarnations.get(endpoint.identity)
         if known is not None and endpoint.is_older(known):
@@ -246,7 +260,7 @@
     def _end_incarnation(
         self, endpoint: endpoints_module.Endpoint, successor: str
     ) -> None:
-        """Forget a life that another one ended, and what ran on it."""
+        """Forget an incarnation that a newer one replaced, and its runs."""
         self.log.write_always(
             'endpoint began a new life',
             endpoint=endpoint.name,
@@ -259,11 +273,13 @@
     def record_incarnation(
         self, endpoint: endpoints_module.Endpoint, born: int | None
     ) -> None:
-        """Take note of the life that an endpoint itself tells.
+        """Record the incarnation that an endpoint itself reports.
+
+        One that is newer than the listed one is not used until it is listed,
+        since its layers are not known. If the listing has no start times,
+        incarnations cannot be compared.
 
-        A newer one than the listing's is out of use until it is listed,
-        since its layers aren't known. Where the listing tells no births
-        there is nothing to compare.
+        :param born: reported start time, None without one
         """
         name = endpoints_module.name_life(endpoint.identity, born)
         told = attrs.evolve(endpoint, name=name, born=born)
@@ -273,14 +289,14 @@
             self.notify_listeners()
 
     def mark_unreadable(self, identity: str) -> None:
-        """Use an endpoint no more until its entry can be read again."""
+        """Stop using an endpoint until its item is well-formed again."""
         if identity in self.incarnations:
             self.unreadable_since.setdefault(identity, self.now)
 
     def mark_leaving(self, name: str, source: str) -> None:
-        """Send nothing new to an endpoint that leaves.
+        """Send no new requests to an endpoint that leaves.
 
-        :param source: who told, for the log
+        :param source: entry that reported it, for the log
         """
         if name in self.leaving_since:
             return
@@ -291,7 +307,7 @@
             self.apply_endpoint(attrs.evolve(endpoint, draining=True))
 
     def remove_endpoint(self, identity: str) -> None:
-        """Forget an endpoint that is gone from the listing."""
+        """Forget an endpoint that is no longer listed."""
         self.unreadable_since.pop(identity, None)
         endpoint = self.incarnations.pop(identity, None)
         if endpoint is None:
@@ -311,7 +327,7 @@
         self.rate_limits.forget(endpoint.name)
 
     def list_endpoints(self, service: str) -> list[endpoints_module.Endpoint]:
-        """List the endpoints of a service that take new requests."""
+        """Return the endpoints of a service that accept new requests."""
         now = self.now
         return [
             each
@@ -325,9 +341,9 @@
     def list_engines(
         self, service: str, profile: profiles.EngineProfile
     ) -> list[endpoints_module.Endpoint]:
-        """List the engines that hold layers which make sense.
+        """Return the engines of a service with a valid range of layers.
 
-        Those that are out of use for the moment are among them.
+        Those that are temporarily not used are included.
         """
         return [
             each
@@ -338,18 +354,18 @@
         ]
 
     def list_unreadable(self) -> list[str]:
-        """Name the endpoints whose entry can't be read."""
+        """Return the names of endpoints whose item is malformed."""
         return [
             self.incarnations[identity].name
             for identity in self.unreadable_since
         ]
 
     def get_backlog(self, service: str) -> backlog_module.Backlog:
-        """Give the queue of a service."""
+        """Return the queue of a service, created if needed."""
         return self.backlogs.setdefault(service, backlog_module.Backlog())
 
     def get_retry_budget(self, service: str) -> resends.ResendBudget:
-        """Give the budget of second sends for a service."""
+        """Return the retry budget of a service, created if needed."""
         budget = self.retry_budgets.get(service)
         if budget is None:
             retries = self.settings.retries
@@ -363,9 +379,11 @@
     def spend_retry_budget(
         self, service: str, reason: str, under_way: bool = True
     ) -> bool:
-        """Pay for another send from the shared budget, if it allows.
+        """Charge another send to the shared retry budget.
 
+        :param reason: label of the metric of resends
         :param under_way: whether the request may have run
+        :returns: whether the budget allowed it
         """
         has_kept_budget = self.has(mechanisms.Mechanism.KEPT_BUDGET)
         first = under_way or not has_kept_budget
@@ -377,9 +395,9 @@
     def eject(
         self, names: Iterable[str], reason: str, request: str = ''
     ) -> None:
-        """Leave endpoints out for a while, and log why.
+        """Eject endpoints for a while, and log why.
 
-        :param request: id of the request that showed it, if one did
+        :param request: id of the request that showed the fault, if any
         """
         if not self.has(mechanisms.Mechanism.ACCUSATION):
             return
@@ -401,11 +419,11 @@
         told: result.Result[float | None, str],
         sent: float,
     ) -> None:
-        """Record what an answer says of the limit of its endpoint.
+        """Record the rate limit that an endpoint announced in an answer.
 
-        :param told: requests a second, None for no limit, or a text that
-            is no number
-        :param sent: when the answered request was sent
+        :param told: requests per second, None for no limit; the text as an
+            error if it is not a number
+        :param sent: monotonic time at which the request was sent, in seconds
         """
         if told.is_err():
             self.counters.refused_items.labels('rate limit').inc()
@@ -420,10 +438,10 @@
             self.alert_pending.set()
 
     def log_rate_limit(self, name: str, source: str, age: float) -> None:
-        """Log the limit of an endpoint, and count the limited ones.
+        """Log a changed rate limit, and update the metric of limits.
 
-        :param source: ``answer``, or the entry that told
-        :param age: of the observation before, in seconds
+        :param source: ``answer``, or the entry that reported it
+        :param age: age of the previous observation, in seconds
         """
         self.counters.limited_endpoints.set(
             len(self.rate_limits.list_limited())
@@ -437,18 +455,18 @@
         )
 
     def suspect_slow(self, names: Iterable[str]) -> None:
-        """Let engines be asked whether they are slow."""
+        """Request probes of the pace of engines."""
         if self.has(mechanisms.Mechanism.PACES):
             self.slow_suspects.update(names)
             self.slow_suspected.set()
 
     def record_refusal(self, name: str, service: str, roomy: bool) -> None:
-        """Take note that an endpoint refused a request that it could hold.
+        """Record that an endpoint refused a request for lack of room.
 
-        Others are told at once. Those who wait are woken when it may be
-        tried again, since nothing else may tell them.
+        Other entries are alerted at once. Waiters are woken when the endpoint
+        may be tried again, since nothing else may wake them.
 
-        :param roomy: whether it is far from full by what is known of it
+        :param roomy: whether the endpoint is known to be far from full
         """
         if not self.has(mechanisms.Mechanism.REFUSAL_PAUSES):
             return
@@ -460,12 +478,12 @@
     def release(
         self, service: str, reservation: occupancy_module.Reservation
     ) -> None:
-        """Give back what a run took and let others try."""
+        """Release a reservation, and wake the waiters of its service."""
         self.occupancy.release(reservation)
         self.wake(service)
 
     def wake(self, service: str) -> None:
-        """Let the first that wait try again, soon."""
+        """Wake the first waiters of a service after a short delay."""
         if service in self.waking_services or not self.backlogs.get(service):
             return
         self.waking_services.add(service)
@@ -478,12 +496,12 @@
             waiter.wake()
 
     def wake_all(self) -> None:
-        """Let the first of each queue try again, when others freed room."""
+        """Wake the first waiters of each service."""
         for service in self.backlogs:
             self.wake(service)
 
     def notify_listeners(self) -> None:
-        """Tell what depends on endpoints or configuration of a change."""
+        """Notify listeners and waiters of a change of the state."""
         if self.is_initialized:
             self.initialized.set()
         for listener in self.change_listeners:
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Streams of events: chains found, runs made, ends told."""
+"""Event streams: run them on chains, resume and end them."""
 
 import asyncio
 
@@ -20,19 +20,19 @@
 Hops = chains.Hops
 Outcome = exchange_module.Outcome
 
-# Spread of the times at which refused callers return, as parts of the
-# pause, so that they don't come together.
+# Range of the random factor on Retry-After, so that refused callers do not
+# return at the same time.
 JITTER = (0.6, 1.4)
-# Pause between two looks at a budget that is used up, in seconds: a quarter
-# of the shortest pause between events that callers are known to ask for.
+# Time between two checks of an exhausted retry budget, in seconds: a quarter
+# of the shortest gap target that callers are known to use.
 BUDGET_POLL_SECONDS = 0.05
 
 
 @attrs.frozen
 class _Failure:
-    """Why no further run can help a stream.
+    """Why a stream gets no further run.
 
-    :ivar scarce: layers without room, for the log
+    :ivar shortage: layers without room, for the log
     """
 
     reason: str
@@ -40,7 +40,7 @@
 
 
 class StreamServer:
-    """Serves streams with the beliefs of one entry."""
+    """Serves event streams, each in as many runs as it needs."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
@@ -52,7 +52,7 @@
         exchange: exchange_module.Exchange,
         profile: profiles.EngineProfile,
     ) -> Outcome:
-        """Answer a request whose rule names engines."""
+        """Answer a request that is routed to engines."""
         state = self._state
         sequence = events.EventSequence(exchange.caller_request.after)
         stream = exchange_module.Stream(exchange, profile, sequence)
@@ -78,7 +78,7 @@
     async def _find_paid_chain(
         self, stream: exchange_module.Stream
     ) -> result.Result[Hops, _Failure]:
-        """Find a chain and pay for the send on it."""
+        """Choose a chain and charge the send on it to the retry budget."""
         exchange = stream.exchange
         while True:
             hops = await self._finder.find(stream)
@@ -92,7 +92,7 @@
                 return result.Err(_Failure('no budget'))
 
     def _pay_send(self, exchange: exchange_module.Exchange) -> bool:
-        """Pay for a send; the first one is free."""
+        """Charge a send to the retry budget; the first one is free."""
         if not exchange.sends:
             return True
         under_way = exchange.runs > 0
@@ -103,11 +103,13 @@
     async def _wait_for_budget(
         self, exchange: exchange_module.Exchange
     ) -> bool:
-        """Wait until another send can be paid.
+        """Wait until the retry budget allows another send.
 
-        A stream that is under way is not cut while its caller stays: the
-        budget comes back within seconds. One that did not run is refused
-        at once, since its caller may come back.
+        A stream that has run is not cut off while its caller is connected,
+        since the budget refills within seconds. One that has not run is
+        refused at once, since its caller can retry.
+
+        :returns: whether the budget allows a send now
         """
         state = self._state
         if not exchange.runs:
@@ -142,7 +144,7 @@
         ran: bool,
         failure: _Failure,
     ) -> Outcome:
-        """End a stream that no further run can help."""
+        """End a stream that gets no further run."""
         state = self._state
         reply = exchange.reply
         if reply.started or ran:
@@ -177,7 +179,7 @@
         return Outcome.NOT_RUN
 
     def _choose_retry_after(self, exchange: exchange_module.Exchange) -> float:
-        """Tell when there may be room, with jitter to spread returns."""
+        """Choose a Retry-After in seconds, with jitter."""
         now = self._state.now
         pause = self._state.refusal_history.choose_pause(now)
         pause *= self._state.random.uniform(*JITTER)
--- a/packages/daemon/src/dunlintide_daemon/localpeer.py
+++ b/packages/daemon/src/dunlintide_daemon/localpeer.py
@@ -1,4 +1,4 @@
-"""This process in its present life, as its peers know it."""
+"""Description of this process for its peers."""
 
 from dunlintide_core import fleet
 from dunlintide_core import settings as settings_module
@@ -9,9 +9,10 @@
 def make_peer(
     settings: settings_module.Settings, incarnation: int, address: str
 ) -> fleet.Peer:
-    """Describe this process to its peers.
+    """Build the peer record of this process.
 
-    :param address: ``host:port`` at which they reach it
+    :param incarnation: number that rises with each start of the process
+    :param address: ``host:port`` at which peers reach it
     """
     endpoint = settings.endpoint
     return fleet.Peer(
--- a/packages/daemon/src/dunlintide_daemon/main.py
+++ b/packages/daemon/src/dunlintide_daemon/main.py
@@ -1,4 +1,4 @@
-"""The daemon: reads its settings and runs its role."""
+"""Command line of the daemon: reads the settings and runs the role."""
 
 import argparse
 import importlib
@@ -22,11 +22,11 @@
 
 PROGRAM = 'dunlintided'
 BAD_SETTINGS = 2
-# Names the settings file where the command line does not.
+# Environment variable for the settings file, if the command line has none.
 SETTINGS_VARIABLE = 'DUNLINTIDE_NODE_FILE'
-# The role of an entry on a platform's store, which has settings of its own.
+# Role of an entry that uses a platform's store; its settings differ.
 EDGE = 'edge'
-# Loaded by name, so that an entry need not carry an agent's code.
+# Loaded by name, so that an entry does not import an agent's code.
 _MODULES = {
     fleet.Role.ENTRY: 'dunlintide_daemon.entry.process',
     fleet.Role.AGENT: 'dunlintide_daemon.agent.process',
@@ -69,9 +69,9 @@
 
 
 def run_edge(listener: socket.socket | None) -> int:
-    """Run an entry on a platform's store, with its own settings file.
+    """Run the edge role with the settings file from the environment.
 
-    :param listener: where callers connect already
+    :param listener: open listening socket, None to open it by the settings
     :returns: exit status; 2 for bad settings
     """
     path = os.environ.get(SETTINGS_VARIABLE)
@@ -86,11 +86,12 @@
     check: bool,
     listener: socket.socket | None = None,
 ) -> int:
-    """Run an entry on a platform's store.
+    """Run the edge role.
 
-    Only this role's code is loaded: it starts on small hosts.
+    Only this role's code is imported, since it runs on small hosts.
 
-    :param listener: where callers connect already, None to open it
+    :param check: only validate the settings
+    :param listener: open listening socket, None to open it by the settings
     """
     loader = importlib.import_module('dunlintide_core.pipeline.settings')
     read = _read(path)
--- a/packages/daemon/src/dunlintide_daemon/peerdump.py
+++ b/packages/daemon/src/dunlintide_daemon/peerdump.py
@@ -1,4 +1,4 @@
-"""The fleet's state at a process, for operators."""
+"""State dump of the fleet replica, for operators."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def describe(replica: replicas.Replica) -> dict[str, Any]:
-    """Return configuration and membership, fit for JSON."""
+    """Return configuration and membership as JSON-serializable values."""
     share = replica.spread
     counts: dict[str, int] = {}
     for record in replica.members.everything():
--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -1,7 +1,8 @@
-"""The fleet's state at this process: configuration and membership.
+"""Replica of the fleet's state: configuration and membership.
 
-An actor owns the replica. One thread runs the rounds with peers, one
-keeps the upkeep that goes by time, and one hands new configurations on.
+An actor owns the replica and serializes access to it. One thread gossips
+with peers, one runs periodic maintenance, and one notifies subscribers of
+new configurations.
 """
 
 import contextlib
@@ -29,7 +30,8 @@
 __all__ = ['FleetState']
 
 MAINTENANCE_SECONDS = 1.0
-# Others than watchers read the list only to find peers that they lost.
+# A process that is not a watcher reads the host list only to find peers
+# that it lost contact with.
 NON_WATCHER_HOSTS_SECONDS = 600.0
 MAX_FOLLOW_UPS = 64
 ANSWER_TIMEOUT_SECONDS = 2.0
@@ -39,7 +41,7 @@
 
 
 class _ReplicaActor(pykka.ThreadingActor):
-    """Runs one action on the replica at a time."""
+    """Actor that runs one action on the replica at a time."""
 
     use_daemon_thread = True
 
@@ -52,9 +54,10 @@
 
 
 class FleetState:
-    """Configuration and membership at this process; a context manager.
+    """Replicated configuration and membership; a context manager.
 
-    :ivar incarnation: of this process
+    :ivar name: name of this process
+    :ivar incarnation: incarnation of this process
     """
 
     def __init__(
@@ -64,9 +67,12 @@
         timing: replicas.Timing = replicas.Timing(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Begin with nothing known; entering the context starts it.
+        """Prepare an empty replica; entering the context starts it.
 
-        :param me: this process, with the address of its server
+        :param me: this process, with the address of its gRPC server
+        :param sources: clients of the store and the host list
+        :param timing: timing of gossip and failure detection
+        :param transport: how connections to peers are made
         """
         self.name = me.name
         self.incarnation = me.incarnation
@@ -90,25 +96,25 @@
 
     @property
     def snapshot(self) -> spread.Snapshot | None:
-        """Configuration in force, or None before the first."""
+        """Configuration in force, None before the first."""
         return self._notifier.snapshot
 
     def on_snapshot(self, callback: snapshotnotifier.OnSnapshot) -> None:
         """Call back with the configuration in force and each newer one.
 
-        The calls come one at a time on a thread of their own.
+        The calls are made one at a time, on a separate thread.
         """
         self._notifier.subscribe(callback)
 
     def why_not_ready(self) -> str:
-        """Say why this process cannot serve yet; empty when it can."""
+        """Return why this process cannot serve yet, empty when it can."""
         return self._not_ready_reason
 
     def _run_on_replica(self, action: _Action) -> Any:
         return self._replica_actor.ask(action)
 
     def list_members(self) -> list[records.Record]:
-        """Return what is known of all processes, tombstones too."""
+        """Return the records of all processes, including tombstones."""
         return self._run_on_replica(
             lambda replica: replica.members.everything()
         )
@@ -116,9 +122,10 @@
     def list_present(
         self, seen: int
     ) -> tuple[int, list[records.Record]] | None:
-        """Return all that are not dead, if that has changed.
+        """Return the records of all processes that are not dead.
 
-        :param seen: what an earlier call returned first, else -1
+        :param seen: change counter that an earlier call returned, else -1
+        :returns: change counter and records, None if the counter is ``seen``
         """
 
         def read(replica: replicas.Replica):
@@ -132,7 +139,10 @@
     def answer(
         self, request: exchanges.Request, chunk_bytes: int
     ) -> exchanges.Reply:
-        """Answer a peer; for the gRPC service."""
+        """Answer a peer's gossip request; called by the gRPC service.
+
+        :param chunk_bytes: most bytes of a document in one reply
+        """
         now = time.monotonic()
 
         def act(replica: replicas.Replica) -> tuple[exchanges.Reply, bool]:
@@ -147,13 +157,13 @@
         return reply
 
     def depart(self) -> None:
-        """Tell the fleet that this process leaves."""
+        """Announce to the fleet that this process leaves."""
         now = time.monotonic()
         self._run_on_replica(lambda replica: replica.members.depart(now))
         self._wake.set()
 
     def update_endpoint(self, endpoint: fleet.Endpoint) -> None:
-        """Tell the fleet that this process stands before something else."""
+        """Announce a change of the endpoint that this process serves."""
         if endpoint == self._endpoint:
             return
         self._endpoint = endpoint
@@ -161,19 +171,19 @@
             self._announce_endpoint()
 
     def probe(self, name: str) -> None:
-        """Call a process at once, as a link to it was lost."""
+        """Contact a peer at once, because a link to it was lost."""
 
         def act(replica: replicas.Replica) -> None:
             replica.probe(name)
             self._wake.set()
 
-        # Links are lost at the very end too.
+        # Links are also lost during shutdown, after the actor has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
             self._replica_actor.tell(act)
 
     def _announce_endpoint(self) -> None:
         now, endpoint = time.monotonic(), self._endpoint
-        # An engine may be looked at until the very end of its agent.
+        # The agent checks its engine even after the actor has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
             self._run_on_replica(
                 lambda replica: replica.update_endpoint(now, endpoint)
@@ -181,7 +191,7 @@
         self._wake.set()
 
     def dump(self) -> dict[str, Any]:
-        """Return the state, fit for JSON."""
+        """Return the state as JSON-serializable values."""
         return self._run_on_replica(peerdump.describe) | {
             'not_ready': self._not_ready_reason
         }
@@ -229,7 +239,7 @@
             replica.take_stored(stored.head, stored.document)
             return replica.spread.snapshot
 
-        # The store may answer after this process has stopped.
+        # The store may answer after the actor has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
             self._notifier.publish(self._run_on_replica(act))
             self._wake.set()
@@ -285,7 +295,8 @@
             target()
         except Exception:
             if not self._done.is_set():
-                # A process with half of its state would mislead peers.
+                # Without this thread the state would go stale and mislead
+                # peers, so the process ends.
                 logging.fatal('fleet state broken', exc_info=True)
 
     def _start_thread(self, target: Callable[[], None], name: str) -> None:
--- a/packages/daemon/src/dunlintide_daemon/snapshotnotifier.py
+++ b/packages/daemon/src/dunlintide_daemon/snapshotnotifier.py
@@ -1,4 +1,4 @@
-"""Hands configurations on, apart from the threads that receive them."""
+"""Notifies subscribers of new configurations on a thread of its own."""
 
 import threading
 from typing import Callable
@@ -11,39 +11,45 @@
 
 
 class SnapshotNotifier:
-    """Hands the newest configuration to those who asked for it.
+    """Calls subscribers back with the newest configuration.
 
-    :ivar snapshot: the newest, None before the first
+    :ivar snapshot: the newest configuration, None before the first
     """
 
     def __init__(self) -> None:
-        """Begin without a configuration."""
+        """Start without a configuration."""
         self.snapshot: spread.Snapshot | None = None
         self._callbacks: list[tuple[OnSnapshot, int]] = []
         self._changed = threading.Condition()
         self._closed = False
 
     def subscribe(self, callback: OnSnapshot) -> None:
-        """Call back with the newest configuration and all later ones."""
+        """Call back with the newest configuration and each newer one.
+
+        A callback may miss a configuration that is replaced before its turn.
+        """
         with self._changed:
             self._callbacks.append((callback, 0))
             self._changed.notify()
 
     def publish(self, snapshot: spread.Snapshot | None) -> None:
-        """Take a configuration to hand on."""
+        """Make a configuration the newest one."""
         with self._changed:
             if snapshot is not self.snapshot:
                 self.snapshot = snapshot
                 self._changed.notify()
 
     def close(self) -> None:
-        """Let ``run`` end."""
+        """Make ``run`` return."""
         with self._changed:
             self._closed = True
             self._changed.notify()
 
     def _wait_for_due(self) -> tuple[spread.Snapshot | None, list[OnSnapshot]]:
-        """Wait for callbacks that have not had the newest snapshot."""
+        """Wait for callbacks that have not received the newest snapshot.
+
+        :returns: the snapshot and those callbacks, None once closed
+        """
         with self._changed:
             while not self._closed:
                 snapshot = self.snapshot
@@ -62,7 +68,7 @@
         return None, []
 
     def run(self) -> None:
-        """Call back until closed."""
+        """Deliver snapshots until closed."""
         while True:
             snapshot, due = self._wait_for_due()
             if snapshot is None:
