--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -132,15 +132,17 @@
         demand = self.estimate(stream)
         unusable = self._list_unusable(stream)
         for where, region in (('', table.everywhere), (f' in {domain}', own)):
-            scarce = scarcity.find_scarce(
+            shortage = scarcity.find_scarce(
                 table,
                 region,
                 demand,
                 self._state.occupancy.usages,
                 unusable,
             )
-            if scarce:
-                return ', '.join(map(str, scarce[:MAX_LOGGED_RANGES])) + where
+            if shortage:
+                return (
+                    ', '.join(map(str, shortage[:MAX_LOGGED_RANGES])) + where
+                )
         return ''
 
     def choose(
--- a/packages/daemon/src/dunlintide_daemon/gateway/counters.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/counters.py
@@ -27,7 +27,7 @@
     :ivar loop_lag_seconds: how late the event loop resumes a task that sleeps
         for a tenth of a second
     :ivar resends: sends beyond the first, by ``reason``
-    :ivar accusations: ejections of endpoints
+    :ivar ejections: times that an endpoint was ejected
     :ivar waiting: streams that wait for room in a queue
     :ivar orders: orders to engines, by ``reception`` (their answer)
     :ivar pace_questions: probes of the pace of engines
@@ -45,7 +45,7 @@
     gap_seconds: prometheus_client.Histogram
     loop_lag_seconds: prometheus_client.Histogram
     resends: prometheus_client.Counter
-    accusations: prometheus_client.Counter
+    ejections: prometheus_client.Counter
     waiting: prometheus_client.Gauge
     orders: prometheus_client.Counter
     pace_questions: prometheus_client.Counter
@@ -110,7 +110,7 @@
             resends=make(
                 counter, 'edge_resends', 'Sends beyond the first', ('reason',)
             ),
-            accusations=make(
+            ejections=make(
                 counter, 'edge_accusations', 'Ejections of endpoints'
             ),
             waiting=make(gauge, 'edge_waiting', 'Requests that wait for room'),
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -150,7 +150,7 @@
             entries only this one, unless it concerns an endpoint of another
         """
         state = self._state
-        doubted = state.health.list_doubted(state.now)
+        ejected = state.health.list_doubted(state.now)
         refusing = state.health.list_refusing(state.now)
         full = state.health.list_full(state.now)
         message = gossipmessages.Message(
@@ -158,7 +158,7 @@
             state.version,
             None,
             [],
-            list(map(gossipmessages.digest, doubted)),
+            list(map(gossipmessages.digest, ejected)),
             [],
             [],
             list(map(gossipmessages.digest, refusing)),
@@ -168,7 +168,7 @@
         own = state.settings.failure_domain
         if len(self.entries) <= MAX_ALERTED_ENTRIES:
             return message, self._list_domains()
-        for name in (*doubted, *refusing, *full):
+        for name in (*ejected, *refusing, *full):
             endpoint = state.endpoints.get(name)
             if endpoint is not None and endpoint.domain != own:
                 return message, self._list_domains()
@@ -239,9 +239,9 @@
         :param domains: failure domains of the entries to send to
         """
         sent = [gossipmessages.encode(message)]
-        news = self._state.permits.make_news(self._state.now)
-        if news is not None:
-            sent.append(permitcodec.encode(news))
+        update = self._state.permits.make_news(self._state.now)
+        if update is not None:
+            sent.append(permitcodec.encode(update))
         for entry in self.entries.values():
             if entry.domain in domains:
                 for data in sent:
@@ -288,7 +288,7 @@
             if digest in names:
                 state.mark_leaving(names[digest], message.sender)
         if state.has(mechanisms.Mechanism.HEARSAY):
-            for digest in message.doubted:
+            for digest in message.ejected:
                 if digest in names:
                     state.health.hear(names[digest], now)
         if state.has(mechanisms.Mechanism.TOLD_REFUSALS):
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossipmessages.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossipmessages.py
@@ -43,7 +43,7 @@
         domains, sequences, started ones, and reserved cache in
         ``CACHE_UNIT``; None in an alert
     :ivar leaving: digests of endpoints that leave
-    :ivar doubted: digests of endpoints that the sender ejected
+    :ivar ejected: digests of endpoints that the sender ejected
     :ivar broken: fingerprints of requests whose runs broke off, each with the
         name of the endpoint
     :ivar refused: digests of requests that were refused recently
@@ -60,7 +60,7 @@
     version: _Count
     usages: list[tuple[_Count, _Count, _Count, _Count]] | None
     leaving: list[_Count]
-    doubted: list[_Count]
+    ejected: list[_Count]
     broken: list[tuple[str, str]]
     refused: list[_Count]
     refusing: list[_Count] = []
--- a/packages/daemon/src/dunlintide_daemon/gateway/permitcodec.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/permitcodec.py
@@ -13,20 +13,20 @@
 
 # First byte of these messages; gossip messages never begin with it.
 MARK = b'\xc1'
-_ASK = b'?'
-_ANSWER = b'!'
-_NEWS = b'='
+_REQUEST = b'?'
+_REPLY = b'!'
+_UPDATE = b'='
 
 _encoder = msgspec.msgpack.Encoder()
 _decoders = {
-    _ASK: msgspec.msgpack.Decoder(permits.Ask),
-    _ANSWER: msgspec.msgpack.Decoder(permits.Answer),
-    _NEWS: msgspec.msgpack.Decoder(permits.News),
+    _REQUEST: msgspec.msgpack.Decoder(permits.Ask),
+    _REPLY: msgspec.msgpack.Decoder(permits.Answer),
+    _UPDATE: msgspec.msgpack.Decoder(permits.News),
 }
 _kinds = {
-    permits.Ask: _ASK,
-    permits.Answer: _ANSWER,
-    permits.News: _NEWS,
+    permits.Ask: _REQUEST,
+    permits.Answer: _REPLY,
+    permits.News: _UPDATE,
 }
 
 
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -245,8 +245,8 @@
                 culprit = hop.endpoint
         # A full endpoint may accept the request a moment later; a dead one
         # will not.
-        roomy = self._finder.has_ample_room(stream.profile, culprit)
-        state.record_refusal(culprit.name, exchange.service, roomy)
+        has_room = self._finder.has_ample_room(stream.profile, culprit)
+        state.record_refusal(culprit.name, exchange.service, has_room)
         late = state.now - run.began >= DEAD_AFTER_SECONDS
         if late or verdict.misdirected:
             exchange.failed_endpoints.append(culprit.name)
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -282,10 +282,10 @@
         :param born: reported start time, None without one
         """
         name = endpoints_module.name_life(endpoint.identity, born)
-        told = attrs.evolve(endpoint, name=name, born=born)
+        reported = attrs.evolve(endpoint, name=name, born=born)
         known = self.incarnations.get(endpoint.identity, endpoint)
-        if known.born is not None and known.is_older(told):
-            self._apply_incarnation(told)
+        if known.born is not None and known.is_older(reported):
+            self._apply_incarnation(reported)
             self.notify_listeners()
 
     def mark_unreadable(self, identity: str) -> None:
@@ -404,7 +404,7 @@
         now = self.now
         for name in names:
             if self.health.accuse(name, now):
-                self.counters.accusations.inc()
+                self.counters.ejections.inc()
                 self.log.write(
                     'endpoint left out',
                     request=request,
@@ -416,22 +416,22 @@
     def record_rate_limit(
         self,
         name: str,
-        told: result.Result[float | None, str],
+        announced: result.Result[float | None, str],
         sent: float,
     ) -> None:
         """Record the rate limit that an endpoint announced in an answer.
 
-        :param told: requests per second, None for no limit; the text as an
-            error if it is not a number
+        :param announced: requests per second, None for no limit; as an error
+            the text if it is not a number
         :param sent: monotonic time at which the request was sent, in seconds
         """
-        if told.is_err():
+        if announced.is_err():
             self.counters.refused_items.labels('rate limit').inc()
             self.log.write(
-                'rate limit refused', endpoint=name, value=told.err_value
+                'rate limit refused', endpoint=name, value=announced.err_value
             )
             return
-        limit = told.ok_value
+        limit = announced.ok_value
         age = self.rate_limits.get_age(name, self.now)
         if self.rate_limits.record(name, limit, sent, self.now):
             self.log_rate_limit(name, 'answer', age)
@@ -460,17 +460,17 @@
             self.slow_suspects.update(names)
             self.slow_suspected.set()
 
-    def record_refusal(self, name: str, service: str, roomy: bool) -> None:
+    def record_refusal(self, name: str, service: str, has_room: bool) -> None:
         """Record that an endpoint refused a request for lack of room.
 
         Other entries are alerted at once. Waiters are woken when the endpoint
         may be tried again, since nothing else may wake them.
 
-        :param roomy: whether the endpoint is known to be far from full
+        :param has_room: whether the endpoint is known to be far from full
         """
         if not self.has(mechanisms.Mechanism.REFUSAL_PAUSES):
             return
-        pause = self.health.refuse(name, self.now, roomy)
+        pause = self.health.refuse(name, self.now, has_room)
         self.alert_pending.set()
         loop = asyncio.get_running_loop()
         loop.call_later(pause, self.wake, service)
