--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -69,10 +69,10 @@
 
     async def serve(self, exchange: exchange_module.Exchange) -> Outcome:
         """Answer a request that is routed to a plain service."""
-        answers: list[_SendResult] = []
+        results: list[_SendResult] = []
         pending: set[asyncio.Task] = set()
         try:
-            return await self._serve(exchange, answers, pending)
+            return await self._serve(exchange, results, pending)
         finally:
             for task in pending:
                 task.cancel()
@@ -80,7 +80,7 @@
     async def _serve(
         self,
         exchange: exchange_module.Exchange,
-        answers: list[_SendResult],
+        results: list[_SendResult],
         pending: set[asyncio.Task],
     ) -> Outcome:
         state = self._state
@@ -89,13 +89,13 @@
         connects = 0
         while True:
             if not pending:
-                if connects >= MAX_CONNECTS or not self._pay_send(
-                    exchange, answers
+                if connects >= MAX_CONNECTS or not self._charge_send(
+                    exchange, results
                 ):
-                    return self._end_unanswered(exchange, answers)
+                    return self._end_unanswered(exchange, results)
                 endpoint = await self._find_endpoint(exchange, target)
                 if endpoint is None:
-                    return self._end_unanswered(exchange, answers, 'no room')
+                    return self._end_unanswered(exchange, results, 'no room')
                 pending.add(self._start(exchange, endpoint))
                 connects += 1
             left = exchange.deadline - state.now
@@ -107,22 +107,22 @@
             pending.clear()
             pending.update(rest)
             for task in done:
-                answer = task.result()
-                if answer.is_good:
-                    return self._forward(exchange, answer)
-                answers.append(answer)
+                result = task.result()
+                if result.is_good:
+                    return self._forward(exchange, result)
+                results.append(result)
             if state.now >= exchange.deadline:
                 return self._end_unanswered(
-                    exchange, answers, 'deadline', pending
+                    exchange, results, 'deadline', pending
                 )
             if not done:
                 hedge = float('inf')
-                started = self._start_hedge(exchange, answers)
+                started = self._start_hedge(exchange, results)
                 if started is not None:
                     pending.add(started)
 
-    def _pay_send(
-        self, exchange: exchange_module.Exchange, answers: list[_SendResult]
+    def _charge_send(
+        self, exchange: exchange_module.Exchange, results: list[_SendResult]
     ) -> bool:
         """Charge another send to the retry budget; the first one is free.
 
@@ -130,7 +130,7 @@
         """
         if not exchange.sends:
             return True
-        ran = any(answer.ran for answer in answers)
+        ran = any(result.ran for result in results)
         if ran and not exchange.is_repeatable:
             return False
         if not exchange.has_attempts_left:
@@ -138,7 +138,7 @@
         return self._state.spend_retry_budget(exchange.service, 'call')
 
     def _start_hedge(
-        self, exchange: exchange_module.Exchange, answers: list[_SendResult]
+        self, exchange: exchange_module.Exchange, results: list[_SendResult]
     ) -> asyncio.Task | None:
         if not self._state.has(mechanisms.Mechanism.HEDGES):
             return None
@@ -161,7 +161,7 @@
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
     ) -> asyncio.Task:
-        exchange.failed_endpoints.append(endpoint.name)
+        exchange.excluded_endpoints.append(endpoint.name)
         hop = endpoints_module.Hop(endpoint, 0, 0)
         reservation = self._state.occupancy.reserve((hop,), 0)
         self._state.health.begin((endpoint.name,))
@@ -187,7 +187,7 @@
         fresh = [
             each
             for each in listed
-            if each.name not in exchange.failed_endpoints
+            if each.name not in exchange.excluded_endpoints
             and each.name not in excluded
         ]
         return balance.choose(
@@ -348,13 +348,13 @@
             )
 
     def _forward(
-        self, exchange: exchange_module.Exchange, answer: _SendResult
+        self, exchange: exchange_module.Exchange, result: _SendResult
     ) -> Outcome:
-        head = answer.head
+        head = result.head
         forwarded = callermessages.Head(
             head.status, requests.list_reply_headers(head), reason=head.reason
         )
-        exchange.reply.send(forwarded, answer.body)
+        exchange.reply.send(forwarded, result.body)
         if head.status < 300:
             self._state.poison_requests.clear(exchange.fingerprint)
             return Outcome.COMPLETE
@@ -383,7 +383,7 @@
     def _end_unanswered(
         self,
         exchange: exchange_module.Exchange,
-        answers: list[_SendResult],
+        results: list[_SendResult],
         reason: str = '',
         pending: set[asyncio.Task] | None = None,
     ) -> Outcome:
@@ -392,11 +392,11 @@
         :param reason: why it ended, by default the reasons of its sends
         :param pending: sends that are still under way
         """
-        failures = [answer for answer in answers if answer.head is not None]
+        failures = [result for result in results if result.head is not None]
         if failures:
             return self._forward(exchange, failures[-1])
-        reasons = [answer.reason for answer in answers]
-        ran = bool(pending) or any(answer.ran for answer in answers)
+        reasons = [result.reason for result in results]
+        ran = bool(pending) or any(result.ran for result in results)
         late = self._state.now >= exchange.deadline
         pause = self._choose_retry_after(exchange, ran)
         self._state.log.write(
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -114,7 +114,7 @@
     def _list_unusable(self, stream: Stream) -> set[str]:
         """Return the names of engines that must not serve a stream now."""
         unusable = self._state.health.list_unusable(self._state.now)
-        unusable.update(stream.exchange.failed_endpoints)
+        unusable.update(stream.exchange.excluded_endpoints)
         unusable.update(self._state.list_unreadable())
         unusable.update(self._state.permits.list_paused(self._state.now))
         return unusable
--- a/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/exchange.py
@@ -52,7 +52,8 @@
     :ivar digest: hash of the fingerprint, the token counts and the prefix;
         recognizes a request that its caller sends again
     :ivar was_refused: whether an earlier try was refused
-    :ivar failed_endpoints: names of endpoints that failed it
+    :ivar excluded_endpoints: names of endpoints that get no further send of
+        it, mostly because they failed it
     :ivar events: events that were sent to the caller
     :ivar first_event_delay: seconds from arrival to the first event
     :ivar last_event: monotonic time of the last event, in seconds
@@ -73,7 +74,7 @@
     team: str | None = None
     sends: int = 0
     runs: int = 0
-    failed_endpoints: list[str] = attrs.field(factory=list)
+    excluded_endpoints: list[str] = attrs.field(factory=list)
     events: int = 0
     first_event_delay: float | None = None
     last_event: float = 0.0
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -62,8 +62,8 @@
         self.entries: dict[str, keys.Entry] = {}
         self._departed: dict[str, tuple[float, keys.Entry]] = {}
         self.receive_permit: Callable[[bytes, str], None] | None = None
-        self._digests: dict[int, str] = {}
-        self._digests_version: int | None = None
+        self._names: dict[int, str] = {}
+        self._names_version: int | None = None
         self.newer_entry: str | None = None
         self.newer_entry_found = asyncio.Event()
 
@@ -247,13 +247,13 @@
                 for data in sent:
                     self._send_to(entry, data)
 
-    def _get_digests(self) -> dict[int, str]:
+    def _get_names(self) -> dict[int, str]:
         """Return the names by digest, rebuilt when the listing changes."""
         version = self._state.listing_version
-        if version != self._digests_version:
-            self._digests = self._build_digests()
-            self._digests_version = version
-        return self._digests
+        if version != self._names_version:
+            self._names = self._build_digests()
+            self._names_version = version
+        return self._names
 
     def _build_digests(self) -> dict[int, str]:
         state = self._state
@@ -282,7 +282,7 @@
     def _apply(self, message: gossipmessages.Message) -> None:
         state = self._state
         now = state.now
-        names = self._get_digests()
+        names = self._get_names()
         state.permits.liveness.hear(message.sender, now)
         for digest in message.leaving:
             if digest in names:
@@ -297,8 +297,8 @@
                     state.health.hear_refusal(names[digest], now)
             for digest in message.full:
                 if digest in names:
-                    part = state.random.uniform(*FULL_PAUSE_JITTER)
-                    state.health.hear_full(names[digest], now, part)
+                    factor = state.random.uniform(*FULL_PAUSE_JITTER)
+                    state.health.hear_full(names[digest], now, factor)
         for digest, pace in message.paces:
             if digest in names:
                 state.paces.receive(
@@ -335,5 +335,5 @@
         health = self._state.health
         for (digest, *_), age in zip(message.usages, message.ages):
             if age < gossipmessages.LONGEST_AGE and digest in names:
-                moved = now - age * gossipmessages.AGE_UNIT
-                health.hear_flow(names[digest], moved, now)
+                progress_at = now - age * gossipmessages.AGE_UNIT
+                health.hear_flow(names[digest], progress_at, now)
--- a/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/lossdetector.py
@@ -25,7 +25,8 @@
 # Failed probes after which an engine counts as lost. Each waits for most of a
 # second; a single one may fail by a lost packet.
 MAX_PROBES = 2
-# Shortest time before an engine is probed again, in seconds.
+# Shortest time before an engine that answered is probed again, in seconds:
+# each request for its report counts as a probe of the endpoint.
 PROBE_INTERVAL_SECONDS = 5.0
 # Largest fraction of the engines that may count as lost. At most one failure
 # domain of three fails at a time; if more seem lost, this entry is cut off.
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -17,7 +17,7 @@
 
 __all__ = ['Placer']
 
-TICK_SECONDS = 0.2
+PLAN_INTERVAL_SECONDS = 0.2
 # How long no new engine must have been listed before a layout is planned, in
 # seconds, so that it includes all engines.
 SETTLE_SECONDS = 0.5
@@ -97,7 +97,7 @@
     async def run(self) -> None:
         """Plan and send orders while this entry leads, until cancelled."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(PLAN_INTERVAL_SECONDS)
             if not self._leadership.is_leading:
                 self._pending.clear()
                 self._seen_endpoints.clear()
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -37,8 +37,8 @@
 
 Settings = settings_module.EdgeSettings
 
-FLUSH_SECONDS = 0.1
-EXPIRY_SECONDS = 0.5
+FLUSH_INTERVAL_SECONDS = 0.1
+EXPIRY_INTERVAL_SECONDS = 0.5
 # Lag of the event loop from which it is logged, in seconds: it delays streams.
 STALL_THRESHOLD_SECONDS = 0.1
 # Time between two checks of the settings file, in seconds: it may change
@@ -242,12 +242,12 @@
         expired_at = 0.0
         while True:
             slept = state.now
-            await asyncio.sleep(FLUSH_SECONDS)
-            self._record_lag(state.now - slept - FLUSH_SECONDS)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
+            self._record_lag(state.now - slept - FLUSH_INTERVAL_SECONDS)
             state.log.flush()
             # Nothing else wakes waiters when the ejection of an engine ends.
             state.wake_all()
-            if state.now - expired_at >= EXPIRY_SECONDS:
+            if state.now - expired_at >= EXPIRY_INTERVAL_SECONDS:
                 expired_at = state.now
                 state.pool.sweep()
                 state.rate_limits.expire(state.now, state.endpoints)
@@ -271,7 +271,7 @@
             if entry is None:
                 continue
             await self._fetch(entry)
-            await asyncio.sleep(FLUSH_SECONDS)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
 
     async def _fetch(self, entry: keys.Entry) -> None:
         state = self._state
@@ -363,7 +363,7 @@
         await asyncio.sleep(max(0.0, began + KEEP_ALIVE_SECONDS - state.now))
         self._callers.end_reuse()
         while state.now < last and self._callers.connections:
-            await asyncio.sleep(FLUSH_SECONDS)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
         state.log.write_always(
             'stopped',
             cut=self._callers.count_busy(),
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -164,7 +164,7 @@
         try:
             return await state.pool.acquire(run.first.address, CONNECT_SECONDS)
         except endpointhttp.Broken as broken:
-            exchange.failed_endpoints.append(run.first.name)
+            exchange.excluded_endpoints.append(run.first.name)
             state.eject(
                 [run.first.name], str(broken), exchange.caller_request.name
             )
@@ -249,7 +249,7 @@
         state.record_refusal(culprit.name, exchange.service, has_room)
         late = state.now - run.began >= DEAD_AFTER_SECONDS
         if late or verdict.misdirected:
-            exchange.failed_endpoints.append(culprit.name)
+            exchange.excluded_endpoints.append(culprit.name)
             reason = 'misdirected' if verdict.misdirected else 'stalled'
             state.eject([culprit.name], reason, exchange.caller_request.name)
 
@@ -262,7 +262,7 @@
         state = self._state
         if broken.fault in _INCONCLUSIVE_FAULTS:
             return
-        exchange.failed_endpoints.append(run.first.name)
+        exchange.excluded_endpoints.append(run.first.name)
         count = state.poison_requests.report(
             exchange.fingerprint, run.first.name, state.now
         )
@@ -331,7 +331,7 @@
         exchange = stream.exchange
         again = exchange.can_retry(True, self._state.now)
         if again and head.status >= 500:
-            exchange.failed_endpoints.append(run.first.name)
+            exchange.excluded_endpoints.append(run.first.name)
             raise runends.RunEnded(True, f'failed with {head.status}')
         body = await connection.read_all(exchange.deadline)
         if exchange.reply.started:
--- a/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/stalls.py
@@ -52,10 +52,10 @@
         state = self._state
         usual = None
         if state.has(mechanisms.Mechanism.USUAL_PAUSES):
-            seen = (
+            durations = (
                 state.longest_gaps if has_events else state.first_event_delays
             )
-            usual = seen.usual
+            usual = durations.usual
         return rescues.choose_limits(
             target or chainfinder.DEFAULT_TARGET_SECONDS, usual
         )
@@ -76,28 +76,28 @@
         now = state.now
         if now >= exchange.deadline:
             raise runends.RunEnded(True, 'deadline', retry=False)
-        rescued = state.has(mechanisms.Mechanism.RESCUE)
-        if not (rescued and exchange.can_retry(True, now)):
+        is_enabled = state.has(mechanisms.Mechanism.RESCUE)
+        if not (is_enabled and exchange.can_retry(True, now)):
             return exchange.deadline - stall.last_progress
         seconds = now - stall.last_progress
         state.suspect_slow(stall.names)
         suspects = self._find_suspects(stall, now)
         evidence = self._collect_evidence(stall, suspects, now)
-        judgement = rescues.judge(seconds, limits, evidence)
-        if not judgement.moves:
-            return judgement.limit
+        decision = rescues.judge(seconds, limits, evidence)
+        if not decision.moves:
+            return decision.limit
         state.eject(suspects, 'still', exchange.caller_request.name)
-        before = list(exchange.failed_endpoints)
+        before = list(exchange.excluded_endpoints)
         stalled = state.health.find_still(stall.names, stall.last_progress)
-        exchange.failed_endpoints.extend(suspects or stalled)
+        exchange.excluded_endpoints.extend(suspects or stalled)
         # Endpoints with a rate limit are excluded, since a permit may be
         # refused and a slow run is better than none.
         hops = self._finder.choose(stream, state.rate_limits.list_limited())
         if hops is None or not state.spend_retry_budget(
             exchange.service, 'stream'
         ):
-            exchange.failed_endpoints[:] = before
-            return judgement.limit
+            exchange.excluded_endpoints[:] = before
+            return decision.limit
         reason = f'still for {seconds:.3f} s, {evidence}'
         raise runends.RunEnded(True, reason, next_hops=hops)
 
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -68,8 +68,8 @@
     :ivar endpoints: endpoints by name, including those that leave
     :ivar listing_version: counts changes of which endpoints accept requests
         and which layers they hold
-    :ivar leaving_since: endpoints that announced that they leave, by name,
-        and the monotonic time of it, in seconds
+    :ivar leaving_since: monotonic time at which endpoints were first reported
+        to leave, by name, in seconds
     :ivar incarnations: newest known incarnation of each endpoint, by identity
     :ivar unreadable_since: endpoints whose item in the store is malformed, by
         identity, and the monotonic time since when, in seconds
@@ -77,8 +77,8 @@
         a newer one replaced
     :ivar has_listing: whether the endpoints were read at least once
     :ivar initialized: set once configuration and endpoints are known
-    :ivar listing_read_at: monotonic time at which the listing was last up to
-        date, in seconds
+    :ivar listing_read_at: monotonic time of the last answer of the store, in
+        seconds
     :ivar known_entries: names of all entries that were ever listed
     :ivar listed_entries: names of the other entries that are listed, which
         one that stops is not
@@ -385,8 +385,8 @@
         :param under_way: whether the request may have run
         :returns: whether the budget allowed it
         """
-        has_kept_budget = self.has(mechanisms.Mechanism.KEPT_BUDGET)
-        first = under_way or not has_kept_budget
+        keeps_reserve = self.has(mechanisms.Mechanism.KEPT_BUDGET)
+        first = under_way or not keeps_reserve
         if not self.get_retry_budget(service).spend(self.now, first):
             return False
         self.counters.resends.labels(reason).inc()
@@ -461,7 +461,7 @@
             self.slow_suspected.set()
 
     def record_refusal(self, name: str, service: str, has_room: bool) -> None:
-        """Record that an endpoint refused a request for lack of room.
+        """Record that an endpoint refused a request that it should hold.
 
         Other entries are alerted at once. Waiters are woken when the endpoint
         may be tried again, since nothing else may wake them.
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -60,7 +60,7 @@
         hops = None
         while True:
             if hops is None:
-                found = await self._find_paid_chain(stream)
+                found = await self._find_chain(stream)
                 if found.is_err():
                     return self._give_up(exchange, ran, found.err_value)
                 hops = found.ok_value
@@ -75,7 +75,7 @@
                     return self._give_up(exchange, ran, failure)
                 hops = ended.next_hops
 
-    async def _find_paid_chain(
+    async def _find_chain(
         self, stream: exchange_module.Stream
     ) -> result.Result[Hops, _Failure]:
         """Choose a chain and charge the send on it to the retry budget."""
@@ -86,12 +86,12 @@
                 return result.Err(
                     _Failure('no room', self._finder.find_shortage(stream))
                 )
-            if self._pay_send(exchange):
+            if self._charge_send(exchange):
                 return result.Ok(hops)
             if not await self._wait_for_budget(exchange):
                 return result.Err(_Failure('no budget'))
 
-    def _pay_send(self, exchange: exchange_module.Exchange) -> bool:
+    def _charge_send(self, exchange: exchange_module.Exchange) -> bool:
         """Charge a send to the retry budget; the first one is free."""
         if not exchange.sends:
             return True
--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -141,7 +141,7 @@
     ) -> exchanges.Reply:
         """Answer a peer's gossip request; called by the gRPC service.
 
-        :param chunk_bytes: most bytes of a document in one reply
+        :param chunk_bytes: most bytes of chunks to send, 0 for none
         """
         now = time.monotonic()
 
