--- a/packages/daemon/src/dunlintide_daemon/main.py
+++ b/packages/daemon/src/dunlintide_daemon/main.py
@@ -27,7 +27,7 @@
 # Role of an entry that uses a platform's store; its settings differ.
 EDGE = 'edge'
 # Loaded by name, so that an entry does not import an agent's code.
-_MODULES = {
+_ROLE_MODULES = {
     fleet.Role.ENTRY: 'dunlintide_daemon.entry.process',
     fleet.Role.AGENT: 'dunlintide_daemon.agent.process',
 }
@@ -133,17 +133,17 @@
         return _print_problems(loaded.err_value)
     if parsed.check:
         return 0
-    found = loaded.ok_value
+    loaded_settings = loaded.ok_value
     logs = importlib.import_module('dunlintide_adapters.logs')
     logs.configure(
-        found.name,
-        found.role,
-        found.failure_domain,
-        found.log.level,
-        found.log.format,
+        loaded_settings.name,
+        loaded_settings.role,
+        loaded_settings.failure_domain,
+        loaded_settings.log.level,
+        loaded_settings.log.format,
     )
-    role = importlib.import_module(_MODULES[found.role])
-    return role.run(found)
+    role = importlib.import_module(_ROLE_MODULES[loaded_settings.role])
+    return role.run(loaded_settings)
 
 
 if __name__ == '__main__':
--- a/packages/daemon/src/dunlintide_daemon/peerdump.py
+++ b/packages/daemon/src/dunlintide_daemon/peerdump.py
@@ -10,16 +10,16 @@
 
 def describe(replica: replicas.Replica) -> dict[str, Any]:
     """Return configuration and membership as JSON-serializable values."""
-    share = replica.spread
+    config = replica.spread
     counts: dict[str, int] = {}
     for record in replica.members.everything():
         counts[record.state] = counts.get(record.state, 0) + 1
     return {
-        'revision': share.revision,
-        'store_revision': share.store_revision,
-        'store_behind': share.store_behind,
-        'conflicts': sorted(share.conflicts),
-        'refused': share.refused,
+        'revision': config.revision,
+        'store_revision': config.store_revision,
+        'store_behind': config.store_behind,
+        'conflicts': sorted(config.conflicts),
+        'refused': config.refused,
         'watcher': replica.is_watcher,
         'neighbours': list(replica.near.names),
         'members': counts,
