--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -33,6 +33,7 @@
 # A process that is not a watcher reads the host list only to find peers
 # that it lost contact with.
 NON_WATCHER_HOSTS_SECONDS = 600.0
+# Most requests to a peer in one round.
 MAX_FOLLOW_UPS = 64
 ANSWER_TIMEOUT_SECONDS = 2.0
 _JOIN_SECONDS = 2.0
@@ -297,7 +298,9 @@
             if not self._done.is_set():
                 # Without this thread the state would go stale and mislead
                 # peers, so the process ends.
-                logging.fatal('fleet state broken', exc_info=True)
+                logging.fatal(
+                    'thread of the fleet state failed', exc_info=True
+                )
 
     def _start_thread(self, target: Callable[[], None], name: str) -> None:
         thread = threading.Thread(
