--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -147,7 +147,8 @@
         """Build a message with only ejections, refusals and paces.
 
         :returns: the message and the failure domains to send it to; with many
-            entries only this one, unless it concerns an endpoint of another
+            entries only this one, to save traffic between domains, unless it
+            concerns an endpoint of another domain
         """
         state = self._state
         ejected = state.health.list_doubted(state.now)
