--- a/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleetstate.py
@@ -4,9 +4,9 @@
 from dunlintide_adapters import transports
 from dunlintide_core import settings as settings_module
 from dunlintide_daemon.entry import entrylinks
-from dunlintide_daemon import lives
+from dunlintide_daemon import externalsources
+from dunlintide_daemon import localpeer
 from dunlintide_daemon import peers
-from dunlintide_daemon import watching
 
 __all__ = [
     'build',
@@ -17,7 +17,7 @@
     settings: settings_module.Settings,
     incarnation: int,
     entry_links: entrylinks.EntryLinks,
-    fleet_sources: watching.Outside | None,
+    fleet_sources: externalsources.ExternalSources | None,
     transport: transports.Transport,
 ) -> peers.FleetState | None:
     """Build the fleet state and add its service to the entry link server.
@@ -30,7 +30,7 @@
         return None
     host = settings.link_listen.rpartition(':')[0]
     address = settings.advertise or f'{host}:{entry_links.port}'
-    own_peer = lives.make_peer(settings, incarnation, address)
+    own_peer = localpeer.make_peer(settings, incarnation, address)
     state = peers.FleetState(own_peer, fleet_sources, transport=transport)
     peer_calls.add_service(entry_links.server, state.answer, transport)
     return state
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -22,6 +22,7 @@
 from dunlintide_core import fleet as core_fleet
 from dunlintide_core import poison
 from dunlintide_core import settings as settings_module
+from dunlintide_daemon import crashevidence
 from dunlintide_daemon.entry import application
 from dunlintide_daemon.entry import claims
 from dunlintide_daemon.entry import configuration
@@ -48,8 +49,7 @@
 from dunlintide_daemon.entry import sessions
 from dunlintide_daemon.entry import sources
 from dunlintide_daemon.entry import threads
-from dunlintide_daemon import suspicion
-from dunlintide_daemon import watching
+from dunlintide_daemon import externalsources
 
 __all__ = [
     'Entry',
@@ -75,7 +75,7 @@
         settings: settings_module.Settings,
         platform: sources.Sources,
         lame_duck: float = LAME_DUCK_SECONDS,
-        fleet_sources: watching.Outside | None = None,
+        fleet_sources: externalsources.ExternalSources | None = None,
     ) -> None:
         """Bind the ports; entering the context starts serving.
 
@@ -106,7 +106,7 @@
         self._history = history.History(self._meter.count_outcome)
         self._holder = configuration.Holder()
         self._retries = budget.RetryBudget(settings.limits.retry_ratio)
-        self._suspicion = suspicion.Suspicion(
+        self._suspicion = crashevidence.CrashEvidence(
             lambda *report: crashes.broadcast(self._fleet, *report),
             poison.Limits(seconds=settings.timing.quarantine),
         )
@@ -115,12 +115,12 @@
             self._build_hello,
             fleet.Listeners(
                 crashes.route_suspects_first(
-                    self._suspicion.take, self._sessions.route
+                    self._suspicion.receive, self._sessions.route
                 ),
                 self._handle_link_loss,
                 lambda agent: self._planner.record_load(agent),
                 lambda link, reply: self._placement.handle_reply(link, reply),
-                lambda link: self._suspicion.welcome(link.send),
+                lambda link: self._suspicion.send_known(link.send),
                 lambda name, news: self._planner.record_cache_update(
                     name, news
                 ),
@@ -305,7 +305,7 @@
 
     def _run_planner(self) -> None:
         while not self.done.wait(planning.REFRESH_SECONDS):
-            self._suspicion.tick()
+            self._suspicion.discard_expired()
             snapshot = self._holder.snapshot
             if snapshot is not None:
                 self._planner.refresh(snapshot)
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Plain calls of services, answered whole."""
+"""Calls of plain services, whose answers are relayed in one piece."""
 
 import asyncio
 from typing import Container
@@ -19,31 +19,34 @@
 
 Outcome = exchange_module.Outcome
 
-# Time to connect to a service, in seconds.
+# Timeout for a connection to a service, in seconds.
 CONNECT_SECONDS = 0.25
-# A call that may not run twice uses a kept connection only this shortly
-# after its last use, in seconds: on a stale one it may be lost.
-YOUNG_SECONDS = 0.3
-# Part of the target after which a repeatable call is also sent to another
-# endpoint: calls take a third of it, so it catches the slow and the lost.
-HEDGE_PART = 0.5
-# Longest wait for a place at an endpoint, as a part of the target.
-WAIT_PART = 1.0
-# Target where the rule has none, in seconds.
-USUAL_TARGET = 0.5
-RETRY_SECONDS = 0.3
-# Spread of the times at which refused callers return, as parts of the pause.
+# A call that must not run twice reuses a connection only if it was idle for
+# at most this long, in seconds: on a stale connection the call may be lost.
+MAX_IDLE_SECONDS = 0.3
+# Fraction of the target latency after which a repeatable call is hedged.
+# Calls usually take a third of the target, so only slow or lost ones are.
+HEDGE_FRACTION = 0.5
+# Longest wait for capacity at an endpoint, as a fraction of the target.
+WAIT_FRACTION = 1.0
+# Target latency if the rule has none, in seconds.
+DEFAULT_TARGET_SECONDS = 0.5
+# Retry-After where no rate limit is in force, in seconds.
+RETRY_AFTER_SECONDS = 0.3
+# Range of the random factor on the Retry-After of refused callers.
 JITTER = (0.7, 1.5)
-# Connection failures after which a call stops to look further.
-MAX_DIALS = 4
+# Most endpoints that a call tries, hedges aside. Failed connections do not
+# count as sends, so nothing else limits them.
+MAX_CONNECTS = 4
 
 
 @attrs.frozen
-class _Answer:
-    """What one send gave.
+class _SendResult:
+    """Result of one send.
 
-    :ivar head: None when nothing whole came
-    :ivar ran: whether the call may have run there
+    :ivar head: head of a valid answer, None without one
+    :ivar ran: whether the call may have run at the endpoint
+    :ivar reason: why there is no valid answer, for the log
     """
 
     endpoint: endpoints_module.Endpoint
@@ -54,22 +57,22 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether it is an answer that the caller wants."""
+        """Whether there is an answer other than a server error."""
         return self.head is not None and self.head.status < 500
 
 
 class CallServer:
-    """Serves calls with the beliefs of one entry."""
+    """Relays calls to plain services, with retries and hedges."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
 
     async def serve(self, exchange: exchange_module.Exchange) -> Outcome:
-        """Answer a request whose rule names a plain service."""
-        answers: list[_Answer] = []
+        """Answer a request that is routed to a plain service."""
+        results: list[_SendResult] = []
         pending: set[asyncio.Task] = set()
         try:
-            return await self._serve(exchange, answers, pending)
+            return await self._serve(exchange, results, pending)
         finally:
             for task in pending:
                 task.cancel()
@@ -77,24 +80,24 @@
     async def _serve(
         self,
         exchange: exchange_module.Exchange,
-        answers: list[_Answer],
+        results: list[_SendResult],
         pending: set[asyncio.Task],
     ) -> Outcome:
         state = self._state
-        target = exchange.terms.target_seconds or USUAL_TARGET
-        hedge = target * HEDGE_PART
-        dials = 0
+        target = exchange.terms.target_seconds or DEFAULT_TARGET_SECONDS
+        hedge = target * HEDGE_FRACTION
+        connects = 0
         while True:
             if not pending:
-                if dials >= MAX_DIALS or not self._may_start(
-                    exchange, answers
+                if connects >= MAX_CONNECTS or not self._charge_send(
+                    exchange, results
                 ):
-                    return self._conclude(exchange, answers)
+                    return self._end_unanswered(exchange, results)
                 endpoint = await self._find_endpoint(exchange, target)
                 if endpoint is None:
-                    return self._conclude(exchange, answers, 'no room')
+                    return self._end_unanswered(exchange, results, 'no room')
                 pending.add(self._start(exchange, endpoint))
-                dials += 1
+                connects += 1
             left = exchange.deadline - state.now
             done, rest = await asyncio.wait(
                 pending,
@@ -104,47 +107,52 @@
             pending.clear()
             pending.update(rest)
             for task in done:
-                answer = task.result()
-                if answer.is_good:
-                    return self._pass(exchange, answer)
-                answers.append(answer)
+                result = task.result()
+                if result.is_good:
+                    return self._forward(exchange, result)
+                results.append(result)
             if state.now >= exchange.deadline:
-                return self._conclude(exchange, answers, 'deadline', pending)
+                return self._end_unanswered(
+                    exchange, results, 'deadline', pending
+                )
             if not done:
                 hedge = float('inf')
-                started = self._start_hedge(exchange, answers)
+                started = self._start_hedge(exchange, results)
                 if started is not None:
                     pending.add(started)
 
-    def _may_start(
-        self, exchange: exchange_module.Exchange, answers: list[_Answer]
+    def _charge_send(
+        self, exchange: exchange_module.Exchange, results: list[_SendResult]
     ) -> bool:
-        """Tell whether another send is allowed, and pay for it."""
+        """Charge another send to the retry budget; the first one is free.
+
+        :returns: whether the call may be sent
+        """
         if not exchange.sends:
             return True
-        ran = any(answer.ran for answer in answers)
-        if ran and not exchange.may_repeat:
+        ran = any(result.ran for result in results)
+        if ran and not exchange.is_repeatable:
             return False
-        if not exchange.may_run_again:
+        if not exchange.has_attempts_left:
             return False
-        return self._state.pay_resend(exchange.service, 'call')
+        return self._state.spend_retry_budget(exchange.service, 'call')
 
     def _start_hedge(
-        self, exchange: exchange_module.Exchange, answers: list[_Answer]
+        self, exchange: exchange_module.Exchange, results: list[_SendResult]
     ) -> asyncio.Task | None:
         if not self._state.has(mechanisms.Mechanism.HEDGES):
             return None
-        if not exchange.may_repeat:
+        if not exchange.is_repeatable:
             return None
-        if not exchange.may_run_again:
+        if not exchange.has_attempts_left:
             return None
-        # An endpoint that names a rate limit is spared what may be in vain.
+        # Endpoints with a rate limit get no hedges, which may be wasted.
         endpoint = self._choose(
             exchange, self._state.rate_limits.list_limited()
         )
         if endpoint is None:
             return None
-        if not self._state.pay_resend(exchange.service, 'hedge'):
+        if not self._state.spend_retry_budget(exchange.service, 'hedge'):
             return None
         return self._start(exchange, endpoint)
 
@@ -153,33 +161,34 @@
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
     ) -> asyncio.Task:
-        exchange.tried.append(endpoint.name)
+        exchange.excluded_endpoints.append(endpoint.name)
         hop = endpoints_module.Hop(endpoint, 0, 0)
         reservation = self._state.occupancy.reserve((hop,), 0)
-        self._state.soundness.record_sent((endpoint.name,))
+        self._state.health.record_sent((endpoint.name,))
         work = self._send(exchange, endpoint)
         task = asyncio.get_running_loop().create_task(work)
 
         def end(_: asyncio.Task) -> None:
-            self._state.soundness.record_finished((endpoint.name,), False)
+            self._state.health.record_finished((endpoint.name,), False)
             self._state.release(exchange.service, reservation)
 
         task.add_done_callback(end)
         return task
 
     def _choose(
-        self, exchange: exchange_module.Exchange, spared: Container[str]
+        self, exchange: exchange_module.Exchange, excluded: Container[str]
     ) -> endpoints_module.Endpoint | None:
-        """Find an endpoint with a place.
+        """Choose an endpoint with free capacity.
 
-        :param spared: names of endpoints that are to get nothing
+        :param excluded: names of endpoints that must not get the call
         """
         state = self._state
         listed = state.list_endpoints(exchange.service)
         fresh = [
             each
             for each in listed
-            if each.name not in exchange.tried and each.name not in spared
+            if each.name not in exchange.excluded_endpoints
+            and each.name not in excluded
         ]
         return balance.choose(
             fresh,
@@ -191,9 +200,9 @@
     async def _choose_admitted(
         self, exchange: exchange_module.Exchange, expires: float
     ) -> endpoints_module.Endpoint | None:
-        """Find an endpoint with a place that may get a request.
+        """Choose an endpoint with free capacity whose rate limit permits it.
 
-        :param expires: monotonic time until which to look, in seconds
+        :param expires: monotonic time at which the search ends, in seconds
         """
         state = self._state
         while True:
@@ -201,7 +210,7 @@
             endpoint = self._choose(exchange, paused)
             if endpoint is None:
                 return None
-            if await state.admit(endpoint.name, exchange.ask.name):
+            if await state.admit(endpoint.name, exchange.caller_request.name):
                 state.get_backlog(exchange.service).record_served(state.now)
                 return endpoint
             if state.now >= expires:
@@ -210,10 +219,13 @@
     async def _find_endpoint(
         self, exchange: exchange_module.Exchange, target: float
     ) -> endpoints_module.Endpoint | None:
-        """Find an endpoint with a place, waiting for a while."""
+        """Choose an endpoint with free capacity, queueing for it if needed.
+
+        :param target: target latency in seconds
+        """
         queue = self._state.get_backlog(exchange.service)
         queue_class = backlog.QueueClass.FRESH
-        wait = target * WAIT_PART
+        wait = target * WAIT_FRACTION
         expires = min(self._state.now + wait, exchange.deadline)
         if not queue.count_ahead(exchange.priority, queue_class):
             endpoint = await self._choose_admitted(exchange, expires)
@@ -242,26 +254,28 @@
         self,
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
-    ) -> _Answer:
+    ) -> _SendResult:
         state = self._state
-        newest = None if exchange.may_repeat else YOUNG_SECONDS
+        max_idle = None if exchange.is_repeatable else MAX_IDLE_SECONDS
         try:
             connection = await state.pool.acquire(
-                endpoint.address, CONNECT_SECONDS, newest
+                endpoint.address, CONNECT_SECONDS, max_idle
             )
         except endpointhttp.Broken as broken:
-            state.accuse([endpoint.name], str(broken), exchange.ask.name)
-            return _Answer(endpoint, False, f'no connection: {broken}')
+            state.eject(
+                [endpoint.name], str(broken), exchange.caller_request.name
+            )
+            return _SendResult(endpoint, False, f'no connection: {broken}')
         exchange.sends += 1
         exchange.runs += 1
         try:
             return await self._exchange(exchange, endpoint, connection)
         except endpointhttp.Broken as broken:
             if broken.fault is not endpointhttp.Fault.TIMEOUT:
-                state.crashers.record_broken_run(
+                state.poison_requests.record_broken_run(
                     exchange.fingerprint, endpoint.name, state.now
                 )
-            return _Answer(endpoint, True, str(broken))
+            return _SendResult(endpoint, True, str(broken))
         finally:
             state.pool.release(endpoint.address, connection)
 
@@ -270,42 +284,46 @@
         exchange: exchange_module.Exchange,
         endpoint: endpoints_module.Endpoint,
         connection: endpointhttp.Connection,
-    ) -> _Answer:
+    ) -> _SendResult:
         state = self._state
         relayed = requests.Relayed(
             endpoint=endpoint,
             left=exchange.deadline - state.now,
             team=exchange.team,
-            after=exchange.ask.after,
+            after=exchange.caller_request.after,
         )
         data = requests.encode(exchange.request, relayed)
         sent_at = state.now
         connection.send(data, exchange.request.method == 'HEAD')
         state.log.write(
             'call sent',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             endpoint=endpoint.name,
             send=exchange.sends,
             rule=exchange.rule.name,
             version=exchange.version,
-            listing_age=round(state.now - state.listed_at, 3),
+            listing_age=round(state.now - state.listing_read_at, 3),
         )
         head = await connection.read_head(exchange.deadline)
         verdict = requests.judge(head)
         state.record_rate_limit(endpoint.name, verdict.rate_limit, sent_at)
         body = await connection.read_all(exchange.deadline)
-        if verdict.name not in (None, exchange.ask.name):
-            return _Answer(endpoint, True, 'answer to another request')
+        if verdict.name not in (None, exchange.caller_request.name):
+            return _SendResult(endpoint, True, 'answer to another request')
         if verdict.not_run:
             exchange.runs -= 1
             if verdict.misdirected:
-                state.accuse([endpoint.name], 'misdirected', exchange.ask.name)
-            return _Answer(endpoint, False, f'refused with {head.status}')
+                state.eject(
+                    [endpoint.name],
+                    'misdirected',
+                    exchange.caller_request.name,
+                )
+            return _SendResult(endpoint, False, f'refused with {head.status}')
         if not verdict.signed and head.status < 300:
-            return _Answer(endpoint, True, 'answer without a signature')
-        state.soundness.report_progress((endpoint.name,), state.now)
+            return _SendResult(endpoint, True, 'answer without a signature')
+        state.health.report_progress((endpoint.name,), state.now)
         self._clear_crashes(exchange, endpoint, sent_at)
-        return _Answer(endpoint, True, '', head, body)
+        return _SendResult(endpoint, True, '', head, body)
 
     def _clear_crashes(
         self,
@@ -313,39 +331,41 @@
         endpoint: endpoints_module.Endpoint,
         sent_at: float,
     ) -> None:
-        """Take back what broke at an endpoint that goes on answering.
+        """Discard crash reports about an endpoint that answers again.
 
-        An answer that is lost looks like a crash, and three of them refused
-        a caller for a minute.
+        A lost answer looks like a crash, and three reports would have the
+        request refused for a minute.
         """
-        cleared = self._state.crashers.clear_endpoint_runs(
+        cleared = self._state.poison_requests.clear_endpoint_runs(
             endpoint.name, sent_at
         )
         if cleared:
             self._state.log.write(
                 'broken runs cleared',
-                request=exchange.ask.name,
+                request=exchange.caller_request.name,
                 endpoint=endpoint.name,
                 broken_runs=cleared,
             )
 
-    def _pass(
-        self, exchange: exchange_module.Exchange, answer: _Answer
+    def _forward(
+        self, exchange: exchange_module.Exchange, result: _SendResult
     ) -> Outcome:
-        head = answer.head
-        passed = callermessages.Head(
+        head = result.head
+        forwarded = callermessages.Head(
             head.status, requests.list_reply_headers(head), reason=head.reason
         )
-        exchange.reply.send(passed, answer.body)
+        exchange.reply.send(forwarded, result.body)
         if head.status < 300:
-            self._state.crashers.clear(exchange.fingerprint)
+            self._state.poison_requests.clear(exchange.fingerprint)
             return Outcome.COMPLETE
         return Outcome.FAILED
 
-    def _choose_pause(
+    def _choose_retry_after(
         self, exchange: exchange_module.Exchange, ran: bool
     ) -> float:
-        """Tell when to return; later the more are refused under a limit.
+        """Choose the Retry-After of a call, in seconds.
+
+        Under a rate limit it grows with the number of refused callers.
 
         :param ran: whether the call may have run, so that it is not refused
         """
@@ -355,29 +375,33 @@
             each.name in limited
             for each in state.list_endpoints(exchange.service)
         ):
-            return RETRY_SECONDS * state.random.uniform(*JITTER)
-        state.returns.record_refusal(exchange.digest, state.now)
-        pause = state.returns.choose_retry_delay(state.now)
+            return RETRY_AFTER_SECONDS * state.random.uniform(*JITTER)
+        state.refusal_history.record_refusal(exchange.digest, state.now)
+        pause = state.refusal_history.choose_retry_delay(state.now)
         return pause * state.random.uniform(*JITTER)
 
-    def _conclude(
+    def _end_unanswered(
         self,
         exchange: exchange_module.Exchange,
-        answers: list[_Answer],
+        results: list[_SendResult],
         reason: str = '',
         pending: set[asyncio.Task] | None = None,
     ) -> Outcome:
-        """End a call that got no good answer."""
-        failures = [answer for answer in answers if answer.head is not None]
+        """Answer the caller of a call that got no good answer.
+
+        :param reason: why it ended, by default the reasons of its sends
+        :param pending: sends that are still under way
+        """
+        failures = [result for result in results if result.head is not None]
         if failures:
-            return self._pass(exchange, failures[-1])
-        reasons = [answer.reason for answer in answers]
-        ran = bool(pending) or any(answer.ran for answer in answers)
+            return self._forward(exchange, failures[-1])
+        reasons = [result.reason for result in results]
+        ran = bool(pending) or any(result.ran for result in results)
         late = self._state.now >= exchange.deadline
-        pause = self._choose_pause(exchange, ran)
+        pause = self._choose_retry_after(exchange, ran)
         self._state.log.write(
             'call not answered',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             reason=reason or '; '.join(reasons),
             may_have_run=ran,
             sends=exchange.sends,
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -1,4 +1,4 @@
-"""Finds a chain with room for a stream, waiting a while if there is none."""
+"""Chooses a chain of engines for a stream, queueing if none has room."""
 
 import asyncio
 from typing import Iterable
@@ -17,80 +17,87 @@
 from dunlintide_daemon.gateway import state as state_module
 
 __all__ = [
-    'USUAL_TARGET',
+    'DEFAULT_TARGET_SECONDS',
     'ChainFinder',
-    'describe',
+    'format_chain',
 ]
 
 Hops = chains.Hops
 Stream = exchange_module.Stream
 
-# Target for the first event and pause where the rule has none, in seconds.
-USUAL_TARGET = 0.5
-# Part of its memory and places up to which an engine is far from full:
-# what other entries began since they told it is less than the rest.
-ROOMY_PART = 0.5
-# Part of the expected answer for which memory is reserved: streams that
-# share an engine are at all points of their answers, so they take little
-# more than half of it on average.
-ANSWER_PART = 0.7
-# Most ranges of layers that a log line names.
-MAX_SCARCE = 4
-
-
-def describe(hops: Hops) -> str:
-    """Write a chain for the log."""
+# Target for the first event and for gaps if the rule has none, in seconds.
+DEFAULT_TARGET_SECONDS = 0.5
+# Use of cache and slots below which an engine has ample room, as a fraction:
+# the rest covers what other entries have started since their last message.
+AMPLE_ROOM_FRACTION = 0.5
+# Fraction of the expected answer for which cache is reserved: the streams on
+# an engine are at different points of their answers, so on average they use
+# little more than half.
+ANSWER_RESERVE_FRACTION = 0.7
+# Most layer ranges that a log line names.
+MAX_LOGGED_RANGES = 4
+
+
+def format_chain(hops: Hops) -> str:
+    """Format a chain for the log."""
     return ','.join(
         f'{hop.endpoint.name}:{hop.start}-{hop.end}' for hop in hops
     )
 
 
 @attrs.frozen(eq=False)
-class _Listed:
-    """Engines of a service as of one version of the listing."""
+class _CachedTable:
+    """Chain table of a service for one version of the endpoint listing."""
 
     version: int
     table: chaintable.ChainTable
 
 
 class ChainFinder:
-    """Chooses chains with the beliefs of one entry."""
+    """Chooses chains by the state of one entry."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
-        self._tables: dict[str, _Listed] = {}
+        self._tables: dict[str, _CachedTable] = {}
 
     def estimate(self, stream: Stream) -> chains.Demand:
-        """Tell what a run from here on will take."""
-        ask, profile = stream.exchange.ask, stream.profile
+        """Estimate what the rest of a stream needs of a chain."""
+        caller_request, profile = (
+            stream.exchange.caller_request,
+            stream.profile,
+        )
         written = stream.sequence.count * profile.stride
-        most = max(1, ask.answer - written)
-        usual = ask.hint or profile.usual_answer or ask.answer
-        expected = max(1, min(most, usual - written))
-        prompt = ask.prompt + written
+        most = max(1, caller_request.answer - written)
+        typical = (
+            caller_request.hint
+            or profile.usual_answer
+            or caller_request.answer
+        )
+        expected = max(1, min(most, typical - written))
+        prompt = caller_request.prompt + written
         return chains.Demand(
             prompt=prompt,
             answer=expected,
-            tokens=prompt + int(expected * ANSWER_PART),
+            tokens=prompt + int(expected * ANSWER_RESERVE_FRACTION),
             domain=self._state.settings.failure_domain,
         )
 
-    def is_roomy(
+    def has_ample_room(
         self,
         profile: profiles.EngineProfile,
         endpoint: endpoints_module.Endpoint,
     ) -> bool:
-        """Tell whether an engine is far from full by what is known."""
+        """Return whether an engine is known to be far from full."""
         usage = self._state.occupancy.get(endpoint.name)
         held = endpoint.end - endpoint.start
         cache = profile.get_cache_capacity(endpoint.kind, held)
         return (
-            usage.cache < cache * ROOMY_PART
-            and usage.started < profile.slots * ROOMY_PART
+            usage.cache < cache * AMPLE_ROOM_FRACTION
+            and usage.started < profile.slots * AMPLE_ROOM_FRACTION
         )
 
     def _get_table(self, stream: Stream) -> chaintable.ChainTable:
-        """Give the engines of a service as they are listed now."""
+        """Return the chain table for the current listing, cached."""
         service, profile = stream.exchange.service, stream.profile
         version = self._state.listing_version
         table = self._tables.get(service)
@@ -101,22 +108,23 @@
         ):
             engines = self._state.list_engines(service, profile)
             built = chaintable.ChainTable.from_engines(profile, engines)
-            table = self._tables[service] = _Listed(version, built)
+            table = self._tables[service] = _CachedTable(version, built)
         return table.table
 
     def _list_unusable(self, stream: Stream) -> set[str]:
-        """Name the engines that are to get no part of a stream now."""
-        unusable = self._state.soundness.list_unusable(self._state.now)
-        unusable.update(stream.exchange.tried)
+        """Return the names of engines that must not serve a stream now."""
+        unusable = self._state.health.list_unusable(self._state.now)
+        unusable.update(stream.exchange.excluded_endpoints)
         unusable.update(self._state.list_unreadable())
         unusable.update(self._state.permits.list_paused(self._state.now))
         return unusable
 
-    def explain(self, stream: Stream) -> str:
-        """Tell for which layers no endpoint has room now, for the log.
+    def find_shortage(self, stream: Stream) -> str:
+        """Describe the layers for which no endpoint has room, for the log.
 
-        If there is none, those without room in this failure domain: then
-        no other domain holds all layers with room either.
+        If there are none, describe those without room in this entry's
+        failure domain: in that case no other domain has room for all layers
+        either.
         """
         table = self._get_table(stream)
         domain = self._state.settings.failure_domain
@@ -124,29 +132,31 @@
         demand = self.estimate(stream)
         unusable = self._list_unusable(stream)
         for where, region in (('', table.all_domains), (f' in {domain}', own)):
-            scarce = bottlenecks.find_bottlenecks(
+            shortage = bottlenecks.find_bottlenecks(
                 table,
                 region,
                 demand,
                 self._state.occupancy.usages,
                 unusable,
             )
-            if scarce:
-                return ', '.join(map(str, scarce[:MAX_SCARCE])) + where
+            if shortage:
+                return (
+                    ', '.join(map(str, shortage[:MAX_LOGGED_RANGES])) + where
+                )
         return ''
 
     def choose(
-        self, stream: Stream, spared: Iterable[str] = ()
+        self, stream: Stream, excluded: Iterable[str] = ()
     ) -> Hops | None:
-        """Find a chain with room now, None if there is none.
+        """Choose a chain with room now, None if there is none.
 
-        :param spared: names of endpoints that are to get no part of it
+        :param excluded: names of endpoints that must not be part of it
         """
         state = self._state
         hops = self._get_table(stream).choose(
             self.estimate(stream),
             state.occupancy.usages,
-            self._list_unusable(stream).union(spared),
+            self._list_unusable(stream).union(excluded),
             state.has(mechanisms.Mechanism.CROSSING),
             state.paces.list_slow(state.now),
         )
@@ -155,8 +165,8 @@
         if not endpoints_module.covers_exactly(hops, stream.profile.layers):
             state.log.write_always(
                 'chain is not exact',
-                request=stream.exchange.ask.name,
-                chain=describe(hops),
+                request=stream.exchange.caller_request.name,
+                chain=format_chain(hops),
             )
             return None
         return hops
@@ -164,30 +174,33 @@
     async def _choose_admitted(
         self, stream: Stream, expires: float
     ) -> Hops | None:
-        """Find a chain with room whose first endpoint may get a request.
+        """Choose a chain whose first endpoint's rate limit permits a request.
 
-        :param expires: monotonic time until which to look, in seconds
+        :param expires: monotonic time at which the search ends, in seconds
         """
         state = self._state
-        name = stream.exchange.ask.name
+        name = stream.exchange.caller_request.name
         while (hops := self.choose(stream)) is not None:
             if await state.admit(hops[0].endpoint.name, name):
                 state.get_backlog(stream.exchange.service).record_served(
                     state.now
                 )
                 return hops
-            # The endpoint is left out for the next choice.
+            # The endpoint is paused now, so the next choice avoids it.
             if state.now >= expires:
                 return None
         return None
 
     async def find(self, stream: Stream) -> Hops | None:
-        """Find a chain, waiting in turn; None when that is of no use."""
+        """Choose a chain, waiting in the queue if none has room.
+
+        :returns: the chain, None if the wait is hopeless or over
+        """
         state = self._state
         exchange = stream.exchange
         queue = state.get_backlog(exchange.service)
-        place = self.choose_place(exchange)
-        queue_class, expires = place.queue_class, place.expires
+        wait = self.choose_queue_wait(exchange)
+        queue_class, expires = wait.queue_class, wait.expires
         if not queue.count_ahead(exchange.priority, queue_class):
             hops = await self._choose_admitted(stream, expires)
             if hops is not None:
@@ -213,21 +226,21 @@
             timer.cancel()
             queue.remove(waiter)
 
-    def choose_place(
+    def choose_queue_wait(
         self, exchange: exchange_module.Exchange
     ) -> waits.QueueWait:
-        """Tell where a stream waits, at most until its deadline."""
+        """Choose queue class and longest wait, at most to the deadline."""
         terms = exchange.terms
-        place = waits.choose_wait(
+        wait = waits.choose_wait(
             exchange.request.arrived,
             self._state.now,
-            terms.target_seconds or USUAL_TARGET,
+            terms.target_seconds or DEFAULT_TARGET_SECONDS,
             terms.gap_seconds or 0.0,
             exchange.runs > 0,
-            exchange.returned,
+            exchange.was_refused,
         )
         if not self._state.has(mechanisms.Mechanism.STANDING):
             fresh = backlog.QueueClass.FRESH
-            place = attrs.evolve(place, queue_class=fresh)
-        expires = min(place.expires, exchange.deadline)
-        return attrs.evolve(place, expires=expires)
+            wait = attrs.evolve(wait, queue_class=fresh)
+        expires = min(wait.expires, exchange.deadline)
+        return attrs.evolve(wait, expires=expires)
--- a/packages/daemon/src/dunlintide_daemon/gateway/pacer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/paceprober.py
@@ -1,6 +1,6 @@
-"""Asks engines for their pace where streams are slow or stand still.
+"""Probes of the pace of engines whose streams are slow or stalled.
 
-An engine that does not answer is left out like one that fails streams.
+An engine that does not answer is ejected like one that fails streams.
 """
 
 import asyncio
@@ -8,34 +8,34 @@
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import orders
 
-__all__ = ['Pacer']
+__all__ = ['PaceProber']
 
-# Longest pause between two looks at slow engines, in seconds.
-LOOK_SECONDS = 0.2
-# Questions under way at the same time.
-MAX_ASKING = 16
+# Longest time between two checks of which slow engines to probe, in seconds.
+POLL_SECONDS = 0.2
+# Most probes under way at the same time.
+MAX_PROBES = 16
 
 
-class Pacer:
-    """Asker of engines, of its entry's failure domain and others alike."""
+class PaceProber:
+    """Prober of engines in all failure domains."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Ask engines that are suspected or slow, until cancelled."""
+        """Probe engines that are slow or suspected of it, until cancelled."""
         suspected = self._state.slow_suspected
         while True:
             try:
-                async with asyncio.timeout(LOOK_SECONDS):
+                async with asyncio.timeout(POLL_SECONDS):
                     await suspected.wait()
             except TimeoutError:
                 pass
             suspected.clear()
-            self._ask_all()
+            self._start_probes()
 
-    def _ask_all(self) -> None:
+    def _start_probes(self) -> None:
         state = self._state
         now = state.now
         paces = state.paces
@@ -44,14 +44,14 @@
         state.slow_suspects.clear()
         for name in names:
             endpoint = state.endpoints.get(name)
-            if endpoint is None or len(self._tasks) >= MAX_ASKING:
+            if endpoint is None or len(self._tasks) >= MAX_PROBES:
                 continue
-            work = self._ask(name, endpoint.address)
+            work = self._probe(name, endpoint.address)
             task = asyncio.get_running_loop().create_task(work)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, name: str, address: str) -> None:
+    async def _probe(self, name: str, address: str) -> None:
         state = self._state
         if not await state.admit(name):
             return
@@ -59,9 +59,9 @@
         read = await orders.read_report(address)
         state.counters.pace_questions.inc()
         if read.is_err():
-            # Where all streams of a dead engine share its whole chain, none
-            # of them shows which engine it is.
-            state.accuse([name], f'no report: {read.err_value}')
+            # If all streams through a dead engine use the same chain, only a
+            # probe shows which engine of the chain it is.
+            state.eject([name], f'no report: {read.err_value}')
             return
         state.record_rate_limit(name, read.ok_value.rate_limit, sent)
         slow = name in state.paces.list_slow(state.now)
@@ -74,4 +74,4 @@
                 pace=round(pace, 2),
             )
         if not slow:
-            state.alarmed.set()
+            state.alert_pending.set()
--- a/packages/daemon/src/dunlintide_daemon/gateway/front.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the rule, the team and who serves."""
+"""Admits callers' requests and routes them to services by rules."""
 
 import asyncio
 import contextlib
@@ -18,28 +18,30 @@
 from dunlintide_daemon.gateway import streams
 from dunlintide_platform import requests
 
-__all__ = ['Front']
+__all__ = ['RequestHandler']
 
 Outcome = exchange_module.Outcome
 
-# When to return to an entry that knows no configuration yet, in seconds.
-UNREADY_SECONDS = 0.5
-# How long a request waits for the first reading of the store, in seconds.
-# When a host restarts, what connects before its process knows anything would
-# be turned away with its caller's last try.
-FIRST_READING_SECONDS = 0.3
-# Time after SIGTERM from which on streams are refused, in seconds: later
-# ones could not end before the process must, and by then the balancer has
-# had two answers that the entry isn't ready.
-LAST_STREAM_SECONDS = 2.8
-# Time before the process must end from which on calls are refused too.
-LAST_CALL_SECONDS = 1.5
-# When to return with a request that seems to crash endpoints, in seconds.
-CRASHER_SECONDS = 5.0
+# Retry-After while the entry has no configuration yet, in seconds.
+UNREADY_RETRY_SECONDS = 0.5
+# How long a request waits for the first read of the store, in seconds. Without
+# it a request that arrives just after a restart would be refused, often at
+# its caller's last try.
+FIRST_READING_TIMEOUT_SECONDS = 0.3
+# Time after SIGTERM from which streams are refused, in seconds. Later ones
+# could not end before the process must, and by then the load balancer has
+# twice seen that the entry is not ready.
+STREAM_CUTOFF_SECONDS = 2.8
+# Time before the process must end from which calls are refused too, in
+# seconds.
+CALL_CUTOFF_SECONDS = 1.5
+# Retry-After of a request that is suspected of crashing endpoints, in
+# seconds.
+CRASHER_RETRY_SECONDS = 5.0
 
 
-class Front:
-    """Answers each request of a caller."""
+class RequestHandler:
+    """Answers the requests of callers."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
@@ -50,9 +52,9 @@
         self, request: callermessages.Request, reply: callermessages.Reply
     ) -> None:
         """Answer one request."""
-        ask = requests.decode(request)
+        caller_request = requests.decode(request)
         await self._wait_for_first_reading()
-        exchange = self._admit(request, reply, ask)
+        exchange = self._admit(request, reply, caller_request)
         if exchange is None:
             return
         terms = exchange.terms
@@ -64,19 +66,19 @@
             if not reply.gone:
                 raise
         finally:
-            self._note_end(exchange, kind, outcome)
+            self._record_end(exchange, kind, outcome)
 
     async def _wait_for_first_reading(self) -> None:
         state = self._state
-        if state.is_informed:
+        if state.is_initialized:
             return
         if not state.has(mechanisms.Mechanism.FIRST_READING):
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_READING_SECONDS):
-                await state.informed.wait()
+            async with asyncio.timeout(FIRST_READING_TIMEOUT_SECONDS):
+                await state.initialized.wait()
 
-    def _note_end(
+    def _record_end(
         self,
         exchange: exchange_module.Exchange,
         kind: str,
@@ -88,14 +90,14 @@
         state.counters.request_seconds.labels(kind).observe(seconds)
         state.log.write(
             'request ended',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             outcome=outcome,
             rule=exchange.rule.name,
             service=exchange.service,
             sends=exchange.sends,
             seconds=round(seconds, 4),
             events=exchange.events,
-            first_event=exchange.first_event,
+            first_event=exchange.first_event_delay,
             longest_gap=round(exchange.longest_gap, 4),
             target=exchange.terms.target_seconds,
             pause=exchange.terms.gap_seconds,
@@ -112,48 +114,60 @@
         self,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: callerrequests.CallerRequest,
+        caller_request: callerrequests.CallerRequest,
     ) -> exchange_module.Exchange | None:
-        """Find the terms of a request, or refuse it at once."""
+        """Build the exchange of a request, None if it was refused."""
         deployment = self._state.deployment
-        if not self._state.is_informed:
-            self._deny(reply, ask, 503, 'no configuration', UNREADY_SECONDS)
+        if not self._state.is_initialized:
+            self._deny(
+                reply,
+                caller_request,
+                503,
+                'no configuration',
+                UNREADY_RETRY_SECONDS,
+            )
             return None
-        owner = deployment.find_owner(ask.key_digest)
-        rule = self._find_rule(deployment, ask, owner)
+        owner = deployment.find_owner(caller_request.key_digest)
+        rule = self._find_rule(deployment, caller_request, owner)
         if rule is None:
-            self._deny(reply, ask, 404, 'no rule matches')
+            self._deny(reply, caller_request, 404, 'no rule matches')
             return None
         if owner is None and deployment.needs_keys and not rule.then.public:
-            self._deny(reply, ask, 401, 'unknown key')
+            self._deny(reply, caller_request, 401, 'unknown key')
             return None
-        exchange = self._build(deployment, request, reply, ask, rule, owner)
+        exchange = self._build(
+            deployment, request, reply, caller_request, rule, owner
+        )
         now = self._state.now
-        if self._state.crashers.is_poison(exchange.fingerprint, now):
+        if self._state.poison_requests.is_poison(exchange.fingerprint, now):
             self._deny(
-                reply, ask, 503, 'seems to crash endpoints', CRASHER_SECONDS
+                reply,
+                caller_request,
+                503,
+                'seems to crash endpoints',
+                CRASHER_RETRY_SECONDS,
             )
             return None
         if self._is_too_late(exchange, now):
-            pause = self._choose_stopping_pause(exchange, now)
-            self._deny(reply, ask, 503, 'stopping', pause)
+            pause = self._choose_stopping_retry_after(exchange, now)
+            self._deny(reply, caller_request, 503, 'stopping', pause)
             return None
-        self._state.get_budget(exchange.service).record_request(now)
-        refusals = self._state.returns
+        self._state.get_retry_budget(exchange.service).record_request(now)
+        refusals = self._state.refusal_history
         if self._state.has(mechanisms.Mechanism.RETURNED):
-            exchange.returned = refusals.was_refused(exchange.digest, now)
+            exchange.was_refused = refusals.was_refused(exchange.digest, now)
         refusals.record_request(now)
         return exchange
 
-    def _choose_stopping_pause(
+    def _choose_stopping_retry_after(
         self, exchange: exchange_module.Exchange, now: float
     ) -> float:
         state = self._state
         pause = refusalhistory.choose_shutdown_delay(
-            len(state.others),
-            state.stopping_at + state.settings.grace - now,
+            len(state.listed_entries),
+            state.stopping_since + state.settings.grace - now,
         )
-        # Callers honour no longer one.
+        # Callers do not honour a longer one.
         return min(
             pause,
             (exchange.deadline - now) * refusalhistory.MAX_DELAY_FRACTION,
@@ -162,29 +176,29 @@
     def _is_too_late(
         self, exchange: exchange_module.Exchange, now: float
     ) -> bool:
-        """Tell whether the process ends before it could answer."""
+        """Return whether the process ends before it could answer."""
         state = self._state
         if not state.stopping:
             return False
         if exchange.terms.stream:
-            return now - state.stopping_at > LAST_STREAM_SECONDS
-        last = state.settings.grace - LAST_CALL_SECONDS
-        return now - state.stopping_at > last
+            return now - state.stopping_since > STREAM_CUTOFF_SECONDS
+        last = state.settings.grace - CALL_CUTOFF_SECONDS
+        return now - state.stopping_since > last
 
     def _find_rule(
         self,
         deployment: deployments.Deployment,
-        ask: callerrequests.CallerRequest,
+        caller_request: callerrequests.CallerRequest,
         owner: configuration.Team | None,
     ) -> configuration.Rule | None:
         query = matching.Query(
             team=owner.name if owner else '',
-            model=ask.model,
-            method=ask.method,
-            path=ask.path,
+            model=caller_request.model,
+            method=caller_request.method,
+            path=caller_request.path,
             failure_domain=self._state.settings.failure_domain,
-            prompt_tokens=ask.prompt,
-            host=ask.host,
+            prompt_tokens=caller_request.prompt,
+            host=caller_request.host,
         )
         rule = deployment.find_rule(query)
         if rule is None or rule.then.action is configuration.Action.REFUSE:
@@ -196,28 +210,28 @@
         deployment: deployments.Deployment,
         request: callermessages.Request,
         reply: callermessages.Reply,
-        ask: callerrequests.CallerRequest,
+        caller_request: callerrequests.CallerRequest,
         rule: configuration.Rule,
         owner: configuration.Team | None,
     ) -> exchange_module.Exchange:
         limit = rule.then.deadline_seconds
-        if ask.patience is not None:
-            limit = min(limit, ask.patience)
+        if caller_request.patience is not None:
+            limit = min(limit, caller_request.patience)
         priority = rule.then.priority
         if owner is not None and owner.priority is not None:
             priority = owner.priority
-        fingerprint = _make_fingerprint(request, ask)
+        fingerprint = _make_fingerprint(request, caller_request)
         return exchange_module.Exchange(
             request=request,
             reply=reply,
-            ask=ask,
+            caller_request=caller_request,
             rule=rule,
             service=self._draw_service(rule),
             deadline=request.arrived + limit,
             version=deployment.version,
             priority=priority,
             fingerprint=fingerprint,
-            digest=_make_digest(fingerprint, ask),
+            digest=_make_digest(fingerprint, caller_request),
             team=owner.name if owner else None,
         )
 
@@ -232,7 +246,7 @@
     def _deny(
         self,
         reply: callermessages.Reply,
-        ask: callerrequests.CallerRequest,
+        caller_request: callerrequests.CallerRequest,
         status: int,
         reason: str,
         retry_after: float | None = None,
@@ -241,11 +255,11 @@
         self._state.counters.requests.labels('any', Outcome.DENIED).inc()
         self._state.log.write(
             'request denied',
-            request=ask.name,
+            request=caller_request.name,
             status=status,
             reason=reason,
             retry_after=retry_after,
-            caller_host=ask.host,
+            caller_host=caller_request.host,
             version=deployment.version if deployment else None,
             configuration_age=round(
                 self._state.now - self._state.configuration_at, 3
@@ -255,18 +269,22 @@
 
 
 def _make_fingerprint(
-    request: callermessages.Request, ask: callerrequests.CallerRequest
+    request: callermessages.Request, caller_request: callerrequests.Ask
 ) -> str:
-    """Name a request by what stays when its caller sends it again."""
+    """Hash what stays the same when a caller sends a request again."""
     digest = hashlib.blake2b(digest_size=9)
-    for part in (ask.host, request.target, ask.key_digest):
+    for part in (
+        caller_request.host,
+        request.target,
+        caller_request.key_digest,
+    ):
         digest.update(part.encode('latin-1'))
         digest.update(b'\0')
     digest.update(request.body)
     return digest.hexdigest()
 
 
-def _make_digest(fingerprint: str, ask: callerrequests.CallerRequest) -> int:
-    """Tell a request from others with the same path, caller and body."""
-    text = f'{fingerprint} {ask.prompt} {ask.answer} {ask.prefix}'
+def _make_digest(fingerprint: str, request: callerrequests.CallerRequest) -> int:
+    """Hash a request such that those with equal bodies mostly differ."""
+    text = f'{fingerprint} {request.prompt} {request.answer} {request.prefix}'
     return zlib.crc32(text.encode('latin-1'))
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -1,4 +1,4 @@
-"""One run of a stream on a chain: its send, its events, its end."""
+"""Runs of streams on chains: send the request and relay the events."""
 
 import asyncio
 from typing import Awaitable, Callable, TypeVar
@@ -16,7 +16,7 @@
 from dunlintide_daemon.gateway import events
 from dunlintide_daemon.gateway import exchange as exchange_module
 from dunlintide_daemon.gateway import runends
-from dunlintide_daemon.gateway import silences
+from dunlintide_daemon.gateway import stalls
 from dunlintide_daemon.gateway import state as state_module
 from dunlintide_platform import requests
 
@@ -27,20 +27,20 @@
 Stream = exchange_module.Stream
 _Part = TypeVar('_Part')
 
-# Time to connect to an engine, in seconds: links take under a
+# Timeout for a connection to an engine, in seconds: connecting takes under a
 # millisecond, and a lost packet is sent again only after a second.
 CONNECT_SECONDS = 0.25
-# How long engines hold on to a run that was left because one of its parts
-# stood still, in seconds: those before it wait for the dead one.
-LINGER_SECONDS = 1.5
-# Answers at least this late after the send blame a dead endpoint, sooner
-# ones a full or leaving one, in seconds.
-DEAD_SECONDS = 0.5
-# Time over which the events of a run are counted to judge its pace, in
-# seconds; single pauses say little.
-PACE_SECONDS = 0.25
-# Breaks that say nothing of the endpoint that received the run.
-_NO_FAULT_OF_FIRST = (
+# How long the engines of a run that was moved because it stalled still hold
+# it, in seconds: those before a dead engine wait for it.
+HELD_SECONDS = 1.5
+# Time after the send from which a refusal means that an endpoint is dead, in
+# seconds; an earlier one means that it is full or leaving.
+DEAD_AFTER_SECONDS = 0.5
+# Time over which the mean interval of events is measured, in seconds; single
+# gaps vary too much.
+PACE_WINDOW_SECONDS = 0.25
+# Faults for which the first endpoint of the chain is not to blame.
+_INCONCLUSIVE_FAULTS = (
     endpointhttp.Fault.TIMEOUT,
     endpointhttp.Fault.ABANDONED,
 )
@@ -50,27 +50,27 @@
 class _Run:
     """One run of a stream on a chain.
 
-    :ivar began: monotonic time of its send, in seconds
-    :ivar moved: when its last event came
-    :ivar longest: its longest pause between events, in seconds
-    :ivar published: time of an event by what is published of its endpoints,
-        in seconds
-    :ivar paced: events since its mean time between events was judged
-    :ivar paced_since: monotonic time of that, in seconds
-    :ivar lingers: whether its endpoints hold it for a while after its end
-    :ivar connection: to the first endpoint, None until there is one
+    :ivar began: monotonic time of the send, in seconds
+    :ivar last_progress: monotonic time of the last event, or of the send
+    :ivar longest_pause: longest pause between its events, in seconds
+    :ivar published_event_seconds: time per event by the published speed of
+        its engines
+    :ivar events_since_check: events since its pace was last checked
+    :ivar checked_at: monotonic time of that check, in seconds
+    :ivar is_held: whether its engines still hold it for a while after its end
+    :ivar connection: connection to the first endpoint, None before it exists
     """
 
     hops: Hops
     reservation: occupancy.Reservation
     began: float
-    moved: float
+    last_progress: float
     events: int = 0
-    longest: float = 0.0
-    published: float = 0.0
-    paced: int = 0
-    paced_since: float = 0.0
-    lingers: bool = False
+    longest_pause: float = 0.0
+    published_event_seconds: float = 0.0
+    events_since_check: int = 0
+    checked_at: float = 0.0
+    is_held: bool = False
     connection: endpointhttp.Connection | None = None
 
     @property
@@ -87,27 +87,27 @@
 def _make_head(
     head: endpointhttp.AnswerHead, length: int | None
 ) -> callermessages.Head:
-    """Build what the caller gets of an endpoint's head."""
+    """Build the head for the caller from that of an endpoint."""
     headers = requests.list_reply_headers(head)
     return callermessages.Head(head.status, headers, length, head.reason)
 
 
 class RunServer:
-    """Runs streams on chains with the beliefs of one entry."""
+    """Runs streams on chains, one run at a time for each stream."""
 
     def __init__(
         self, state: state_module.State, finder: chainfinder.ChainFinder
     ) -> None:
         self._state = state
         self._finder = finder
-        self._judge = silences.Judge(state, finder)
+        self._stall_monitor = stalls.StallMonitor(state, finder)
         self._active: set[_Run] = set()
-        state.life_listeners.append(self._lose)
+        state.incarnation_listeners.append(self._abandon_runs)
 
-    def _lose(self, name: str) -> None:
-        """End the runs through a life of an endpoint that is over.
+    def _abandon_runs(self, name: str) -> None:
+        """Abandon the runs through an incarnation of an endpoint that ended.
 
-        They stand still until their engines give them up, seconds later.
+        They would stall until their engines give them up, seconds later.
         """
         for run in list(self._active):
             if run.connection is not None and name in run.names:
@@ -116,16 +116,22 @@
     async def run(self, stream: Stream, hops: Hops) -> Outcome:
         """Run a stream on a chain.
 
-        :raises RunEnded: when it ends without a whole answer
+        :raises RunEnded: when it ends without a complete answer
         """
         state = self._state
         now = state.now
         tokens = self._finder.estimate(stream).tokens
         pipes = chains.list_pipes(hops)
         reservation = state.occupancy.reserve(hops, tokens, pipes)
-        published = chaincosts.estimate_event_seconds(stream.profile, hops)
-        run = _Run(hops, reservation, now, now, published=published)
-        state.soundness.record_sent(run.names)
+        published_event_seconds = chaincosts.estimate_event_seconds(stream.profile, hops)
+        run = _Run(
+            hops,
+            reservation,
+            now,
+            now,
+            published_event_seconds=published_event_seconds,
+        )
+        state.health.record_sent(run.names)
         self._active.add(run)
         connection = None
         try:
@@ -133,25 +139,23 @@
             run.connection = connection
             return await self._relay(stream, run, connection)
         except runends.RunEnded as ended:
-            run.lingers = ended.hops is not None
+            run.is_held = ended.next_hops is not None
             raise
         finally:
             self._active.discard(run)
-            state.soundness.record_finished(run.names, run.events > 0)
+            state.health.record_finished(run.names, run.events > 0)
             self._release(stream.exchange.service, run)
             if connection is not None:
                 state.pool.release(run.first.address, connection)
 
     def _release(self, service: str, run: _Run) -> None:
-        """Give back what a run took, later if its engines still hold it."""
+        """Release a run's reservation, later if its engines still hold it."""
         state = self._state
-        if not run.lingers:
+        if not run.is_held:
             state.release(service, run.reservation)
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(
-            LINGER_SECONDS, state.release, service, run.reservation
-        )
+        loop.call_later(HELD_SECONDS, state.release, service, run.reservation)
 
     async def _connect(
         self, exchange: exchange_module.Exchange, run: _Run
@@ -160,8 +164,10 @@
         try:
             return await state.pool.acquire(run.first.address, CONNECT_SECONDS)
         except endpointhttp.Broken as broken:
-            exchange.tried.append(run.first.name)
-            state.accuse([run.first.name], str(broken), exchange.ask.name)
+            exchange.excluded_endpoints.append(run.first.name)
+            state.eject(
+                [run.first.name], str(broken), exchange.caller_request.name
+            )
             raise runends.RunEnded(
                 False, f'no connection: {broken}'
             ) from broken
@@ -177,21 +183,21 @@
             team=exchange.team,
             hops=run.hops,
             priority=exchange.priority,
-            after=stream.sequence.last,
+            after=stream.sequence.last_id,
         )
         exchange.sends += 1
         exchange.runs += 1
-        run.began = run.moved = state.now
+        run.began = run.last_progress = state.now
         connection.send(requests.encode(exchange.request, relayed))
         state.log.write(
             'stream sent',
-            request=exchange.ask.name,
-            chain=chainfinder.describe(run.hops),
+            request=exchange.caller_request.name,
+            chain=chainfinder.format_chain(run.hops),
             send=exchange.sends,
-            after=stream.sequence.last,
+            after=stream.sequence.last_id,
             rule=exchange.rule.name,
             version=exchange.version,
-            listing_age=round(state.now - state.listed_at, 3),
+            listing_age=round(state.now - state.listing_read_at, 3),
         )
 
     async def _relay(
@@ -205,7 +211,7 @@
             self._state.record_rate_limit(
                 run.first.name, verdict.rate_limit, run.began
             )
-            if verdict.name not in (None, exchange.ask.name):
+            if verdict.name not in (None, exchange.caller_request.name):
                 raise runends.RunEnded(True, 'answer to another request')
             if verdict.not_run:
                 exchange.runs -= 1
@@ -214,58 +220,61 @@
                 reason = f'refused with {head.status} by {where}'
                 raise runends.RunEnded(False, reason)
             if head.status != 200:
-                return await self._pass_failure(stream, run, connection, head)
+                return await self._forward_failure(
+                    stream, run, connection, head
+                )
             if not verdict.signed:
                 raise runends.RunEnded(True, 'answer without a signature')
-            await self._pass_events(stream, run, connection, head)
+            await self._forward_events(stream, run, connection, head)
         except endpointhttp.Broken as broken:
-            self._note_break(exchange, run, broken)
+            self._record_break(exchange, run, broken)
             raise runends.RunEnded(True, f'run broke: {broken}') from broken
         return Outcome.COMPLETE
 
-    # What a run's end says of endpoints.
+    # Conclusions from the end of a run about endpoints.
 
     def _blame_refusal(
         self, stream: Stream, run: _Run, verdict: requests.Verdict
     ) -> None:
-        """Leave out the endpoint at fault, the first if none is named."""
+        """Blame a refusal on the endpoint named in it, else on the first."""
         state = self._state
         exchange = stream.exchange
         culprit = run.first
         for hop in run.hops:
             if hop.endpoint.address == verdict.culprit:
                 culprit = hop.endpoint
-        # A full one may serve it a moment later; a dead one will not.
-        roomy = self._finder.is_roomy(stream.profile, culprit)
-        state.note_refusal(culprit.name, exchange.service, roomy)
-        late = state.now - run.began >= DEAD_SECONDS
+        # A full endpoint may accept the request a moment later; a dead one
+        # will not.
+        has_room = self._finder.has_ample_room(stream.profile, culprit)
+        state.record_refusal(culprit.name, exchange.service, has_room)
+        late = state.now - run.began >= DEAD_AFTER_SECONDS
         if late or verdict.misdirected:
-            exchange.tried.append(culprit.name)
+            exchange.excluded_endpoints.append(culprit.name)
             reason = 'misdirected' if verdict.misdirected else 'stalled'
-            state.accuse([culprit.name], reason, exchange.ask.name)
+            state.eject([culprit.name], reason, exchange.caller_request.name)
 
-    def _note_break(
+    def _record_break(
         self,
         exchange: exchange_module.Exchange,
         run: _Run,
         broken: endpointhttp.Broken,
     ) -> None:
         state = self._state
-        if broken.fault in _NO_FAULT_OF_FIRST:
+        if broken.fault in _INCONCLUSIVE_FAULTS:
             return
-        exchange.tried.append(run.first.name)
-        count = state.crashers.record_broken_run(
+        exchange.excluded_endpoints.append(run.first.name)
+        count = state.poison_requests.record_broken_run(
             exchange.fingerprint, run.first.name, state.now
         )
         state.log.write(
             'run broken',
-            request=exchange.ask.name,
+            request=exchange.caller_request.name,
             endpoint=run.first.name,
             fault=broken.fault,
             broken_runs=count,
         )
 
-    # What the caller gets.
+    # Relay of the answer to the caller.
 
     async def _read_head(
         self, stream: Stream, run: _Run, connection: endpointhttp.Connection
@@ -287,37 +296,42 @@
         target: float | None,
         read: Callable[[float], Awaitable[_Part]],
     ) -> _Part:
-        """Read a part of the answer, and judge the run while none comes.
+        """Read a part of the answer, and check the run while it stalls.
 
-        :param target: silence allowed, in seconds, None for the usual one
-        :param read: takes the loop time until which it waits
+        :param target: longest wait by the rule in seconds, None for the
+            default
+        :param read: reads until the given time of the event loop
         """
-        limits = self._judge.choose_limits(target, run.events > 0)
+        limits = self._stall_monitor.choose_limits(target, run.events > 0)
         limit = limits.suspected
         while True:
-            due = min(run.moved + limit, stream.exchange.deadline)
+            due = min(run.last_progress + limit, stream.exchange.deadline)
             try:
                 return await read(due)
             except endpointhttp.Broken as broken:
                 if broken.fault is not endpointhttp.Fault.TIMEOUT:
                     raise
-                silence = silences.Silence(
-                    run.names, run.moved, run.events > 0
+                stall = stalls.Stall(
+                    run.names, run.last_progress, run.events > 0
                 )
-                limit = self._judge.judge(stream, silence, limits)
+                limit = self._stall_monitor.check(stream, stall, limits)
 
-    async def _pass_failure(
+    async def _forward_failure(
         self,
         stream: Stream,
         run: _Run,
         connection: endpointhttp.Connection,
         head: endpointhttp.AnswerHead,
     ) -> Outcome:
-        """Try elsewhere after an endpoint's own failure, or pass it on."""
+        """Forward an endpoint's error answer, unless a retry is possible.
+
+        :raises RunEnded: when the stream may be retried, or when its reply
+            has started already
+        """
         exchange = stream.exchange
-        again = exchange.can_go_on(True, self._state.now)
+        again = exchange.can_retry(True, self._state.now)
         if again and head.status >= 500:
-            exchange.tried.append(run.first.name)
+            exchange.excluded_endpoints.append(run.first.name)
             raise runends.RunEnded(True, f'failed with {head.status}')
         body = await connection.read_all(exchange.deadline)
         if exchange.reply.started:
@@ -327,20 +341,20 @@
         exchange.reply.send(_make_head(head, 0), body)
         return Outcome.FAILED
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         stream: Stream,
         run: _Run,
         connection: endpointhttp.Connection,
         head: endpointhttp.AnswerHead,
     ) -> None:
-        """Pass whole events on until the answer is whole."""
+        """Forward complete events until the answer is complete."""
         exchange, sequence = stream.exchange, stream.sequence
         reply = exchange.reply
-        splitter = events.Splitter()
+        splitter = events.EventSplitter()
         while data := await self._read_events(stream, run, connection):
             now = self._state.now
-            fresh, intact = sequence.admit(splitter.split(data))
+            fresh, intact = sequence.filter_new(splitter.split(data))
             if not intact:
                 raise runends.RunEnded(True, 'an event is missing')
             if not fresh:
@@ -348,50 +362,52 @@
             if not reply.started:
                 reply.start(_make_head(head, None))
             reply.write(fresh)
-            self._observe(exchange, run, now)
-        if splitter.rest.strip():
+            self._record_events(exchange, run, now)
+        if splitter.remainder.strip():
             raise runends.RunEnded(True, 'ended within an event')
         if not reply.started:
             reply.start(_make_head(head, None))
-        reply.finish(splitter.rest)
-        self._state.crashers.clear(exchange.fingerprint)
+        reply.finish(splitter.remainder)
+        self._state.poison_requests.clear(exchange.fingerprint)
         if run.events > 1:
-            self._state.pauses.record(run.longest)
+            self._state.longest_gaps.record(run.longest_pause)
 
-    def _observe(
+    def _record_events(
         self, exchange: exchange_module.Exchange, run: _Run, now: float
     ) -> None:
         counters = self._state.counters
-        if exchange.first_event is None:
-            exchange.first_event = now - exchange.request.arrived
-            counters.first_event_seconds.observe(exchange.first_event)
+        if exchange.first_event_delay is None:
+            exchange.first_event_delay = now - exchange.request.arrived
+            counters.first_event_seconds.observe(exchange.first_event_delay)
         else:
             gap = now - exchange.last_event
             exchange.longest_gap = max(exchange.longest_gap, gap)
             counters.gap_seconds.observe(gap)
         if run.events:
-            run.longest = max(run.longest, now - run.moved)
-            self._judge_pace(run, now)
+            run.longest_pause = max(run.longest_pause, now - run.last_progress)
+            self._check_pace(run, now)
         else:
-            self._state.first_events.record(now - run.began)
-            self._state.soundness.record_accepted(run.names, run.began)
-            run.paced_since = now
+            self._state.first_event_delays.record(now - run.began)
+            self._state.health.record_accepted(run.names, run.began)
+            run.checked_at = now
         run.events += 1
         exchange.events += 1
         exchange.last_event = now
-        run.moved = now
-        self._state.soundness.report_progress(run.names, now)
-
-    def _judge_pace(self, run: _Run, now: float) -> None:
-        """Suspect the engines of a run whose events come slowly."""
-        run.paced += 1
-        elapsed = now - run.paced_since
-        if elapsed < PACE_SECONDS or not run.published:
+        run.last_progress = now
+        self._state.health.report_progress(run.names, now)
+
+    def _check_pace(self, run: _Run, now: float) -> None:
+        """Mark the engines of a run as possibly slow if its events are."""
+        run.events_since_check += 1
+        elapsed = now - run.checked_at
+        if elapsed < PACE_WINDOW_SECONDS or not run.published_event_seconds:
             return
         state = self._state
-        against = elapsed / run.paced / run.published
-        run.paced, run.paced_since = 0, now
-        if paces.is_slow_run(against, state.event_times.typical):
+        slowdown = (
+            elapsed / run.events_since_check / run.published_event_seconds
+        )
+        run.events_since_check, run.checked_at = 0, now
+        if paces.is_slow_run(slowdown, state.event_intervals.typical):
             state.suspect_slow(run.names)
         if state.paces.list_slow(now).keys().isdisjoint(run.names):
-            state.event_times.record(against)
+            state.event_intervals.record(slowdown)
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Streams of events: chains found, runs made, ends told."""
+"""Event streams: run them on chains, resume and end them."""
 
 import asyncio
 
@@ -20,27 +20,27 @@
 Hops = chains.Hops
 Outcome = exchange_module.Outcome
 
-# Spread of the times at which refused callers return, as parts of the
-# pause, so that they don't come together.
+# Range of the random factor on Retry-After, so that refused callers do not
+# return at the same time.
 JITTER = (0.6, 1.4)
-# Pause between two looks at a budget that is used up, in seconds: a quarter
-# of the shortest pause between events that callers are known to ask for.
-BUDGET_SECONDS = 0.05
+# Time between two checks of an exhausted retry budget, in seconds: a quarter
+# of the shortest gap target that callers are known to use.
+BUDGET_POLL_SECONDS = 0.05
 
 
 @attrs.frozen
-class _Lack:
-    """Why no further run can help a stream.
+class _Failure:
+    """Why a stream gets no further run.
 
-    :ivar scarce: layers without room, for the log
+    :ivar shortage: layers without room, for the log
     """
 
     reason: str
-    scarce: str = ''
+    shortage: str = ''
 
 
 class StreamServer:
-    """Serves streams with the beliefs of one entry."""
+    """Serves event streams, each in as many runs as it needs."""
 
     def __init__(self, state: state_module.State) -> None:
         self._state = state
@@ -52,15 +52,15 @@
         exchange: exchange_module.Exchange,
         profile: profiles.EngineProfile,
     ) -> Outcome:
-        """Answer a request whose rule names engines."""
+        """Answer a request that is routed to engines."""
         state = self._state
-        sequence = events.Sequence(exchange.ask.after)
+        sequence = events.EventSequence(exchange.caller_request.after)
         stream = exchange_module.Stream(exchange, profile, sequence)
         ran = False
         hops = None
         while True:
             if hops is None:
-                found = await self._find_paid(stream)
+                found = await self._find_chain(stream)
                 if found.is_err():
                     return self._give_up(exchange, ran, found.err_value)
                 hops = found.ok_value
@@ -69,53 +69,57 @@
             except runends.RunEnded as ended:
                 ran = ran or ended.ran
                 self._log_end(stream, hops, ended)
-                again = exchange.can_go_on(ran, state.now)
+                again = exchange.can_retry(ran, state.now)
                 if not (ended.retry and again):
-                    lack = _Lack(ended.reason)
-                    return self._give_up(exchange, ran, lack)
-                hops = ended.hops
+                    failure = _Failure(ended.reason)
+                    return self._give_up(exchange, ran, failure)
+                hops = ended.next_hops
 
-    async def _find_paid(
+    async def _find_chain(
         self, stream: exchange_module.Stream
-    ) -> result.Result[Hops, _Lack]:
-        """Find a chain and pay for the send on it."""
+    ) -> result.Result[Hops, _Failure]:
+        """Choose a chain and charge the send on it to the retry budget."""
         exchange = stream.exchange
         while True:
             hops = await self._finder.find(stream)
             if hops is None:
                 return result.Err(
-                    _Lack('no room', self._finder.explain(stream))
+                    _Failure('no room', self._finder.find_shortage(stream))
                 )
-            if self._pay(exchange):
+            if self._charge_send(exchange):
                 return result.Ok(hops)
             if not await self._wait_for_budget(exchange):
-                return result.Err(_Lack('no budget'))
+                return result.Err(_Failure('no budget'))
 
-    def _pay(self, exchange: exchange_module.Exchange) -> bool:
-        """Pay for a send; the first one is free."""
+    def _charge_send(self, exchange: exchange_module.Exchange) -> bool:
+        """Charge a send to the retry budget; the first one is free."""
         if not exchange.sends:
             return True
         under_way = exchange.runs > 0
-        return self._state.pay_resend(exchange.service, 'stream', under_way)
+        return self._state.spend_retry_budget(
+            exchange.service, 'stream', under_way
+        )
 
     async def _wait_for_budget(
         self, exchange: exchange_module.Exchange
     ) -> bool:
-        """Wait until another send can be paid.
+        """Wait until the retry budget allows another send.
+
+        A stream that has run is not cut off while its caller is connected,
+        since the budget refills within seconds. One that has not run is
+        refused at once, since its caller can retry.
 
-        A stream that is under way is not cut while its caller stays: the
-        budget comes back within seconds. One that did not run is refused
-        at once, since its caller may come back.
+        :returns: whether the budget allows a send now
         """
         state = self._state
         if not exchange.runs:
             return False
-        expires = self._finder.choose_place(exchange).expires
-        budget = state.get_budget(exchange.service)
+        expires = self._finder.choose_queue_wait(exchange).expires
+        budget = state.get_retry_budget(exchange.service)
         while state.now < expires:
             if budget.can_spend(state.now):
                 return True
-            await asyncio.sleep(BUDGET_SECONDS)
+            await asyncio.sleep(BUDGET_POLL_SECONDS)
         return False
 
     def _log_end(
@@ -126,29 +130,29 @@
     ) -> None:
         self._state.log.write(
             'run ended early',
-            request=stream.exchange.ask.name,
+            request=stream.exchange.caller_request.name,
             reason=ended.reason,
             may_have_run=ended.ran,
             sends=stream.exchange.sends,
-            last_event=stream.sequence.last,
-            chain=chainfinder.describe(hops),
+            last_event=stream.sequence.last_id,
+            chain=chainfinder.format_chain(hops),
         )
 
     def _give_up(
         self,
         exchange: exchange_module.Exchange,
         ran: bool,
-        lack: _Lack,
+        failure: _Failure,
     ) -> Outcome:
-        """End a stream that no further run can help."""
+        """End a stream that gets no further run."""
         state = self._state
         reply = exchange.reply
         if reply.started or ran:
             state.log.write(
                 'stream given up',
-                request=exchange.ask.name,
-                reason=lack.reason,
-                scarce=lack.scarce,
+                request=exchange.caller_request.name,
+                reason=failure.reason,
+                scarce=failure.shortage,
                 events=exchange.events,
                 sends=exchange.sends,
             )
@@ -159,14 +163,14 @@
             late = state.now >= exchange.deadline
             exchange_module.refuse(reply, 504 if late else 502)
             return Outcome.UNKNOWN
-        state.returns.record_refusal(exchange.digest, state.now)
-        pause = self._choose_pause(exchange)
+        state.refusal_history.record_refusal(exchange.digest, state.now)
+        pause = self._choose_retry_after(exchange)
         state.log.write(
             'request refused',
-            request=exchange.ask.name,
-            reason=lack.reason,
-            scarce=lack.scarce,
-            returned=exchange.returned,
+            request=exchange.caller_request.name,
+            reason=failure.reason,
+            scarce=failure.shortage,
+            returned=exchange.was_refused,
             waiting=len(state.get_backlog(exchange.service)),
             retry_after=round(pause, 3),
             version=exchange.version,
@@ -174,10 +178,10 @@
         exchange_module.refuse(reply, 503, pause)
         return Outcome.NOT_RUN
 
-    def _choose_pause(self, exchange: exchange_module.Exchange) -> float:
-        """Tell when there may be room, with jitter to spread returns."""
+    def _choose_retry_after(self, exchange: exchange_module.Exchange) -> float:
+        """Choose a Retry-After in seconds, with jitter."""
         now = self._state.now
-        pause = self._state.returns.choose_retry_delay(now)
+        pause = self._state.refusal_history.choose_retry_delay(now)
         pause *= self._state.random.uniform(*JITTER)
         left = max(0.1, exchange.deadline - now)
         return min(pause, left * refusalhistory.MAX_DELAY_FRACTION)
--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -1,7 +1,8 @@
-"""The fleet's state at this process: configuration and membership.
+"""Replica of the fleet's state: configuration and membership.
 
-An actor owns the replica. One thread runs the rounds with peers, one
-keeps the upkeep that goes by time, and one hands new configurations on.
+An actor owns the replica and serializes access to it. One thread gossips
+with peers, one runs periodic maintenance, and one notifies subscribers of
+new configurations.
 """
 
 import contextlib
@@ -22,24 +23,26 @@
 from dunlintide_core import fleet
 from dunlintide_core import records
 from dunlintide_core import replicas
-from dunlintide_daemon import delivery
+from dunlintide_daemon import externalsources
 from dunlintide_daemon import peerdump
-from dunlintide_daemon import watching
+from dunlintide_daemon import snapshotnotifier
 
 __all__ = ['FleetState']
 
-UPKEEP_SECONDS = 1.0
-# Others than watchers read the list only to find peers that they lost.
-HOSTS_SELDOM_SECONDS = 600.0
+MAINTENANCE_SECONDS = 1.0
+# A process that is not a watcher reads the host list only to find peers
+# that it lost contact with.
+NON_WATCHER_HOSTS_SECONDS = 600.0
+# Most requests to a peer in one round.
 MAX_FOLLOW_UPS = 64
-ANSWER_SECONDS = 2.0
+ANSWER_TIMEOUT_SECONDS = 2.0
 _JOIN_SECONDS = 2.0
 
 _Action = Callable[[replicas.Replica], Any]
 
 
-class _Owner(pykka.ThreadingActor):
-    """Runs one action on the replica at a time."""
+class _ReplicaActor(pykka.ThreadingActor):
+    """Actor that runs one action on the replica at a time."""
 
     use_daemon_thread = True
 
@@ -52,68 +55,78 @@
 
 
 class FleetState:
-    """Configuration and membership at this process; a context manager.
+    """Replicated configuration and membership; a context manager.
 
-    :ivar incarnation: of this process
+    :ivar name: name of this process
+    :ivar incarnation: incarnation of this process
     """
 
     def __init__(
         self,
         me: fleet.Peer,
-        outside: watching.Outside,
+        sources: externalsources.ExternalSources,
         timing: replicas.Timing = replicas.Timing(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Begin with nothing known; entering the context starts it.
+        """Prepare an empty replica; entering the context starts it.
 
-        :param me: this process, with the address of its server
+        :param me: this process, with the address of its gRPC server
+        :param sources: clients of the store and the host list
+        :param timing: timing of gossip and failure detection
+        :param transport: how connections to peers are made
         """
         self.name = me.name
         self.incarnation = me.incarnation
-        self._outside = outside
+        self._sources = sources
         self._replica = replicas.Replica(me, random.Random(), timing)
         self._endpoint = me.endpoint
-        self._owner: pykka.ActorRef | None = None
+        self._replica_actor: pykka.ActorRef | None = None
         self._client = peer_calls.Client(transport=transport)
-        self._delivery = delivery.Delivery()
+        self._notifier = snapshotnotifier.SnapshotNotifier()
         self._wake = threading.Event()
         self._done = threading.Event()
-        self._watch = watching.StoreWatch(
-            outside, lambda: self.snapshot, self._take_stored, self._note_store
+        self._watch = externalsources.StoreWatch(
+            sources,
+            lambda: self.snapshot,
+            self._apply_stored,
+            self._record_store_revision,
         )
-        self._hosts_read = float('-inf')
-        self._reason = 'starting'
+        self._hosts_read_at = float('-inf')
+        self._not_ready_reason = 'starting'
         self._stack = contextlib.ExitStack()
 
     @property
     def snapshot(self) -> configreplica.Snapshot | None:
-        """Configuration in force, or None before the first."""
-        return self._delivery.snapshot
+        """Configuration in force, None before the first."""
+        return self._notifier.snapshot
 
-    def on_snapshot(self, callback: delivery.OnSnapshot) -> None:
+    def on_snapshot(self, callback: snapshotnotifier.OnSnapshot) -> None:
         """Call back with the configuration in force and each newer one.
 
-        The calls come one at a time on a thread of their own.
+        The calls are made one at a time, on a separate thread.
         """
-        self._delivery.add(callback)
+        self._notifier.subscribe(callback)
 
     def why_not_ready(self) -> str:
-        """Say why this process cannot serve yet; empty when it can."""
-        return self._reason
+        """Return why this process cannot serve yet, empty when it can."""
+        return self._not_ready_reason
 
-    def _do(self, action: _Action) -> Any:
-        return self._owner.ask(action)
+    def _run_on_replica(self, action: _Action) -> Any:
+        return self._replica_actor.ask(action)
 
     def list_members(self) -> list[records.Record]:
-        """Return what is known of all processes, tombstones too."""
-        return self._do(lambda replica: replica.members.list_records())
+        """Return the records of all processes, including tombstones."""
+        return self._run_on_replica(
+            lambda replica: replica.members.list_records()
+        )
 
     def list_present(
         self, seen: int
     ) -> tuple[int, list[records.Record]] | None:
-        """Return all that are not dead, if that has changed.
+        """Return the records of all processes that are not dead.
 
-        :param seen: what an earlier call returned first, else -1
+        :param seen: change counter that an earlier call returned, else -1
+        :returns: change counter and records, None if the counter is ``seen``
         """
 
         def read(replica: replicas.Replica):
@@ -122,63 +135,72 @@
                 return None
             return members.changes, members.list_present()
 
-        return self._do(read)
+        return self._run_on_replica(read)
 
     def answer(
         self, request: exchanges.Request, chunk_bytes: int
     ) -> exchanges.Reply:
-        """Answer a peer; for the gRPC service."""
+        """Answer a peer's gossip request; called by the gRPC service.
+
+        :param chunk_bytes: most bytes of chunks to send, 0 for none
+        """
         now = time.monotonic()
 
         def act(replica: replicas.Replica) -> tuple[exchanges.Reply, bool]:
             reply = replica.handle_request(now, request, chunk_bytes)
             return reply, replica.is_urgent
 
-        reply, urgent = self._owner.ask(act, timeout=ANSWER_SECONDS)
+        reply, urgent = self._replica_actor.ask(
+            act, timeout=ANSWER_TIMEOUT_SECONDS
+        )
         if urgent:
             self._wake.set()
         return reply
 
     def depart(self) -> None:
-        """Tell the fleet that this process leaves."""
+        """Announce to the fleet that this process leaves."""
         now = time.monotonic()
-        self._do(lambda replica: replica.members.announce_leaving(now))
+        self._run_on_replica(lambda replica: replica.members.announce_leaving(now))
         self._wake.set()
 
     def update_endpoint(self, endpoint: fleet.Endpoint) -> None:
-        """Tell the fleet that this process stands before something else."""
+        """Announce a change of the endpoint that this process serves."""
         if endpoint == self._endpoint:
             return
         self._endpoint = endpoint
-        if self._owner is not None:
-            self._tell_endpoint()
+        if self._replica_actor is not None:
+            self._announce_endpoint()
 
     def probe(self, name: str) -> None:
-        """Call a process at once, as a link to it was lost."""
+        """Contact a peer at once, because a link to it was lost."""
 
         def act(replica: replicas.Replica) -> None:
             replica.probe(name)
             self._wake.set()
 
-        # Links are lost at the very end too.
+        # Links are also lost during shutdown, after the actor has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
-            self._owner.tell(act)
+            self._replica_actor.tell(act)
 
-    def _tell_endpoint(self) -> None:
+    def _announce_endpoint(self) -> None:
         now, endpoint = time.monotonic(), self._endpoint
-        # An engine may be looked at until the very end of its agent.
+        # The agent checks its engine even after the actor has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
-            self._do(lambda replica: replica.update_endpoint(now, endpoint))
+            self._run_on_replica(
+                lambda replica: replica.update_endpoint(now, endpoint)
+            )
         self._wake.set()
 
     def dump(self) -> dict[str, Any]:
-        """Return the state, fit for JSON."""
-        return self._do(peerdump.describe) | {'not_ready': self._reason}
+        """Return the state as JSON-serializable values."""
+        return self._run_on_replica(peerdump.describe) | {
+            'not_ready': self._not_ready_reason
+        }
 
     def _run_rounds(self) -> None:
         while not self._done.is_set():
             self._run_round()
-            pause = self._do(lambda replica: replica.draw_pause())
+            pause = self._run_on_replica(lambda replica: replica.draw_pause())
             self._wake.wait(pause)
             self._wake.clear()
 
@@ -190,7 +212,7 @@
             request = replica.make_request(now, target) if target else None
             return target, request
 
-        target, request = self._do(begin)
+        target, request = self._run_on_replica(begin)
         for _ in range(MAX_FOLLOW_UPS):
             if request is None:
                 return
@@ -202,58 +224,64 @@
         reply = self._client.exchange(target.address, request)
         now = time.monotonic()
         if isinstance(reply, result.Err):
-            self._do(lambda replica: replica.note_failure(now, target))
+            self._run_on_replica(lambda replica: replica.note_failure(now, target))
             return None
 
         def take(replica: replicas.Replica):
             follow = replica.handle_reply(now, target, reply.ok_value)
             return follow, replica.configuration.snapshot
 
-        follow, snapshot = self._do(take)
-        self._delivery.offer(snapshot)
+        follow, snapshot = self._run_on_replica(take)
+        self._notifier.publish(snapshot)
         return follow
 
-    def _take_stored(self, stored: configstore.Snapshot) -> None:
+    def _apply_stored(self, stored: configstore.Snapshot) -> None:
         def act(replica: replicas.Replica) -> configreplica.Snapshot | None:
             replica.apply_stored(stored.head, stored.document)
             return replica.configuration.snapshot
 
-        # The store may answer after this process has stopped.
+        # The store may answer after the actor has stopped.
         with contextlib.suppress(pykka.ActorDeadError):
-            self._delivery.offer(self._do(act))
+            self._notifier.publish(self._run_on_replica(act))
             self._wake.set()
 
-    def _note_store(self, revision: int) -> None:
+    def _record_store_revision(self, revision: int) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
-            self._do(
+            self._run_on_replica(
                 lambda replica: replica.configuration.note_store_revision(
                     revision
                 )
             )
 
-    def _run_upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         while not self._done.is_set():
             now = time.monotonic()
 
-            def keep(replica: replicas.Replica) -> tuple[bool, bool, str]:
+            def maintain(replica: replicas.Replica) -> tuple[bool, bool, str]:
                 replica.expire_suspects(now)
-                alone = len(replica.members.list_records()) == 1
-                return replica.is_watcher, alone, replica.explain_unready()
+                has_no_peers = len(replica.members.list_records()) == 1
+                return (
+                    replica.is_watcher,
+                    has_no_peers,
+                    replica.explain_unready(),
+                )
 
-            watcher, alone, self._reason = self._do(keep)
-            pause = HOSTS_SELDOM_SECONDS
+            watcher, has_no_peers, self._not_ready_reason = (
+                self._run_on_replica(maintain)
+            )
+            pause = NON_WATCHER_HOSTS_SECONDS
             if watcher:
-                pause = self._outside.hosts_seconds
-            if alone:
-                pause = UPKEEP_SECONDS
-            if now - self._hosts_read >= pause:
-                self._hosts_read = now
+                pause = self._sources.hosts_seconds
+            if has_no_peers:
+                pause = MAINTENANCE_SECONDS
+            if now - self._hosts_read_at >= pause:
+                self._hosts_read_at = now
                 self._read_hosts(now)
-            self._watch.switch(watcher)
-            self._done.wait(UPKEEP_SECONDS)
+            self._watch.set_active(watcher)
+            self._done.wait(MAINTENANCE_SECONDS)
 
     def _read_hosts(self, now: float) -> None:
-        hosts = self._outside.read_hosts()
+        hosts = self._sources.read_hosts()
         if isinstance(hosts, result.Err):
             logging.warning('host list not read: %s', hosts.err_value)
             return
@@ -265,32 +293,35 @@
                 now, {host.name for host in listed}
             )
 
-        self._do(take)
+        self._run_on_replica(take)
 
-    def _guard(self, target: Callable[[], None]) -> None:
+    def _run_or_abort(self, target: Callable[[], None]) -> None:
         try:
             target()
         except Exception:
             if not self._done.is_set():
-                # A process with half of its state would mislead peers.
-                logging.fatal('fleet state broken', exc_info=True)
+                # Without this thread the state would go stale and mislead
+                # peers, so the process ends.
+                logging.fatal(
+                    'thread of the fleet state failed', exc_info=True
+                )
 
     def _start_thread(self, target: Callable[[], None], name: str) -> None:
         thread = threading.Thread(
-            target=self._guard, args=(target,), name=name, daemon=True
+            target=self._run_or_abort, args=(target,), name=name, daemon=True
         )
         thread.start()
         self._stack.callback(thread.join, _JOIN_SECONDS)
 
     def __enter__(self) -> 'FleetState':
         with self._stack as stack:
-            stack.callback(self._outside.close)
+            stack.callback(self._sources.close)
             stack.callback(self._client.close)
-            self._owner = _Owner.start(self._replica)
-            stack.callback(self._owner.stop)
-            self._tell_endpoint()
-            self._start_thread(self._delivery.run, 'configuration')
-            self._start_thread(self._run_upkeep, 'fleet-upkeep')
+            self._replica_actor = _ReplicaActor.start(self._replica)
+            stack.callback(self._replica_actor.stop)
+            self._announce_endpoint()
+            self._start_thread(self._notifier.run, 'configuration')
+            self._start_thread(self._run_maintenance, 'fleet-upkeep')
             self._start_thread(self._run_rounds, 'fleet-rounds')
             stack.callback(self._stop)
             self._stack = stack.pop_all()
@@ -299,8 +330,8 @@
     def _stop(self) -> None:
         self._done.set()
         self._wake.set()
-        self._delivery.close()
-        self._watch.switch(False)
+        self._notifier.close()
+        self._watch.set_active(False)
 
     def __exit__(self, *details) -> None:
         self._stack.close()
--- a/packages/daemon/src/dunlintide_daemon/delivery.py
+++ b/packages/daemon/src/dunlintide_daemon/snapshotnotifier.py
@@ -1,54 +1,64 @@
-"""Hands configurations on, apart from the threads that receive them."""
+"""Notifies subscribers of new configurations on a thread of its own."""
 
 import threading
 from typing import Callable
 
 from dunlintide_core import configreplica
 
-__all__ = ['Delivery', 'OnSnapshot']
+__all__ = ['SnapshotNotifier', 'OnSnapshot']
 
 OnSnapshot = Callable[[configreplica.Snapshot], None]
 
 
-class Delivery:
-    """Hands the newest configuration to those who asked for it.
+class SnapshotNotifier:
+    """Calls subscribers back with the newest configuration.
 
-    :ivar snapshot: the newest, None before the first
+    :ivar snapshot: the newest configuration, None before the first
     """
 
     def __init__(self) -> None:
-        """Begin without a configuration."""
+        """Start without a configuration."""
         self.snapshot: configreplica.Snapshot | None = None
         self._callbacks: list[tuple[OnSnapshot, int]] = []
         self._changed = threading.Condition()
         self._closed = False
 
-    def add(self, callback: OnSnapshot) -> None:
-        """Call back with the newest configuration and all later ones."""
+    def subscribe(self, callback: OnSnapshot) -> None:
+        """Call back with the newest configuration and each newer one.
+
+        A callback may miss a configuration that is replaced before its turn.
+        """
         with self._changed:
             self._callbacks.append((callback, 0))
             self._changed.notify()
 
-    def offer(self, snapshot: configreplica.Snapshot | None) -> None:
-        """Take a configuration to hand on."""
+    def publish(self, snapshot: configreplica.Snapshot | None) -> None:
+        """Make a configuration the newest one."""
         with self._changed:
             if snapshot is not self.snapshot:
                 self.snapshot = snapshot
                 self._changed.notify()
 
     def close(self) -> None:
-        """Let ``run`` end."""
+        """Make ``run`` return."""
         with self._changed:
             self._closed = True
             self._changed.notify()
 
-    def _take(self) -> tuple[configreplica.Snapshot | None, list[OnSnapshot]]:
-        """Wait for callbacks that have not had the newest snapshot."""
+    def _wait_for_due(self) -> tuple[configreplica.Snapshot | None, list[OnSnapshot]]:
+        """Wait for callbacks that have not received the newest snapshot.
+
+        :returns: the snapshot and those callbacks, None once closed
+        """
         with self._changed:
             while not self._closed:
                 snapshot = self.snapshot
                 revision = snapshot.head.revision if snapshot else 0
-                due = [call for call, had in self._callbacks if had < revision]
+                due = [
+                    call
+                    for call, delivered in self._callbacks
+                    if delivered < revision
+                ]
                 if due:
                     self._callbacks = [
                         (call, revision) for call, _ in self._callbacks
@@ -58,9 +68,9 @@
         return None, []
 
     def run(self) -> None:
-        """Call back until closed."""
+        """Deliver snapshots until closed."""
         while True:
-            snapshot, due = self._take()
+            snapshot, due = self._wait_for_due()
             if snapshot is None:
                 return
             for callback in due:
