--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -195,7 +195,9 @@
     context.life = endpoint.name
     beliefs.eject([endpoint.name], 'still', 's-1')
     beliefs.health.record_refusal(endpoint.name, beliefs.now)
-    beliefs.poison_requests.record_broken_run('request', endpoint.name, beliefs.now)
+    beliefs.poison_requests.record_broken_run(
+        'request', endpoint.name, beliefs.now
+    )
     beliefs.mark_leaving(endpoint.name, 'two')
     context.ended = []
     beliefs.incarnation_listeners.append(context.ended.append)
@@ -211,9 +213,7 @@
     assert endpoint.start == endpoint.end == 0
     assert not endpoint.draining
     assert not beliefs.health.expects_refusal(endpoint.name, beliefs.now)
-    assert not beliefs.health.get_suspicion_seconds(
-        endpoint.name, beliefs.now
-    )
+    assert not beliefs.health.get_suspicion_seconds(endpoint.name, beliefs.now)
     # A break at the new life is another one than that at the old.
     count = beliefs.poison_requests.record_broken_run(
         'request', endpoint.name, beliefs.now
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -306,7 +306,9 @@
                     names[digest], pace * gossipmessages.PACE_UNIT, now
                 )
         for fingerprint, endpoint in message.broken:
-            state.poison_requests.receive_broken_run(fingerprint, endpoint, now)
+            state.poison_requests.receive_broken_run(
+                fingerprint, endpoint, now
+            )
         for digest in message.refused:
             state.refusal_history.receive_refusal(digest, now)
         if message.usages is not None:
--- a/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
@@ -269,7 +269,8 @@
 
 
 def _make_fingerprint(
-    request: callermessages.Request, caller_request: callerrequests.Ask
+    request: callermessages.Request,
+    caller_request: callerrequests.CallerRequest,
 ) -> str:
     """Hash what stays the same when a caller sends a request again."""
     digest = hashlib.blake2b(digest_size=9)
@@ -284,7 +285,9 @@
     return digest.hexdigest()
 
 
-def _make_digest(fingerprint: str, request: callerrequests.CallerRequest) -> int:
+def _make_digest(
+    fingerprint: str, request: callerrequests.CallerRequest
+) -> int:
     """Hash a request such that those with equal bodies mostly differ."""
     text = f'{fingerprint} {request.prompt} {request.answer} {request.prefix}'
     return zlib.crc32(text.encode('latin-1'))
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -123,7 +123,9 @@
         tokens = self._finder.estimate(stream).tokens
         pipes = chains.list_pipes(hops)
         reservation = state.occupancy.reserve(hops, tokens, pipes)
-        published_event_seconds = chaincosts.estimate_event_seconds(stream.profile, hops)
+        published_event_seconds = chaincosts.estimate_event_seconds(
+            stream.profile, hops
+        )
         run = _Run(
             hops,
             reservation,
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -104,7 +104,7 @@
         factory=durations_module.DurationWindow
     )
     longest_gaps: durations_module.DurationWindow = attrs.field(
-        factory=durations_module.Pauses
+        factory=durations_module.DurationWindow
     )
     event_intervals: durations_module.DurationWindow = attrs.field(
         factory=durations_module.DurationWindow
@@ -144,7 +144,9 @@
     known_entries: set[str] = attrs.field(factory=set)
     listed_entries: set[str] = attrs.field(factory=set)
     backlogs: dict[str, backlog_module.Backlog] = attrs.field(factory=dict)
-    retry_budgets: dict[str, retrybudget.RetryBudget] = attrs.field(factory=dict)
+    retry_budgets: dict[str, retrybudget.RetryBudget] = attrs.field(
+        factory=dict
+    )
     waking_services: set[str] = attrs.field(factory=set)
     stopping: bool = False
     stopping_since: float = 0.0
--- a/packages/daemon/src/dunlintide_daemon/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/peers.py
@@ -160,7 +160,9 @@
     def depart(self) -> None:
         """Announce to the fleet that this process leaves."""
         now = time.monotonic()
-        self._run_on_replica(lambda replica: replica.members.announce_leaving(now))
+        self._run_on_replica(
+            lambda replica: replica.members.announce_leaving(now)
+        )
         self._wake.set()
 
     def update_endpoint(self, endpoint: fleet.Endpoint) -> None:
@@ -224,7 +226,9 @@
         reply = self._client.exchange(target.address, request)
         now = time.monotonic()
         if isinstance(reply, result.Err):
-            self._run_on_replica(lambda replica: replica.note_failure(now, target))
+            self._run_on_replica(
+                lambda replica: replica.note_failure(now, target)
+            )
             return None
 
         def take(replica: replicas.Replica):
--- a/packages/daemon/src/dunlintide_daemon/snapshotnotifier.py
+++ b/packages/daemon/src/dunlintide_daemon/snapshotnotifier.py
@@ -45,7 +45,9 @@
             self._closed = True
             self._changed.notify()
 
-    def _wait_for_due(self) -> tuple[configreplica.Snapshot | None, list[OnSnapshot]]:
+    def _wait_for_due(
+        self,
+    ) -> tuple[configreplica.Snapshot | None, list[OnSnapshot]]:
         """Wait for callbacks that have not received the newest snapshot.
 
         :returns: the snapshot and those callbacks, None once closed
