--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -158,7 +158,7 @@
 @behave.given("an agent's reader of a stand-in engine's cache events")
 def give_reader(context):
     context.standin, source = _start_source(context)
-    context.reader = caching.Caching(source, counting.Counts(), 8)
+    context.reader = caching.CacheMonitor(source, counting.Counts(), 8)
 
 
 @behave.when('a prompt runs on that engine and the reader polls twice')
--- a/features/steps/agent.py
+++ b/features/steps/agent.py
@@ -327,7 +327,7 @@
 
 @behave.then('its repeat fails with "{code}" as one that may have run')
 def check_unkept(context, code):
-    wait_until(lambda: not context.agents[0].gate._works, 'end of work')
+    wait_until(lambda: not context.agents[0].gate._requests, 'end of work')
     end = repeat(context, 'again').wait_end('again')
     assert (end.code, end.ran) == (code, True), end
 
@@ -495,7 +495,7 @@
 def cancel_first(context, tokens):
     admission = context.agents[0].gate
     context.paid = []
-    admission.places.queue.adjust_cost = (
+    admission.capacity.queue.adjust_cost = (
         lambda ticket, cost: context.paid.append(cost)
     )
     agent_scene.open_request(context, 'r1', tokens, prompt='word ' * 40)
@@ -507,7 +507,7 @@
 
 @behave.then('it holds its slot, and its team pays for the prompt')
 def check_slot(context):
-    assert context.agents[0].gate.places.in_flight.requests == 1
+    assert context.agents[0].gate.capacity.in_flight.requests == 1
     prompt = context.asked['r1'].prompt
     assert context.paid == [len(prompt) // 4], context.paid
 
@@ -519,6 +519,6 @@
 
 @behave.then('no slot is held')
 def check_no_slot(context):
-    in_flight = context.agents[0].gate.places.in_flight
+    in_flight = context.agents[0].gate.capacity.in_flight
     wait_until(lambda: not in_flight.requests, 'slots free')
     assert not in_flight.tokens, in_flight
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -101,7 +101,7 @@
 @behave.when('calls of a service are made one after another')
 def call_service(context):
     gate = Gate()
-    calls = services.Services(context.endpoint.url, 1, gate)
+    calls = services.ServiceCaller(context.endpoint.url, 1, gate)
     context.stack.callback(calls.close)
     for number in range(CALLS):
         terms = link_pb2.Terms(
--- a/features/steps/rescue.py
+++ b/features/steps/hedging.py
@@ -7,7 +7,7 @@
 import behave
 
 from dunlintide_adapters import engine as engines
-from dunlintide_daemon.agent import rescue
+from dunlintide_daemon.agent import hedging
 from dunlintide_standins.engine import server
 from dunlintide_trials import processes
 
@@ -27,18 +27,20 @@
 @behave.when('a call to it is looked into after its time is up')
 def look(context):
     now = [0.0]
-    flights = rescue.Flights(1.0, lambda: now[0])
-    context.flight = flights.begin(
+    tracker = hedging.CallTracker(1.0, lambda: now[0])
+    context.engine_call = tracker.begin(
         [engines.Step('late', 1, 'diner', 0)], 0.0, LONGEST
     )
     now[0] = LONGEST + 1
-    rescuer = rescue.Rescuer(context.engine, flights, mock.Mock(), mock.Mock())
+    hedger = hedging.Hedger(context.engine, tracker, mock.Mock(), mock.Mock())
     stopped = threading.Event()
     context.errors = []
     with mock.patch.object(threading, 'excepthook', context.errors.append):
-        thread = threading.Thread(target=rescuer.run, args=(stopped,))
+        thread = threading.Thread(target=hedger.run, args=(stopped,))
         thread.start()
-        assert processes.wait_for(lambda: context.flight.examined, SECONDS)
+        assert processes.wait_for(
+            lambda: context.engine_call.examined, SECONDS
+        )
         stopped.set()
         thread.join(SECONDS)
         for each in threading.enumerate():
@@ -49,8 +51,8 @@
 @behave.then('the look ends without an error and leaves the call unsettled')
 def check_look(context):
     assert not context.errors, context.errors
-    assert context.flight.examined
-    assert not context.flight.settled.is_set()
+    assert context.engine_call.examined
+    assert not context.engine_call.settled.is_set()
 
 
 class LateHandler(http_server.BaseHTTPRequestHandler):
--- a/features/steps/links.py
+++ b/features/steps/links.py
@@ -145,7 +145,7 @@
 
 @behave.given("an agent's load reports, made each second")
 def make_reports(context):
-    context.reports = reports.Reports()
+    context.reports = reports.ReportFilter()
 
 
 @behave.when(
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -321,7 +321,7 @@
 )
 def limit_kept(context, limit):
     for agent in context.agents[:2]:
-        agent._engine_side.kept._limit = limit
+        agent._engine_components.activation_store._limit = limit
 
 
 @behave.then('the first two agents have counted "{event}"')
--- a/packages/daemon/src/dunlintide_daemon/agent/answers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/answers.py
@@ -7,10 +7,10 @@
 from dunlintide_core import ledger as ledgers
 from dunlintide_core import outcomes
 from dunlintide_daemon.agent import counts as counting
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
-    'Answers',
+    'AnswerSender',
 ]
 
 # What a claim that may not start is told: code, ran, detail.
@@ -48,8 +48,8 @@
 }
 
 
-def _replay(
-    frames: list[link_pb2.Frame], subscriber: works.Subscriber, skip: int
+def _send_frames(
+    frames: list[link_pb2.Frame], subscriber: requests.Subscriber, skip: int
 ) -> None:
     for frame in frames:
         if frame.WhichOneof('body') == 'token':
@@ -58,7 +58,7 @@
         subscriber.send(frame)
 
 
-class Answers:
+class AnswerSender:
     """Subscribers of the requests at a gate, whose lock guards it."""
 
     def __init__(
@@ -75,11 +75,11 @@
         self._counts = counts
         self._clock = clock
         # Requests by the ids under which repeats have attached.
-        self._aliases: dict[str, works.Work] = {}
+        self._aliases: dict[str, requests.Request] = {}
 
     def refuse(
         self,
-        subscriber: works.Subscriber,
+        subscriber: requests.Subscriber,
         code: outcomes.FailCode,
         detail: str,
         ran: bool,
@@ -97,7 +97,7 @@
         """
         self._counts.add(f'refused-{code}')
         subscriber.link.send(
-            works.build_fail(
+            requests.build_fail(
                 subscriber.request_id,
                 subscriber.epoch,
                 code,
@@ -110,54 +110,59 @@
         )
 
     def attach(
-        self, work: works.Work, subscriber: works.Subscriber, skip: int
+        self,
+        request: requests.Request,
+        subscriber: requests.Subscriber,
+        skip: int,
     ) -> None:
         """Give a subscriber the answer of a run from its beginning.
 
         :param skip: generated tokens that it already has
         """
         request_id = subscriber.request_id
-        work.subscribers = [
+        request.subscribers = [
             other
-            for other in work.subscribers
+            for other in request.subscribers
             if other.request_id != request_id
         ]
-        work.subscribers.append(subscriber)
-        work.detached = None
-        if request_id != work.request_id:
-            self._aliases[request_id] = work
-        _replay(work.log, subscriber, skip)
-
-    def detach(self, work: works.Work, subscriber: works.Subscriber) -> None:
+        request.subscribers.append(subscriber)
+        request.detached_since = None
+        if request_id != request.request_id:
+            self._aliases[request_id] = request
+        _send_frames(request.log, subscriber, skip)
+
+    def detach(
+        self, request: requests.Request, subscriber: requests.Subscriber
+    ) -> None:
         """Send a subscriber nothing more."""
-        work.subscribers.remove(subscriber)
+        request.subscribers.remove(subscriber)
         self._aliases.pop(subscriber.request_id, None)
-        if not work.subscribers:
-            work.detached = self._clock()
+        if not request.subscribers:
+            request.detached_since = self._clock()
 
-    def find_alias(self, request_id: str) -> works.Work | None:
+    def find_alias(self, request_id: str) -> requests.Request | None:
         """Return the request to which a repeat of that id is attached."""
         return self._aliases.get(request_id)
 
-    def send(self, work: works.Work, frame: link_pb2.Frame) -> None:
+    def send(self, request: requests.Request, frame: link_pb2.Frame) -> None:
         """Send a part of an answer to all who take it."""
-        if work.keeps_log:
-            work.log.append(frame)
-            work.log_bytes += frame.ByteSize()
-        for subscriber in list(work.subscribers):
+        if request.keeps_log:
+            request.log.append(frame)
+            request.log_bytes += frame.ByteSize()
+        for subscriber in list(request.subscribers):
             if not subscriber.send(frame):
-                self.detach(work, subscriber)
+                self.detach(request, subscriber)
 
-    def forget(self, work: works.Work) -> None:
+    def detach_all(self, request: requests.Request) -> None:
         """Send nothing more of a request."""
-        for subscriber in list(work.subscribers):
-            self.detach(work, subscriber)
+        for subscriber in list(request.subscribers):
+            self.detach(request, subscriber)
 
-    def settle_claim(
+    def answer_claim(
         self,
         verdict: ledgers.Verdict,
         entry: ledgers.Record | None,
-        subscriber: works.Subscriber,
+        subscriber: requests.Subscriber,
         skip: int,
     ) -> None:
         """Answer an attempt that is not to start a run."""
@@ -165,7 +170,7 @@
         if verdict is ledgers.Verdict.ATTACH:
             self.attach(entry.work, subscriber, skip)
         elif verdict is ledgers.Verdict.REPLAY:
-            _replay(entry.answer, subscriber, skip)
+            _send_frames(entry.answer, subscriber, skip)
         else:
             code, ran, detail = _CLAIM_REFUSALS[verdict]
             sealed = verdict is ledgers.Verdict.SEALED
--- a/packages/daemon/src/dunlintide_daemon/agent/caching.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/caching.py
@@ -16,7 +16,7 @@
 from dunlintide_daemon.agent import sessions
 
 __all__ = [
-    'Caching',
+    'CacheMonitor',
 ]
 
 POLL_SECONDS = 1.0
@@ -25,18 +25,20 @@
 _JOIN_SECONDS = 5.0
 
 
-def _attach(load: link_pb2.Load, news: cacheupdates.Update) -> link_pb2.Load:
-    if not (news.held or news.lost or news.all):
+def _add_update(
+    load: link_pb2.Load, update: cacheupdates.Update
+) -> link_pb2.Load:
+    if not (update.held or update.lost or update.all):
         return load
     copied = link_pb2.Load()
     copied.CopyFrom(load)
-    copied.cache.held.extend(news.held)
-    copied.cache.lost.extend(news.lost)
-    copied.cache.all = news.all
+    copied.cache.held.extend(update.held)
+    copied.cache.lost.extend(update.lost)
+    copied.cache.all = update.all
     return copied
 
 
-class Caching:
+class CacheMonitor:
     """View of one engine's cache; a context manager that keeps it new."""
 
     def __init__(
@@ -52,18 +54,18 @@
         self._source = source
         self._counts = counts
         self._view = prefixes.View()
-        self._teller = cacheupdates.Publisher(limit)
+        self._publisher = cacheupdates.Publisher(limit)
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name='cache', daemon=True
         )
         # Events wait for one turn, so that their sessions are known.
-        self._fresh: list[prefixes.Event] = []
-        self._seen = 0
-        self._reread = 0.0
+        self._pending: list[prefixes.Event] = []
+        self._last_sequence = 0
+        self._reread_at = 0.0
 
-    def __enter__(self) -> 'Caching':
+    def __enter__(self) -> 'CacheMonitor':
         self._thread.start()
         return self
 
@@ -71,23 +73,23 @@
         self._stopped.set()
         self._thread.join(_JOIN_SECONDS)
 
-    def begin(self, session: sessions.Session) -> None:
+    def record_prompt(self, session: sessions.Session) -> None:
         """Note the prompt of a session that this agent runs a stage of."""
-        told = session.prefixes
-        if told is None or not told.blocks or not session.prompt_tokens:
+        sent = session.prefixes
+        if sent is None or not sent.blocks or not session.prompt_tokens:
             return
-        found = prefixes.Prefixes(tuple(told.blocks), told.characters)
+        found = prefixes.Prefixes(tuple(sent.blocks), sent.characters)
         with self._lock:
             self._view.add_session(
                 session.request_id, found, session.prompt_tokens
             )
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Take the cache as empty: the engine has gone or loads others."""
         with self._lock:
             self._view.clear()
             self._view.is_incomplete = True
-            self._fresh = []
+            self._pending = []
 
     def _run(self) -> None:
         while not self._stopped.wait(POLL_SECONDS):
@@ -99,7 +101,7 @@
         :param now: monotonic time in seconds
         """
         with self._lock:
-            since = self._seen
+            since = self._last_sequence
         read = self._source.read_events(since)
         if read.is_err():
             return
@@ -108,19 +110,19 @@
             if last < since:
                 # The engine was started anew and counts from 1.
                 self._view.reset()
-                self._fresh, self._seen = [], 0
+                self._pending, self._last_sequence = [], 0
                 return
             gaps = self._view.gaps
-            self._view.apply_events(self._fresh)
+            self._view.apply_events(self._pending)
             self._counts.add('cache-gap', self._view.gaps - gaps)
-            self._fresh = events
-            self._seen = events[-1].sequence if events else since
-            unsure = self._view.is_incomplete
-        if unsure and now - self._reread >= REREAD_SECONDS:
-            self._reread = now
-            self._read_anew()
-
-    def _read_anew(self) -> None:
+            self._pending = events
+            self._last_sequence = events[-1].sequence if events else since
+            is_incomplete = self._view.is_incomplete
+        if is_incomplete and now - self._reread_at >= REREAD_SECONDS:
+            self._reread_at = now
+            self._reread()
+
+    def _reread(self) -> None:
         read = self._source.read_held()
         if read.is_err():
             return
@@ -128,28 +130,28 @@
         with self._lock:
             if last >= self._view.sequence:
                 self._view.replace(last, blocks)
-                self._seen = max(self._seen, last)
+                self._last_sequence = max(self._last_sequence, last)
                 self._counts.add('cache-reread')
 
-    def tell(self, load: link_pb2.Load) -> link_pb2.Load:
+    def add_update(self, load: link_pb2.Load) -> link_pb2.Load:
         """Add the next news to a load report that goes to all entries."""
         with self._lock:
-            news = self._teller.publish(self._view)
-        self._counts.add('cache-told', len(news.held) + len(news.lost))
-        return _attach(load, news)
+            update = self._publisher.publish(self._view)
+        self._counts.add('cache-told', len(update.held) + len(update.lost))
+        return _add_update(load, update)
 
-    def tell_all(self, load: link_pb2.Load) -> link_pb2.Load:
+    def add_snapshot(self, load: link_pb2.Load) -> link_pb2.Load:
         """Add all that was told to the first report on a new link."""
         with self._lock:
-            news = self._teller.build_snapshot()
-        return _attach(load, news)
+            update = self._publisher.build_snapshot()
+        return _add_update(load, update)
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump."""
         with self._lock:
             return {
                 'blocks': len(self._view),
-                'told': len(self._teller),
+                'told': len(self._publisher),
                 'sequence': self._view.sequence,
                 'gaps': self._view.gaps,
                 'unsure': self._view.is_incomplete,
--- a/packages/daemon/src/dunlintide_daemon/agent/places.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/capacity.py
@@ -10,11 +10,11 @@
 from dunlintide_core import queueing
 from dunlintide_core import rates
 from dunlintide_core import slots
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
-    'Obstacle',
-    'Places',
+    'Capacity',
+    'Rejection',
 ]
 
 # Time between two looks at the rate at which requests end, in seconds.
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Obstacle:
+class Rejection:
     """Why a request cannot begin here now.
 
     :ivar agent: agent at fault, empty for this one
@@ -33,7 +33,7 @@
     agent: str = ''
 
 
-class Places:
+class Capacity:
     """The queue before the endpoint and what is in flight behind it.
 
     :ivar in_flight: requests and tokens that the endpoint has
@@ -53,93 +53,93 @@
         self.rate = rates.Rate(now)
         self._slots = slots.Slots(now, self.queue.count_debt_rounds)
         self._teams: dict[str, int] = {}
-        self._sampled = now
+        self._sampled_at = now
 
-    def find_obstacle(self, team: str, limit: int) -> Obstacle | None:
+    def find_rejection(self, team: str, limit: int) -> Rejection | None:
         """Tell whether a team has as many requests here as it may.
 
         :param limit: requests at a time, 0 for no bound
         """
         if limit and self._teams.get(team, 0) >= limit:
-            return Obstacle(
+            return Rejection(
                 outcomes.FailCode.RATE_LIMITED,
                 'too many requests of the team are in flight',
             )
         return None
 
-    def queue_up(
-        self, work: works.Work, now: float
+    def enqueue(
+        self, request: requests.Request, now: float
     ) -> outcomes.Refusal | None:
         """Let a request wait its turn.
 
         :returns: why it is not worth waiting, None when it waits
         """
-        work.ticket = queueing.Ticket(
-            work.terms.team,
-            work.terms.weight or 1.0,
-            work.terms.priority,
-            work.cost,
+        request.ticket = queueing.Ticket(
+            request.terms.team,
+            request.terms.weight or 1.0,
+            request.terms.priority,
+            request.cost,
             now,
-            work,
+            request,
         )
         refusal = self.queue.push(
-            work.ticket, work.deadline - now, self.rate.value
+            request.ticket, request.deadline - now, self.rate.value
         )
         if refusal is None:
-            self._slots.add_request(work.ticket.team, work.ticket.weight)
+            self._slots.add_request(request.ticket.team, request.ticket.weight)
         return refusal
 
-    def count_in(self, team: str) -> None:
+    def add_request(self, team: str) -> None:
         """Count a request of a team that waits or runs here."""
         self._teams[team] = self._teams.get(team, 0) + 1
 
-    def _may_start(self, team: str) -> bool:
+    def _has_slot(self, team: str) -> bool:
         limit = self.cap.limit(self.in_flight)
         return self._slots.may_start(team, self.in_flight.requests, limit)
 
-    def _admits(self, ticket: queueing.Ticket) -> bool:
+    def _has_room(self, ticket: queueing.Ticket) -> bool:
         return self.cap.admits(self.in_flight, ticket.item.tokens)
 
-    def take_next(self, now: float) -> works.Work | None:
+    def start_next(self, now: float) -> requests.Request | None:
         """Give a place to the request whose turn it is, if there is one."""
-        ticket = self.queue.pick(now, self._admits, self._may_start)
+        ticket = self.queue.pick(now, self._has_room, self._has_slot)
         if ticket is None:
             return None
-        work = ticket.item
-        work.phase = works.Phase.RUNNING
-        work.begun = now
+        request = ticket.item
+        request.phase = requests.Phase.RUNNING
+        request.started_at = now
         self._slots.start(ticket.team)
         self.in_flight.requests += 1
-        self.in_flight.tokens += work.tokens
-        return work
+        self.in_flight.tokens += request.tokens
+        return request
 
-    def free(self, work: works.Work) -> None:
+    def release(self, request: requests.Request) -> None:
         """Take back the place of a request with no step on the engine."""
-        self._slots.end(work.ticket.team, True)
+        self._slots.end(request.ticket.team, True)
         self.in_flight.requests -= 1
-        self.in_flight.tokens -= work.tokens
+        self.in_flight.tokens -= request.tokens
 
-    def count_out(self, work: works.Work) -> None:
+    def remove_request(self, request: requests.Request) -> None:
         """Take a request off that ends; its place, once no step is left."""
-        team = work.terms.team
+        team = request.terms.team
         self._teams[team] -= 1
         if not self._teams[team]:
             del self._teams[team]
-        if work.phase is works.Phase.QUEUED:
-            self._slots.end(work.ticket.team, False)
-            self.queue.remove(work.ticket)
+        if request.phase is requests.Phase.QUEUED:
+            self._slots.end(request.ticket.team, False)
+            self.queue.remove(request.ticket)
             return
         self.in_flight.finished += 1
-        if work.spent is not None:
-            self.queue.adjust_cost(work.ticket, work.spent)
-        self.rate.add(work.cost)
-        if not work.under_way:
-            self.free(work)
+        if request.actual_cost is not None:
+            self.queue.adjust_cost(request.ticket, request.actual_cost)
+        self.rate.add(request.cost)
+        if not request.steps_under_way:
+            self.release(request)
 
     def tick(self, now: float) -> None:
         """Do what time demands."""
         self._slots.tick(now)
-        if now - self._sampled >= RATE_SECONDS:
-            self._sampled = now
+        if now - self._sampled_at >= RATE_SECONDS:
+            self._sampled_at = now
             busy = len(self.queue) > 0
             self.rate.sample(now, busy, self.in_flight.requests)
--- a/packages/daemon/src/dunlintide_daemon/agent/counts.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/counts.py
@@ -21,7 +21,7 @@
         self._drops: collections.Counter[str] = collections.Counter()
         self._events: collections.Counter[str] = collections.Counter()
 
-    def drop(self, reason: str) -> None:
+    def add_drop(self, reason: str) -> None:
         """Count a frame or result that was dropped."""
         self._drops[reason] += 1
 
--- a/packages/daemon/src/dunlintide_daemon/agent/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/crashes.py
@@ -8,11 +8,11 @@
     'has_crashed',
 ]
 
-CRASH_SECONDS = 0.5
-CRASH_POLL_SECONDS = 0.02
+CHECK_SECONDS = 0.5
+POLL_SECONDS = 0.02
 # New connections in a row that end without an answer, where only one
 # could have been cut. Few, as an engine may soon be started again.
-CRASH_ENDS = 3
+MAX_CLOSED_CONNECTIONS = 3
 
 
 def has_crashed(engine: engines.Engine) -> bool:
@@ -21,17 +21,19 @@
     Where something between takes connections in its place, such as a
     port forwarder, they end without an answer, each new one too.
     """
-    ended = 0
-    until = time.monotonic() + CRASH_SECONDS
-    while time.monotonic() < until:
-        checked = engine.check_health()
-        if checked.is_ok():
+    closed_connections = 0
+    deadline = time.monotonic() + CHECK_SECONDS
+    while time.monotonic() < deadline:
+        health = engine.check_health()
+        if health.is_ok():
             return False
-        if not checked.err_value.sent:
+        if not health.err_value.sent:
             return True
-        ended = ended + 1 if checked.err_value.ended else 0
-        if ended >= CRASH_ENDS:
+        closed_connections = (
+            closed_connections + 1 if health.err_value.ended else 0
+        )
+        if closed_connections >= MAX_CLOSED_CONNECTIONS:
             return True
         # Its connections end a little before its port is free.
-        time.sleep(CRASH_POLL_SECONDS)
+        time.sleep(POLL_SECONDS)
     return False
--- a/packages/daemon/src/dunlintide_daemon/agent/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/dispatch.py
@@ -6,8 +6,8 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_daemon.agent import gate as gates
 from dunlintide_daemon.agent import pipeline as pipelines
+from dunlintide_daemon.agent import requests
 from dunlintide_daemon.agent import services as service_calls
-from dunlintide_daemon.agent import works
 from dunlintide_daemon import suspicion as suspicions
 
 __all__ = [
@@ -22,8 +22,8 @@
         self,
         gate: gates.Gate,
         pipeline: pipelines.Pipeline | None,
-        services: service_calls.Services | None,
-        take_order: Callable[[links.Link, link_pb2.Order], None],
+        services: service_calls.ServiceCaller | None,
+        handle_order: Callable[[links.Link, link_pb2.Order], None],
         suspicion: suspicions.Suspicion,
     ) -> None:
         """Remember where frames go.
@@ -32,54 +32,56 @@
         :param services: None before an engine
         :param take_order: called with orders to the engine
         """
-        self._take_order = take_order
+        self._handle_order = handle_order
         self._gate = gate
         self._pipeline = pipeline
         self._services = services
         self._suspicion = suspicion
 
-    def take(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(
+        self, link: links.Link, frames: list[link_pb2.Frame]
+    ) -> None:
         """Hand on a batch of frames of one link."""
         with self._gate.lock:
             for frame in frames:
-                self._take_one(link, frame)
+                self._handle_frame(link, frame)
 
-    def _take_one(self, link: links.Link, frame: link_pb2.Frame) -> None:
+    def _handle_frame(self, link: links.Link, frame: link_pb2.Frame) -> None:
         body = frame.WhichOneof('body')
         if body == 'suspects':
             self._suspicion.take(link, frame.suspects)
         elif body == 'attach':
             self._attach(link, frame.attach)
         elif self._pipeline is not None:
-            self._take_for_engine(link, body, frame)
+            self._handle_engine_frame(link, body, frame)
         elif body == 'call':
             self._services.call(link, frame.call)
         elif body == 'cancel':
             cancel = frame.cancel
             self._gate.cancel(cancel.request_id, cancel.epoch, link)
 
-    def _take_for_engine(
+    def _handle_engine_frame(
         self, link: links.Link, body: str, frame: link_pb2.Frame
     ) -> None:
         pipeline = self._pipeline
         if body == 'step':
-            pipeline.take_step(link, frame.step)
+            pipeline.handle_step(link, frame.step)
         elif body == 'resume':
-            pipeline.take_resume(link, frame.resume)
+            pipeline.handle_resume(link, frame.resume)
         elif body == 'token':
-            pipeline.take_token(frame.token)
+            pipeline.handle_token(frame.token)
         elif body == 'done':
-            pipeline.take_done(frame.done)
+            pipeline.handle_done(frame.done)
         elif body == 'open':
             pipeline.open(link, frame.open)
         elif body == 'fail':
-            pipeline.take_fail(frame.fail)
+            pipeline.handle_fail(frame.fail)
         elif body == 'cancel':
-            pipeline.take_cancel(link, frame.cancel)
+            pipeline.handle_cancel(link, frame.cancel)
         elif body == 'order':
-            self._take_order(link, frame.order)
+            self._handle_order(link, frame.order)
 
     def _attach(self, link: links.Link, attach: link_pb2.Attach) -> None:
         request_id = attach.terms.request_id
-        subscriber = works.Subscriber(link, request_id, attach.epoch)
+        subscriber = requests.Subscriber(link, request_id, attach.epoch)
         self._gate.attach(attach.claim, subscriber)
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -18,8 +18,8 @@
 
 from dunlintide_adapters import engine as engines
 from dunlintide_core import spans
-from dunlintide_daemon.agent import leftovers
-from dunlintide_daemon.agent import rescue
+from dunlintide_daemon.agent import firststeps
+from dunlintide_daemon.agent import hedging
 
 __all__ = [
     'Driver',
@@ -27,14 +27,14 @@
     'Job',
 ]
 
-CALLS = 4
+MAX_CONCURRENT_CALLS = 4
 # Smaller calls cost more processor time than their results' wait.
-LEAST_STEPS = 16
+MIN_STEPS = 16
 MAX_STEPS = 256
 MAX_POSITIONS = 16_384
 # A slow batch must not look like a hung engine.
-BASE_SECONDS = 10.0
-SECONDS_PER_POSITION = 0.01
+BASE_TIMEOUT_SECONDS = 10.0
+TIMEOUT_SECONDS_PER_POSITION = 0.01
 # Past this a call is looked into; see ``rescue``.
 SILENCE_SECONDS = 3.0
 _STOP_SECONDS = 5.0
@@ -73,7 +73,7 @@
 
 
 @attrs.define(eq=False)
-class _Lane:
+class _SessionState:
     """Steps of one session id.
 
     :ivar freeing: calls under way that free the session
@@ -102,7 +102,7 @@
         engine: engines.Engine,
         handlers: Handlers,
         silence: float = SILENCE_SECONDS,
-        hold: float = leftovers.HOLD_SECONDS,
+        arrival_seconds: float = firststeps.ARRIVAL_SECONDS,
     ) -> None:
         """Prepare the threads; ``start`` begins.
 
@@ -111,27 +111,30 @@
         """
         self._engine = engine
         self._handlers = handlers
-        self._lanes: dict[str, _Lane] = {}
+        self._sessions: dict[str, _SessionState] = {}
         self._ready: collections.deque[str] = collections.deque()
         # Sessions whose next step runs alone, and whether one is next.
-        self._aside: collections.deque[str] = collections.deque()
+        self._alone_sessions: collections.deque[str] = collections.deque()
         self._alone_next = False
-        self._exclusive = False
+        self._alone_running = False
         self._running: set[Job] = set()
         self._spans = spans.SpanPacer()
         # Seconds until a long span that has to wait may begin.
-        self._pause: float | None = None
+        self._long_span_delay: float | None = None
         # Of those running, the ones that a crash was put down to.
-        self._accused: set[Job] = set()
+        self._suspects: set[Job] = set()
         self._wake = threading.Condition()
-        self._jobs: dict[rescue.Flight, list[Job]] = {}
+        self._jobs: dict[hedging.EngineCall, list[Job]] = {}
         self._frees: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self._stopped = False
         self._ended = threading.Event()
-        self._flights = rescue.Flights(silence)
-        self._leftovers = leftovers.Leftovers(hold)
-        self._rescuer = rescue.Rescuer(
-            engine, self._flights, self._take_over, self._leftovers
+        self._calls_under_way = hedging.CallTracker(silence)
+        self._first_steps = firststeps.FirstSteps(arrival_seconds)
+        self._hedger = hedging.Hedger(
+            engine,
+            self._calls_under_way,
+            self._complete_hedged,
+            self._first_steps,
         )
         self.calls = 0
         self.rescued = 0
@@ -139,14 +142,16 @@
         self.busy_seconds = 0.0
         self._threads = [
             threading.Thread(target=self._run, name='driver', daemon=True)
-            for _ in range(CALLS)
+            for _ in range(MAX_CONCURRENT_CALLS)
         ]
         self._threads.append(
-            threading.Thread(target=self._reap, name='reaper', daemon=True)
+            threading.Thread(
+                target=self._run_frees, name='reaper', daemon=True
+            )
         )
         self._threads.append(
             threading.Thread(
-                target=self._rescuer.run,
+                target=self._hedger.run,
                 args=(self._ended,),
                 name='rescuer',
                 daemon=True,
@@ -168,24 +173,24 @@
         for thread in self._threads:
             thread.join(_STOP_SECONDS)
 
-    def _offer(self, session: str, lane: _Lane) -> None:
-        if lane.busy or lane.freeing or lane.queued:
+    def _mark_ready(self, session: str, state: _SessionState) -> None:
+        if state.busy or state.freeing or state.queued:
             return
-        if lane.pending:
-            lane.queued = True
+        if state.pending:
+            state.queued = True
             self._ready.append(session)
             self._wake.notify()
         else:
-            self._lanes.pop(session, None)
+            self._sessions.pop(session, None)
 
     def submit(self, job: Job) -> None:
         """Queue a step; never blocks."""
         session = job.step.session
         with self._wake:
-            self._leftovers.cancel(session)
-            lane = self._lanes.setdefault(session, _Lane())
-            lane.pending.append(job)
-            self._offer(session, lane)
+            self._first_steps.cancel_free(session)
+            state = self._sessions.setdefault(session, _SessionState())
+            state.pending.append(job)
+            self._mark_ready(session, state)
 
     def free(self, session: str) -> int:
         """Drop what is queued for a session and free its KV cache.
@@ -196,57 +201,57 @@
         :returns: steps that were dropped, which no handler hears of
         """
         with self._wake:
-            lane = self._lanes.setdefault(session, _Lane())
-            dropped = len(lane.pending)
-            lane.pending.clear()
-            if self._leftovers.put_off(session):
-                self._offer(session, lane)
+            state = self._sessions.setdefault(session, _SessionState())
+            dropped = len(state.pending)
+            state.pending.clear()
+            if self._first_steps.defer_free(session):
+                self._mark_ready(session, state)
                 return dropped
-            lane.freeing += 1
-            lane.free_again = lane.busy
+            state.freeing += 1
+            state.free_again = state.busy
         self._frees.put(session)
         return dropped
 
     def is_free(self, session: str) -> bool:
         """Return whether nothing of a session is queued or under way."""
         with self._wake:
-            return session not in self._lanes
+            return session not in self._sessions
 
     @property
-    def kept(self) -> int:
+    def unsettled_first_steps(self) -> int:
         """Sessions that the engine keeps against a late first step."""
-        return len(self._leftovers)
+        return len(self._first_steps)
 
-    def accuse(self, failed: list[Job] | None = None) -> list[Job]:
+    def collect_suspects(self, failed: list[Job] | None = None) -> list[Job]:
         """Return the jobs under way when the engine crashed.
 
         :param failed: jobs of the call that shows the crash; nothing is
             returned when an earlier one had shown the same crash
         """
         with self._wake:
-            if failed and self._accused.issuperset(failed):
+            if failed and self._suspects.issuperset(failed):
                 return []
-            found = self._running - self._accused
-            self._accused |= found
+            found = self._running - self._suspects
+            self._suspects |= found
             return list(found)
 
-    def _take(self) -> list[Job]:
+    def _wait_for_jobs(self) -> list[Job]:
         with self._wake:
             while not self._stopped:
-                jobs = [] if self._exclusive else self._gather()
+                jobs = [] if self._alone_running else self._gather()
                 if jobs:
                     self._running.update(jobs)
-                    self._note_short(jobs)
+                    self._record_short_steps(jobs)
                     return jobs
-                self._wake.wait(self._pause)
+                self._wake.wait(self._long_span_delay)
         return []
 
     def _gather(self) -> list[Job]:
-        if self._aside and self._alone_next:
+        if self._alone_sessions and self._alone_next:
             return self._gather_alone()
         jobs = self._gather_batch()
-        self._alone_next = bool(self._aside)
-        if not jobs and self._aside:
+        self._alone_next = bool(self._alone_sessions)
+        if not jobs and self._alone_sessions:
             return self._gather_alone()
         return jobs
 
@@ -255,58 +260,58 @@
         if self._running:
             return []
         self._alone_next = False
-        session = self._aside.popleft()
-        lane = self._lanes[session]
-        lane.queued = False
-        if not lane.pending or lane.freeing:
-            self._offer(session, lane)
+        session = self._alone_sessions.popleft()
+        state = self._sessions[session]
+        state.queued = False
+        if not state.pending or state.freeing:
+            self._mark_ready(session, state)
             return self._gather()
-        self._exclusive = True
-        lane.busy = True
-        return [lane.pending.popleft()]
+        self._alone_running = True
+        state.busy = True
+        return [state.pending.popleft()]
 
     def _gather_batch(self) -> list[Job]:
         jobs: list[Job] = []
         positions = 0
-        share = -(-len(self._lanes) // CALLS)
-        limit = min(self._handlers.limit(), max(LEAST_STEPS, share))
+        share = -(-len(self._sessions) // MAX_CONCURRENT_CALLS)
+        limit = min(self._handlers.limit(), max(MIN_STEPS, share))
         long = any(map(_is_long, self._running))
         waiting: list[str] = []
-        self._pause = None
+        self._long_span_delay = None
         while self._ready and len(jobs) < limit:
             session = self._ready[0]
-            lane = self._lanes[session]
-            if not lane.pending or lane.freeing:
+            state = self._sessions[session]
+            if not state.pending or state.freeing:
                 self._ready.popleft()
-                lane.queued = False
-                self._offer(session, lane)
+                state.queued = False
+                self._mark_ready(session, state)
                 continue
-            if self._handlers.runs_alone(lane.pending[0]):
-                self._aside.append(self._ready.popleft())
+            if self._handlers.runs_alone(state.pending[0]):
+                self._alone_sessions.append(self._ready.popleft())
                 continue
-            if _is_long(lane.pending[0]):
-                if long or self._must_pause(lane.pending[0]):
+            if _is_long(state.pending[0]):
+                if long or self._must_delay(state.pending[0]):
                     waiting.append(self._ready.popleft())
                     continue
                 long = True
-            positions += lane.pending[0].positions
+            positions += state.pending[0].positions
             if jobs and positions > MAX_POSITIONS:
                 break
             self._ready.popleft()
-            lane.queued = False
-            lane.busy = True
-            jobs.append(lane.pending.popleft())
+            state.queued = False
+            state.busy = True
+            jobs.append(state.pending.popleft())
         self._ready.extendleft(reversed(waiting))
         return jobs
 
-    def _must_pause(self, job: Job) -> bool:
+    def _must_delay(self, job: Job) -> bool:
         team = self._handlers.find_team(job)
-        pause = self._spans.find_delay(team, time.monotonic())
-        if pause:
-            self._pause = min(pause, self._pause or pause)
-        return pause > 0.0
+        delay = self._spans.find_delay(team, time.monotonic())
+        if delay:
+            self._long_span_delay = min(delay, self._long_span_delay or delay)
+        return delay > 0.0
 
-    def _note_short(self, jobs: list[Job]) -> None:
+    def _record_short_steps(self, jobs: list[Job]) -> None:
         now = time.monotonic()
         for job in jobs:
             if not _is_long(job):
@@ -314,88 +319,99 @@
                     self._handlers.find_team(job), now
                 )
 
-    def _note_long(self, jobs: list[Job], began: float) -> None:
+    def _record_long_span(self, jobs: list[Job], started_at: float) -> None:
         if any(map(_is_long, jobs)):
             now = time.monotonic()
-            self._spans.record_long_span(now - began, now)
+            self._spans.record_long_span(now - started_at, now)
 
     def _release(self, jobs: list[Job]) -> None:
         with self._wake:
             self._running.difference_update(jobs)
-            self._accused.difference_update(jobs)
-            if self._exclusive or self._aside or any(map(_is_long, jobs)):
-                self._exclusive = False
+            self._suspects.difference_update(jobs)
+            if (
+                self._alone_running
+                or self._alone_sessions
+                or any(map(_is_long, jobs))
+            ):
+                self._alone_running = False
                 self._wake.notify_all()
             for job in jobs:
                 session = job.step.session
-                lane = self._lanes[session]
-                lane.busy = False
-                if lane.free_again:
-                    lane.free_again = False
-                    lane.freeing += 1
+                state = self._sessions[session]
+                state.busy = False
+                if state.free_again:
+                    state.free_again = False
+                    state.freeing += 1
                     self._frees.put(session)
-                self._offer(session, lane)
+                self._mark_ready(session, state)
 
     def _run(self) -> None:
         while not self._stopped:
-            jobs = self._take()
+            jobs = self._wait_for_jobs()
             if jobs and not self._call(jobs):
                 return
 
     def _call(self, jobs: list[Job]) -> bool:
         """Make one call; False when another thread has replaced this one."""
-        work = SECONDS_PER_POSITION * sum(job.positions for job in jobs)
-        seconds = BASE_SECONDS + work
+        size_seconds = TIMEOUT_SECONDS_PER_POSITION * sum(
+            job.positions for job in jobs
+        )
+        timeout = BASE_TIMEOUT_SECONDS + size_seconds
         steps = [job.step for job in jobs]
-        flight = self._flights.begin(steps, work, seconds)
+        call = self._calls_under_way.begin(steps, size_seconds, timeout)
         with self._wake:
-            self._jobs[flight] = jobs
-        called = self._engine.run_steps(steps, seconds)
-        if not self._flights.settle(flight):
-            self._leftovers.end(flight.begun, answered=rescue.is_over(called))
+            self._jobs[call] = jobs
+        called = self._engine.run_steps(steps, timeout)
+        if not self._calls_under_way.settle(call):
+            self._first_steps.end_call(
+                call.first_step_sessions,
+                answered=hedging.is_delivery_over(called),
+            )
             return False
         with self._wake:
-            del self._jobs[flight]
-        self._finish(flight, jobs, called)
+            del self._jobs[call]
+        self._finish(call, jobs, called)
         return True
 
     def _finish(
         self,
-        flight: rescue.Flight,
+        call: hedging.EngineCall,
         jobs: list[Job],
         called: result.Result[list[engines.StepResult], engines.EngineError],
     ) -> None:
-        self.busy_seconds += time.monotonic() - flight.began
+        self.busy_seconds += time.monotonic() - call.started_at
         self.calls += 1
         self.steps += len(jobs)
         with self._wake:
-            self._note_long(jobs, flight.began)
+            self._record_long_span(jobs, call.started_at)
         if called.is_err():
             self._handlers.failed(jobs, called.err_value)
         else:
-            self._hand_on(jobs, called.ok_value)
+            self._deliver_results(jobs, called.ok_value)
         self._release(jobs)
 
-    def _take_over(
-        self, flight: rescue.Flight, results: list[engines.StepResult]
+    def _complete_hedged(
+        self, call: hedging.EngineCall, results: list[engines.StepResult]
     ) -> None:
         """Finish a call whose thread waits on a silent connection."""
         with self._wake:
-            jobs = self._jobs.pop(flight)
+            jobs = self._jobs.pop(call)
         self.rescued += 1
         threading.Thread(target=self._run, name='driver', daemon=True).start()
-        lost = {found.session for found in results if rescue.is_lost(found)}
-        gone = [job for job in jobs if job.step.session in lost]
-        if gone:
+        lost_sessions = {
+            found.session for found in results if hedging.is_answer_lost(found)
+        }
+        lost_jobs = [job for job in jobs if job.step.session in lost_sessions]
+        if lost_jobs:
             detail = 'the connection to the engine went silent'
             error = engines.EngineError(detail, lost=True)
-            self._handlers.failed(gone, error)
-            self._release(gone)
-        kept = [job for job in jobs if job.step.session not in lost]
+            self._handlers.failed(lost_jobs, error)
+            self._release(lost_jobs)
+        kept = [job for job in jobs if job.step.session not in lost_sessions]
         if kept:
-            self._finish(flight, kept, result.Ok(results))
+            self._finish(call, kept, result.Ok(results))
 
-    def _hand_on(
+    def _deliver_results(
         self, jobs: list[Job], results: list[engines.StepResult]
     ) -> None:
         by_session = {found.session: found for found in results}
@@ -413,9 +429,9 @@
             error = engines.EngineError('steps without a result')
             self._handlers.failed(missing, error)
 
-    def _reap(self) -> None:
+    def _run_frees(self) -> None:
         while True:
-            for session in self._leftovers.take_due():
+            for session in self._first_steps.pop_due():
                 self.free(session)
             try:
                 session = self._frees.get(timeout=_SWEEP_SECONDS)
@@ -425,6 +441,6 @@
                 return
             self._engine.free(session)
             with self._wake:
-                lane = self._lanes[session]
-                lane.freeing -= 1
-                self._offer(session, lane)
+                state = self._sessions[session]
+                state.freeing -= 1
+                self._mark_ready(session, state)
--- a/packages/daemon/src/dunlintide_daemon/agent/dump.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/dump.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from dunlintide_daemon.agent import gate as gates
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
     'describe_gate',
@@ -13,18 +13,18 @@
 MAX_LISTED = 200
 
 
-def _describe_work(work: works.Work, now: float) -> dict[str, Any]:
+def _describe_request(request: requests.Request, now: float) -> dict[str, Any]:
     return {
-        'request_id': work.request_id,
-        'member': work.terms.team,
-        'rule': work.terms.rule,
-        'epoch': work.epoch,
-        'phase': str(work.phase),
-        'seconds_left': round(work.deadline - now, 3),
-        'cost': round(work.cost, 1),
-        'subscribers': len(work.subscribers),
-        'non_idempotent': work.entry is not None,
-        'frames': len(work.log),
+        'request_id': request.request_id,
+        'member': request.terms.team,
+        'rule': request.terms.rule,
+        'epoch': request.epoch,
+        'phase': str(request.phase),
+        'seconds_left': round(request.deadline - now, 3),
+        'cost': round(request.cost, 1),
+        'subscribers': len(request.subscribers),
+        'non_idempotent': request.entry is not None,
+        'frames': len(request.log),
     }
 
 
@@ -34,26 +34,27 @@
     :param now: monotonic time in seconds
     """
     with gate.lock:
-        listed = gate.list_works()
-        phases = collections.Counter(str(work.phase) for work in listed)
+        listed = gate.list_requests()
+        phases = collections.Counter(str(request.phase) for request in listed)
         return {
             'leaving': gate.leaving,
             'fault': gate.fault,
             'works': dict(phases),
             'listed': [
-                _describe_work(work, now) for work in listed[:MAX_LISTED]
+                _describe_request(request, now)
+                for request in listed[:MAX_LISTED]
             ],
             'queue': {
-                'length': len(gate.places.queue),
-                'cost': round(gate.places.queue.cost, 1),
-                'cost_per_second': round(gate.places.rate.value, 1),
-                'members': gate.places.queue.count_teams(),
+                'length': len(gate.capacity.queue),
+                'cost': round(gate.capacity.queue.cost, 1),
+                'cost_per_second': round(gate.capacity.rate.value, 1),
+                'members': gate.capacity.queue.count_teams(),
             },
             'in_flight': {
-                'requests': gate.places.in_flight.requests,
-                'tokens': gate.places.in_flight.tokens,
-                'finished': gate.places.in_flight.finished,
-                'cap': gate.places.cap.limit(gate.places.in_flight),
+                'requests': gate.capacity.in_flight.requests,
+                'tokens': gate.capacity.in_flight.tokens,
+                'finished': gate.capacity.in_flight.finished,
+                'cap': gate.capacity.cap.limit(gate.capacity.in_flight),
             },
             'ledger': {
                 'generation': gate.ledger.generation,
--- a/packages/daemon/src/dunlintide_daemon/agent/engineside.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/enginecomponents.py
@@ -20,15 +20,15 @@
 from dunlintide_daemon import suspicion as suspicions
 
 __all__ = [
-    'EngineSide',
-    'Parts',
+    'Dependencies',
+    'EngineComponents',
 ]
 
-TakeFailure = Callable[[list[drivers.Job], engines.EngineError], None]
+HandleFailure = Callable[[list[drivers.Job], engines.EngineError], None]
 
 
 @attrs.frozen
-class Parts:
+class Dependencies:
     """Parts of the agent that its engine's side works with."""
 
     incarnation: int
@@ -36,11 +36,11 @@
     peers: peering.Peers
     counts: counting.Counts
     suspicion: suspicions.Suspicion
-    take_failure: TakeFailure
+    handle_failure: HandleFailure
 
 
 @attrs.frozen
-class EngineSide:
+class EngineComponents:
     """The engine, what drives it, and the sessions that it runs.
 
     :ivar caching: None where cache news are off
@@ -50,44 +50,50 @@
     engine: engines.Engine
     driver: drivers.Driver
     pipeline: pipelines.Pipeline
-    caching: caching.Caching | None
+    caching: caching.CacheMonitor | None
     store: store.Store
-    kept: activations.Store
+    activation_store: activations.Store
 
     @classmethod
     def from_config(
         cls,
         settings: settings_module.Settings,
         endpoint: fleet.Endpoint,
-        parts: Parts,
-    ) -> 'EngineSide':
+        dependencies: Dependencies,
+    ) -> 'EngineComponents':
         """Build all of it; nothing runs yet."""
         timing = settings.timing
-        kept = activations.Store(settings.limits.kept_activation_bytes)
+        activation_store = activations.Store(
+            settings.limits.kept_activation_bytes
+        )
         identity = tables.Identity(
             settings.name,
-            parts.incarnation,
+            dependencies.incarnation,
             endpoint.model,
             endpoint.version,
             endpoint.layer_start,
             endpoint.layer_end,
         )
-        table = tables.Table(
-            identity, parts.gate, parts.peers, parts.counts, kept
+        table = tables.SessionTable(
+            identity,
+            dependencies.gate,
+            dependencies.peers,
+            dependencies.counts,
+            activation_store,
         )
-        pipeline = pipelines.Pipeline(table, parts.suspicion)
+        pipeline = pipelines.Pipeline(table, dependencies.suspicion)
         engine = engines.Engine(settings.endpoint.url, timing.endpoint_timeout)
-        news = None
+        monitor = None
         if settings.limits.cache_news:
-            news = caching.Caching(
+            monitor = caching.CacheMonitor(
                 cacheevents.Source(engine),
-                parts.counts,
+                dependencies.counts,
                 settings.limits.cache_news,
             )
-            table.note_prompt = news.begin
+            table.on_prompt = monitor.record_prompt
         handlers = drivers.Handlers(
-            pipeline.take_results,
-            parts.take_failure,
+            pipeline.handle_results,
+            dependencies.handle_failure,
             pipeline.limit_batch,
             pipeline.runs_alone,
             lambda job: job.owner.terms.team,
@@ -98,23 +104,23 @@
             settings.store_url,
             timing=store.StoreTiming(read=timing.store_timeout),
         )
-        return cls(engine, driver, pipeline, news, keys, kept)
+        return cls(engine, driver, pipeline, monitor, keys, activation_store)
 
     def describe(self) -> dict[str, Any]:
         """Return its state, fit for JSON."""
         state = {
             'stages': self.pipeline.count_stages(),
             'kept_activations': {
-                'sessions': len(self.kept),
-                'bytes': self.kept.used,
-                'evicted': self.kept.evicted,
+                'sessions': len(self.activation_store),
+                'bytes': self.activation_store.used,
+                'evicted': self.activation_store.evicted,
             },
             'engine': {
                 'calls': self.driver.calls,
                 'steps': self.driver.steps,
                 'busy_seconds': round(self.driver.busy_seconds, 3),
                 'rescued': self.driver.rescued,
-                'kept': self.driver.kept,
+                'kept': self.driver.unsettled_first_steps,
             },
         }
         if self.caching is not None:
--- a/packages/daemon/src/dunlintide_daemon/agent/gate.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/gate.py
@@ -19,14 +19,14 @@
 from dunlintide_core import positions
 from dunlintide_core import queueing
 from dunlintide_daemon.agent import answers
+from dunlintide_daemon.agent import capacity
 from dunlintide_daemon.agent import counts as counting
-from dunlintide_daemon.agent import places
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
-    'HOLD_SECONDS',
     'Gate',
     'GateSettings',
+    'HOLD_SECONDS',
 ]
 
 # Longer than an entry looks for another chain.
@@ -63,70 +63,74 @@
         self.leaving = False
         self.fault = ''
         self.is_quarantined: Callable[[bytes], bool] = lambda digest: False
-        self.places = places.Places(settings.queue, cap, clock())
+        self.capacity = capacity.Capacity(settings.queue, cap, clock())
         self.ledger = ledgers.Ledger(settings.incarnation, settings.ledger)
         self.counts = counts
         self.fences = positions.Fences()
         self._settings = settings
         self._clock = clock
-        self._answers = answers.Answers(settings.name, counts, clock)
-        self._works: dict[str, works.Work] = {}
-        self._generation_began = clock()
+        self._answers = answers.AnswerSender(settings.name, counts, clock)
+        self._requests: dict[str, requests.Request] = {}
+        self._generation_started = clock()
 
     def __len__(self) -> int:
-        return len(self._works)
+        return len(self._requests)
 
-    def find(self, request_id: str) -> works.Work | None:
+    def find(self, request_id: str) -> requests.Request | None:
         """Return the request of that id, if it has not ended."""
-        return self._works.get(request_id)
+        return self._requests.get(request_id)
 
-    def list_works(self) -> list[works.Work]:
+    def list_requests(self) -> list[requests.Request]:
         """Return all requests that have not ended."""
         with self.lock:
-            return list(self._works.values())
+            return list(self._requests.values())
 
     def attach(
-        self, claim: link_pb2.Claim, subscriber: works.Subscriber
+        self, claim: link_pb2.Claim, subscriber: requests.Subscriber
     ) -> None:
         """Deliver the answer of an earlier attempt, or say what is known."""
         with self.lock:
-            verdict, entry = self.ledger.attach(works.read_claim(claim))
-            self._answers.settle_claim(verdict, entry, subscriber, 0)
+            verdict, entry = self.ledger.attach(requests.read_claim(claim))
+            self._answers.answer_claim(verdict, entry, subscriber, 0)
 
-    def _find_obstacle(self, terms: link_pb2.Terms) -> places.Obstacle | None:
+    def _find_rejection(
+        self, terms: link_pb2.Terms
+    ) -> capacity.Rejection | None:
         if self.leaving:
             code = outcomes.FailCode.LEAVING
-            return places.Obstacle(code, 'the endpoint is leaving')
+            return capacity.Rejection(code, 'the endpoint is leaving')
         if self.fault:
-            return places.Obstacle(outcomes.FailCode.NO_CAPACITY, self.fault)
-        return self.places.find_obstacle(terms.team, terms.team_concurrency)
+            return capacity.Rejection(
+                outcomes.FailCode.NO_CAPACITY, self.fault
+            )
+        return self.capacity.find_rejection(terms.team, terms.team_concurrency)
 
     def _enqueue(
         self,
-        work: works.Work,
-        subscriber: works.Subscriber,
-        obstacle: places.Obstacle | None,
+        request: requests.Request,
+        subscriber: requests.Subscriber,
+        rejection: capacity.Rejection | None,
     ) -> bool:
-        obstacle = obstacle or self._find_obstacle(work.terms)
-        sealed = work.entry is not None
-        if self.is_quarantined(work.terms.fingerprint):
+        rejection = rejection or self._find_rejection(request.terms)
+        sealed = request.entry is not None
+        if self.is_quarantined(request.terms.fingerprint):
             code = outcomes.FailCode.QUARANTINED
             self._answers.refuse(
                 subscriber, code, _QUARANTINED, False, sealed=sealed
             )
             return False
-        if obstacle is not None:
+        if rejection is not None:
             self._answers.refuse(
                 subscriber,
-                obstacle.code,
-                obstacle.detail,
+                rejection.code,
+                rejection.detail,
                 False,
                 1.0,
-                agent=obstacle.agent,
+                agent=rejection.agent,
                 sealed=sealed,
             )
             return False
-        refusal = self.places.queue_up(work, self._clock())
+        refusal = self.capacity.enqueue(request, self._clock())
         if refusal is not None:
             self._answers.refuse(
                 subscriber,
@@ -139,62 +143,71 @@
             return False
         return True
 
-    def _adopt(
+    def _join_run(
         self,
-        work: works.Work,
-        subscriber: works.Subscriber,
+        request: requests.Request,
+        subscriber: requests.Subscriber,
         skip: int,
-        obstacle: places.Obstacle | None,
+        rejection: capacity.Rejection | None,
     ) -> bool:
         """Give a run that nobody takes to a newer epoch of its request.
 
         True also when the frame is settled by dropping it.
         """
-        old = self._works.get(work.request_id)
-        if old is None:
+        earlier = self._requests.get(request.request_id)
+        if earlier is None:
             return False
-        newest = max([old.epoch] + [other.epoch for other in old.subscribers])
-        if work.epoch <= newest:
-            self.counts.drop('stale-open')
+        newest = max(
+            [earlier.epoch] + [other.epoch for other in earlier.subscribers]
+        )
+        if request.epoch <= newest:
+            self.counts.add_drop('stale-open')
             return True
-        same = old.chain_key == work.chain_key and old.detached is not None
-        if old.held is None and same:
+        is_same_chain = (
+            earlier.chain_key == request.chain_key
+            and earlier.detached_since is not None
+        )
+        if earlier.held_since is None and is_same_chain:
             self.counts.add('adopted')
-        elif old.finished or obstacle is None and work.take_over(old):
+        elif (
+            earlier.finished
+            or rejection is None
+            and request.resume_held(earlier)
+        ):
             self.counts.add('resumed')
         else:
-            self.end(old, stop=True)
+            self.end(earlier, stop=True)
             return False
-        self._answers.attach(old, subscriber, skip)
-        if old.finished:
-            self.end(old)
+        self._answers.attach(earlier, subscriber, skip)
+        if earlier.finished:
+            self.end(earlier)
         return True
 
     def _attach_claimed(
         self,
         entry: ledgers.Record,
-        work: works.Work,
-        subscriber: works.Subscriber,
+        request: requests.Request,
+        subscriber: requests.Subscriber,
         skip: int,
-        obstacle: places.Obstacle | None,
+        rejection: capacity.Rejection | None,
     ) -> None:
         """Give a claim's run to a repeat, and its chain to a held run."""
         verdict = ledgers.Verdict.ATTACH
-        self._answers.settle_claim(verdict, entry, subscriber, skip)
-        old = entry.work
-        if old.finished:
-            self.end(old)
-        elif old.held is not None and obstacle is None:
-            if work.take_over(old):
+        self._answers.answer_claim(verdict, entry, subscriber, skip)
+        earlier = entry.work
+        if earlier.finished:
+            self.end(earlier)
+        elif earlier.held_since is not None and rejection is None:
+            if request.resume_held(earlier):
                 self.counts.add('resumed')
 
     def open(
         self,
-        work: works.Work,
+        request: requests.Request,
         claim: link_pb2.Claim | None,
-        subscriber: works.Subscriber,
+        subscriber: requests.Subscriber,
         skip: int = 0,
-        obstacle: places.Obstacle | None = None,
+        rejection: capacity.Rejection | None = None,
     ) -> None:
         """Take in a request: refuse, queue, or give it an earlier run.
 
@@ -205,101 +218,104 @@
         """
         with self.lock:
             if claim is not None:
-                verdict, entry = self.ledger.open(works.read_claim(claim))
+                verdict, entry = self.ledger.open(requests.read_claim(claim))
                 if verdict is ledgers.Verdict.ATTACH:
                     self._attach_claimed(
-                        entry, work, subscriber, skip, obstacle
+                        entry, request, subscriber, skip, rejection
                     )
                     return
                 if verdict is not ledgers.Verdict.START:
-                    self._answers.settle_claim(
+                    self._answers.answer_claim(
                         verdict, entry, subscriber, skip
                     )
                     return
-                work.entry = entry
-                entry.work = work
-                if work.request_id in self._works:
+                request.entry = entry
+                entry.work = request
+                if request.request_id in self._requests:
                     self.ledger.seal(entry)
                     code = outcomes.FailCode.BAD_REQUEST
                     self._answers.refuse(
                         subscriber, code, 'id in use', False, sealed=True
                     )
                     return
-            elif self.fences.has_ended(work.request_id, work.epoch):
-                self.counts.drop('stale-open')
+            elif self.fences.has_ended(request.request_id, request.epoch):
+                self.counts.add_drop('stale-open')
                 return
-            elif self._adopt(work, subscriber, skip, obstacle):
+            elif self._join_run(request, subscriber, skip, rejection):
                 return
-            if not self._enqueue(work, subscriber, obstacle):
-                if work.entry is not None:
-                    self.ledger.seal(work.entry)
+            if not self._enqueue(request, subscriber, rejection):
+                if request.entry is not None:
+                    self.ledger.seal(request.entry)
                 return
-            work.subscribers.append(subscriber)
-            self._works[work.request_id] = work
-            self.places.count_in(work.terms.team)
+            request.subscribers.append(subscriber)
+            self._requests[request.request_id] = request
+            self.capacity.add_request(request.terms.team)
             self.counts.add('opened')
-            self.pump()
+            self.start_queued()
 
-    def pump(self) -> None:
+    def start_queued(self) -> None:
         """Start what may start."""
         with self.lock:
             now = self._clock()
-            while work := self.places.take_next(now):
-                if work.entry is not None:
-                    work.entry.state = ledgers.State.RUNNING
-                work.start(work)
+            while request := self.capacity.start_next(now):
+                if request.entry is not None:
+                    request.entry.state = ledgers.State.RUNNING
+                request.start(request)
 
-    def send(self, work: works.Work, frame: link_pb2.Frame) -> None:
+    def send(self, request: requests.Request, frame: link_pb2.Frame) -> None:
         """Send a part of the answer to whoever takes it."""
         with self.lock:
-            if work.phase is works.Phase.ENDED:
-                self.counts.drop('late-answer')
+            if request.phase is requests.Phase.ENDED:
+                self.counts.add_drop('late-answer')
                 return
-            self._answers.send(work, frame)
+            self._answers.send(request, frame)
 
-    def note_back(self, work: works.Work) -> None:
+    def finish_step(self, request: requests.Request) -> None:
         """Take note that the engine is done with a step of a request.
 
         One that ended meanwhile has held its slot: else a flood of
         requests that are given up fills the engine past its cap.
         """
         with self.lock:
-            work.under_way -= 1
-            if work.phase is works.Phase.ENDED and not work.under_way:
-                self.places.free(work)
-                self.pump()
-
-    def _forget(self, work: works.Work) -> None:
-        if self._works.get(work.request_id) is work:
-            del self._works[work.request_id]
-        self.places.count_out(work)
-        work.phase = works.Phase.ENDED
-        self._answers.forget(work)
-        self.fences.end(work.request_id, work.epoch)
-
-    def end(self, work: works.Work, *, stop: bool = False) -> None:
+            request.steps_under_way -= 1
+            if (
+                request.phase is requests.Phase.ENDED
+                and not request.steps_under_way
+            ):
+                self.capacity.release(request)
+                self.start_queued()
+
+    def _remove(self, request: requests.Request) -> None:
+        if self._requests.get(request.request_id) is request:
+            del self._requests[request.request_id]
+        self.capacity.remove_request(request)
+        request.phase = requests.Phase.ENDED
+        self._answers.detach_all(request)
+        self.fences.end(request.request_id, request.epoch)
+
+    def end(self, request: requests.Request, *, stop: bool = False) -> None:
         """Forget a request whose answer, if any, has been sent whole.
 
         :param stop: whether the run must be stopped first
         """
         with self.lock:
-            if work.phase is works.Phase.ENDED:
+            if request.phase is requests.Phase.ENDED:
                 return
-            queued = work.phase is works.Phase.QUEUED
+            queued = request.phase is requests.Phase.QUEUED
             if stop and not queued:
-                work.stop(work)
-            self._forget(work)
-            if work.entry is not None and queued:
-                self.ledger.seal(work.entry)
-            elif work.entry is not None:
-                whole = not stop and bool(work.log)
-                answer = work.log if whole else None
-                self.ledger.finish(work.entry, answer, work.log_bytes)
-            self.pump()
+                request.stop(request)
+            self._remove(request)
+            if request.entry is not None and queued:
+                self.ledger.seal(request.entry)
+            elif request.entry is not None:
+                is_complete = not stop and bool(request.log)
+                answer = request.log if is_complete else None
+                self.ledger.finish(request.entry, answer, request.log_bytes)
+            self.start_queued()
 
     def fail(
         self,
-        work: works.Work,
+        request: requests.Request,
         code: outcomes.FailCode,
         detail: str,
         agent: str = '',
@@ -310,30 +326,30 @@
         :param ran: False only when the run provably did nothing
         """
         with self.lock:
-            if work.phase is works.Phase.ENDED:
+            if request.phase is requests.Phase.ENDED:
                 return
-            if work.phase is works.Phase.QUEUED:
+            if request.phase is requests.Phase.QUEUED:
                 ran = False
             self.counts.add(f'failed-{code}')
-            frame = works.build_fail(
-                work.request_id,
-                work.epoch,
+            frame = requests.build_fail(
+                request.request_id,
+                request.epoch,
                 code,
                 detail,
                 ran=ran,
                 agent=agent or self._settings.name,
-                sealed=work.entry is not None and not ran,
+                sealed=request.entry is not None and not ran,
             )
-            for subscriber in work.subscribers:
+            for subscriber in request.subscribers:
                 subscriber.send(frame)
-            entry = work.entry
-            self.end(work, stop=True)
+            entry = request.entry
+            self.end(request, stop=True)
             if entry is not None and not ran:
                 self.ledger.seal(entry)
 
     def hold(
         self,
-        work: works.Work,
+        request: requests.Request,
         code: outcomes.FailCode,
         detail: str,
         agent: str,
@@ -343,29 +359,29 @@
         :param agent: agent at fault
         """
         with self.lock:
-            if work.phase is not works.Phase.RUNNING:
+            if request.phase is not requests.Phase.RUNNING:
                 return
-            work.held = self._clock()
+            request.held_since = self._clock()
             self.counts.add(f'held-{code}')
-            frame = works.build_fail(
-                work.request_id,
-                work.epoch,
+            frame = requests.build_fail(
+                request.request_id,
+                request.epoch,
                 code,
                 detail,
                 ran=True,
                 agent=agent,
                 held=True,
             )
-            for subscriber in work.subscribers:
+            for subscriber in request.subscribers:
                 subscriber.send(frame)
 
-    def finish(self, work: works.Work) -> None:
+    def finish(self, request: requests.Request) -> None:
         """Take the end of an answer; one that is held waits to be asked."""
         with self.lock:
-            if work.held is None:
-                self.end(work)
+            if request.held_since is None:
+                self.end(request)
             else:
-                work.finished = True
+                request.finished = True
 
     def cancel(self, request_id: str, epoch: int, link: links.Link) -> None:
         """Stop a request on its caller's word.
@@ -373,40 +389,47 @@
         A non-idempotent run goes on: its answer is kept for a repeat.
         """
         with self.lock:
-            work = self._works.get(request_id)
-            if work is None:
-                work = self._answers.find_alias(request_id)
-            if work is None:
-                self.counts.drop('unknown-cancel')
+            request = self._requests.get(request_id)
+            if request is None:
+                request = self._answers.find_alias(request_id)
+            if request is None:
+                self.counts.add_drop('unknown-cancel')
                 return
-            gone = [
+            cancelled = [
                 other
-                for other in work.subscribers
+                for other in request.subscribers
                 if other.request_id == request_id
                 and other.epoch <= epoch
                 and other.link is link
             ]
-            for subscriber in gone:
-                self._answers.detach(work, subscriber)
-            if gone:
-                self._cancel(work, gone)
+            for subscriber in cancelled:
+                self._answers.detach(request, subscriber)
+            if cancelled:
+                self._cancel(request, cancelled)
             else:
-                self.counts.drop('stale-cancel')
+                self.counts.add_drop('stale-cancel')
 
-    def _cancel(self, work: works.Work, gone: list[works.Subscriber]) -> None:
-        keep = work.entry is not None and work.phase is works.Phase.RUNNING
-        if work.subscribers or keep:
+    def _cancel(
+        self, request: requests.Request, cancelled: list[requests.Subscriber]
+    ) -> None:
+        keeps_running = (
+            request.entry is not None
+            and request.phase is requests.Phase.RUNNING
+        )
+        if request.subscribers or keeps_running:
             return
-        work.subscribers = gone
-        self.fail(work, outcomes.FailCode.CANCELLED, 'cancelled by the caller')
+        request.subscribers = cancelled
+        self.fail(
+            request, outcomes.FailCode.CANCELLED, 'cancelled by the caller'
+        )
 
-    def lose_link(self, link: links.Link) -> None:
+    def handle_link_loss(self, link: links.Link) -> None:
         """Take note that a caller's link is gone."""
         with self.lock:
-            for work in self._works.values():
-                for subscriber in list(work.subscribers):
+            for request in self._requests.values():
+                for subscriber in list(request.subscribers):
                     if subscriber.link is link:
-                        self._answers.detach(work, subscriber)
+                        self._answers.detach(request, subscriber)
 
     def set_fault(self, detail: str) -> None:
         """Refuse new work while the endpoint is away, and what waits.
@@ -417,57 +440,60 @@
             self.fault = detail
             if not detail:
                 return
-            for work in list(self._works.values()):
-                if work.phase is works.Phase.QUEUED:
-                    self.fail(work, outcomes.FailCode.NO_CAPACITY, detail)
+            for request in list(self._requests.values()):
+                if request.phase is requests.Phase.QUEUED:
+                    self.fail(request, outcomes.FailCode.NO_CAPACITY, detail)
 
-    def drop_quarantined(self) -> None:
+    def fail_quarantined(self) -> None:
         """Refuse what waits of requests that are now quarantined."""
         with self.lock:
-            for work in list(self._works.values()):
-                if work.phase is not works.Phase.QUEUED:
+            for request in list(self._requests.values()):
+                if request.phase is not requests.Phase.QUEUED:
                     continue
-                if self.is_quarantined(work.terms.fingerprint):
+                if self.is_quarantined(request.terms.fingerprint):
                     code = outcomes.FailCode.QUARANTINED
-                    self.fail(work, code, _QUARANTINED)
+                    self.fail(request, code, _QUARANTINED)
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Refuse new work from now on."""
         with self.lock:
             self.leaving = True
 
-    def _give_up(self, work: works.Work) -> None:
-        if work.finished:
-            self.end(work)
+    def _end_held(self, request: requests.Request) -> None:
+        if request.finished:
+            self.end(request)
             return
         code = outcomes.FailCode.LINK_LOST
-        self.fail(work, code, 'a stage was lost and none took its place')
+        self.fail(request, code, 'a stage was lost and none took its place')
 
-    def _check_work(self, work: works.Work, now: float) -> None:
-        if now > work.deadline:
+    def _check_request(self, request: requests.Request, now: float) -> None:
+        if now > request.deadline:
             self.fail(
-                work, outcomes.FailCode.DEADLINE, 'the deadline has passed'
+                request, outcomes.FailCode.DEADLINE, 'the deadline has passed'
             )
             return
-        if work.held is not None and now - work.held > HOLD_SECONDS:
-            self._give_up(work)
+        if (
+            request.held_since is not None
+            and now - request.held_since > HOLD_SECONDS
+        ):
+            self._end_held(request)
             return
-        if work.detached is None or work.entry is not None:
+        if request.detached_since is None or request.entry is not None:
             return
-        if now - work.detached > self._settings.detach_grace:
+        if now - request.detached_since > self._settings.detach_grace:
             self.fail(
-                work, outcomes.FailCode.LINK_LOST, 'nobody takes the answer'
+                request, outcomes.FailCode.LINK_LOST, 'nobody takes the answer'
             )
 
     def tick(self) -> None:
         """Do what time demands; call it a few times a second."""
         with self.lock:
             now = self._clock()
-            for work in list(self._works.values()):
-                self._check_work(work, now)
-            self.places.tick(now)
+            for request in list(self._requests.values()):
+                self._check_request(request, now)
+            self.capacity.tick(now)
             seconds = ledgers.GENERATION_SECONDS
-            while now - self._generation_began >= seconds:
-                self._generation_began += seconds
+            while now - self._generation_started >= seconds:
+                self._generation_started += seconds
                 self.ledger.tick()
-            self.pump()
+            self.start_queued()
--- a/packages/daemon/src/dunlintide_daemon/agent/heads.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/heads.py
@@ -9,15 +9,15 @@
 from dunlintide_core import outcomes
 from dunlintide_core import positions
 from dunlintide_core import queueing
+from dunlintide_daemon.agent import capacity
 from dunlintide_daemon.agent import peers as peering
-from dunlintide_daemon.agent import places
 from dunlintide_daemon.agent import recovery as recoveries
+from dunlintide_daemon.agent import requests
 from dunlintide_daemon.agent import sessions
 from dunlintide_daemon.agent import table as tables
-from dunlintide_daemon.agent import works
 
 __all__ = [
-    'Heads',
+    'HeadStages',
 ]
 
 BYTES_PER_TOKEN = 4
@@ -34,17 +34,17 @@
         return outcomes.FailCode.INTERNAL
 
 
-def _note_cost(session: sessions.Session) -> None:
+def _record_cost(session: sessions.Session) -> None:
     """Tell the queue what ran in place of what was estimated."""
-    prefilled = session.prompt_tokens + session.known
-    decoded = session.generated - session.known
-    if session.first is not None:
+    prefilled = session.prompt_tokens + session.known_tokens
+    decoded = session.generated - session.known_tokens
+    if session.first_job is not None:
         prefilled = decoded = 0
     elif not session.prompt_tokens:
         # The engine runs the prompt although nobody waits for it.
-        asked = max(0, session.max_tokens - session.known)
-        prefilled = session.work.tokens - asked
-    session.work.spent = queueing.compute_cost(prefilled, decoded)
+        asked = max(0, session.max_tokens - session.known_tokens)
+        prefilled = session.request.tokens - asked
+    session.request.actual_cost = queueing.compute_cost(prefilled, decoded)
 
 
 def _make_chain_key(message: link_pb2.Open) -> tuple:
@@ -54,11 +54,11 @@
     )
 
 
-class Heads:
+class HeadStages:
     """The head's part of the stage logic."""
 
     def __init__(
-        self, table: tables.Table, recovery: recoveries.Recovery
+        self, table: tables.SessionTable, recovery: recoveries.Recovery
     ) -> None:
         self._table = table
         self._recovery = recovery
@@ -66,37 +66,39 @@
         self._peers = table.peers
         self._counts = table.counts
 
-    def _find_obstacle(self, message: link_pb2.Open) -> places.Obstacle | None:
+    def _find_rejection(
+        self, message: link_pb2.Open
+    ) -> capacity.Rejection | None:
         code = outcomes.FailCode.NO_CAPACITY
         identity = self._table.identity
-        if not message.chain or not identity.fits(message.chain[0]):
+        if not message.chain or not identity.matches(message.chain[0]):
             detail = 'the chain does not begin with this agent'
-            return places.Obstacle(code, detail)
+            return capacity.Rejection(code, detail)
         for stage in message.chain[1:]:
             if self._peers.is_leaving(stage.address):
                 code = outcomes.FailCode.LEAVING
                 detail = 'a stage is leaving'
-                return places.Obstacle(code, detail, stage.agent)
+                return capacity.Rejection(code, detail, stage.agent)
         return None
 
     def open(self, link: links.Link, message: link_pb2.Open) -> None:
         """Take in a request to run as head."""
         terms = message.terms
-        subscriber = works.Subscriber(link, terms.request_id, message.epoch)
-        obstacle = self._find_obstacle(message)
+        subscriber = requests.Subscriber(link, terms.request_id, message.epoch)
+        rejection = self._find_rejection(message)
         for stage in message.chain[1:2]:
-            self._peers.prepare(stage.address)
+            self._peers.connect(stage.address)
         claim = message.claim if message.HasField('claim') else None
-        work = self._build_work(message)
+        request = self._build_request(message)
         resumed = len(message.resumed_tokens)
-        self._gate.open(work, claim, subscriber, resumed, obstacle)
+        self._gate.open(request, claim, subscriber, resumed, rejection)
 
-    def _build_work(self, message: link_pb2.Open) -> works.Work:
+    def _build_request(self, message: link_pb2.Open) -> requests.Request:
         terms = message.terms
         resumed = len(message.resumed_tokens)
         prompt_tokens = _estimate_tokens(message.prompt) + resumed
         decoded = max(0, message.max_tokens - resumed)
-        return works.Work(
+        return requests.Request(
             terms.request_id,
             message.epoch,
             terms,
@@ -106,60 +108,64 @@
             start=lambda started: self._start(started, message),
             stop=self._stop,
             chain_key=_make_chain_key(message),
-            take_over=lambda held: self._take_over(held, message),
+            resume_held=lambda held: self._resume_held(held, message),
         )
 
-    def _take_over(self, work: works.Work, message: link_pb2.Open) -> bool:
+    def _resume_held(
+        self, request: requests.Request, message: link_pb2.Open
+    ) -> bool:
         """Go on with a held run over the chain of a newer Open."""
-        session = self._table.find(work.request_id)
-        if session is None or session.work is not work:
+        session = self._table.find(request.request_id)
+        if session is None or session.request is not request:
             return False
         if not message.keep_state or not session.ran_end:
             return False
         if len(message.resumed_tokens) > session.generated:
             return False
         self._recovery.resume(session, message)
-        work.epoch = session.epoch
-        work.chain_key = _make_chain_key(message)
-        work.held = None
+        request.epoch = session.epoch
+        request.chain_key = _make_chain_key(message)
+        request.held_since = None
         return True
 
-    def _start(self, work: works.Work, message: link_pb2.Open) -> None:
+    def _start(
+        self, request: requests.Request, message: link_pb2.Open
+    ) -> None:
         resumed = tuple(message.resumed_tokens)
         session = sessions.Session(
-            work.request_id,
-            work.epoch,
+            request.request_id,
+            request.epoch,
             0,
             tuple(message.chain),
-            work.terms,
+            request.terms,
             message.model,
             message.version,
             message.max_tokens,
-            work.deadline,
-            positions.Cursor(work.epoch),
+            request.deadline,
+            positions.Cursor(request.epoch),
             generated=len(resumed),
-            work=work,
+            request=request,
             prompt=message.prompt,
             tokens=list(resumed),
-            known=len(resumed),
+            known_tokens=len(resumed),
             resuming=message.keep_state,
             prefixes=message.prefixes,
         )
         self._table.replace(session)
-        session.first = sessions.build_prompt_job(
-            session, message.prompt, resumed, work.tokens
+        session.first_job = sessions.build_prompt_job(
+            session, message.prompt, resumed, request.tokens
         )
         wait = peering.CONNECT_SECONDS
-        session.waits_until = self._table.clock() + wait
-        self._begin(session)
+        session.link_deadline = self._table.clock() + wait
+        self._submit_first_job(session)
 
-    def _stop(self, work: works.Work) -> None:
-        session = self._table.find(work.request_id)
-        if session is not None and session.work is work:
-            _note_cost(session)
+    def _stop(self, request: requests.Request) -> None:
+        session = self._table.find(request.request_id)
+        if session is not None and session.request is request:
+            _record_cost(session)
             self._table.release(session)
 
-    def _begin(self, session: sessions.Session) -> None:
+    def _submit_first_job(self, session: sessions.Session) -> None:
         """Run the first step, but not before a next stage that is gone.
 
         So a request whose next stage cannot be reached has not run.
@@ -168,67 +174,69 @@
             stage = session.next
             linked = self._peers.get_incarnation(stage.address)
             if linked is None:
-                self._peers.prepare(stage.address)
+                self._peers.connect(stage.address)
                 return
             if stage.incarnation not in (0, linked):
-                self._fail_unreached(session, 'the next stage has restarted')
+                self._fail_unreachable(session, 'the next stage has restarted')
                 return
-        job, session.first = session.first, None
+        job, session.first_job = session.first_job, None
         self._table.submit(job)
 
-    def _fail_unreached(self, session: sessions.Session, detail: str) -> None:
+    def _fail_unreachable(
+        self, session: sessions.Session, detail: str
+    ) -> None:
         code = outcomes.FailCode.LINK_LOST
         agent = session.next.agent
         self._table.fail(session, code, detail, agent, False)
 
-    def raise_peer(self, address: str) -> None:
+    def handle_peer_up(self, address: str) -> None:
         """Begin what waited for a link that is up now."""
         for session in self._table.list():
-            if session.first and session.next.address == address:
-                self._begin(session)
+            if session.first_job and session.next.address == address:
+                self._submit_first_job(session)
 
     def tick(self, now: float) -> None:
         """End what waits for a link in vain."""
         for session in self._table.list():
-            if session.first and now > session.waits_until:
+            if session.first_job and now > session.link_deadline:
                 detail = 'the next stage cannot be reached'
-                self._fail_unreached(session, detail)
+                self._fail_unreachable(session, detail)
 
     def _find(self, request_id: str, epoch: int) -> sessions.Session | None:
         session = self._table.find(request_id)
         if session is None:
-            self._counts.drop('unknown-token')
+            self._counts.add_drop('unknown-token')
             return None
         if epoch != session.epoch or not session.is_head:
-            self._counts.drop('stale-token')
+            self._counts.add_drop('stale-token')
             return None
         return session
 
-    def take_token(self, token: link_pb2.Token) -> None:
+    def handle_token(self, token: link_pb2.Token) -> None:
         """Take a token of the last stage: pass it on and feed it back."""
         session = self._find(token.request_id, token.epoch)
         if session is None:
             return
         if token.index < session.generated:
-            self._counts.drop('duplicate-token')
+            self._counts.add_drop('duplicate-token')
             return
         if token.index > session.generated:
             self._fail_gap(session)
             return
         session.generated += 1
         session.tokens.append(token.id)
-        self._gate.send(session.work, link_pb2.Frame(token=token))
+        self._gate.send(session.request, link_pb2.Frame(token=token))
         if not token.final:
             job = sessions.build_token_job(session, token.id)
             self._table.submit(job)
 
     def _fail_gap(self, session: sessions.Session) -> None:
-        self._counts.drop('gap-token')
+        self._counts.add_drop('gap-token')
         code = outcomes.FailCode.GAP
         agent = session.last.agent
         self._table.fail(session, code, 'tokens are missing', agent)
 
-    def take_done(self, done: link_pb2.Done) -> None:
+    def handle_done(self, done: link_pb2.Done) -> None:
         """Take the end of an answer from the last stage."""
         session = self._find(done.request_id, done.epoch)
         if session is None:
@@ -236,13 +244,13 @@
         if done.tokens != session.generated:
             self._fail_gap(session)
             return
-        self._gate.send(session.work, link_pb2.Frame(done=done))
+        self._gate.send(session.request, link_pb2.Frame(done=done))
         self._counts.add('tokens', session.generated)
-        _note_cost(session)
+        _record_cost(session)
         self._table.release(session)
-        self._gate.finish(session.work)
+        self._gate.finish(session.request)
 
-    def take_fail(self, fail: link_pb2.Fail) -> None:
+    def handle_fail(self, fail: link_pb2.Fail) -> None:
         """Take the failure of a later stage."""
         session = self._find(fail.request_id, fail.epoch)
         if session is not None:
--- a/packages/daemon/src/dunlintide_daemon/agent/rescue.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/hedging.py
@@ -18,28 +18,28 @@
 import result
 
 from dunlintide_adapters import engine as engines
-from dunlintide_daemon.agent import leftovers
+from dunlintide_daemon.agent import firststeps
 
 __all__ = [
-    'Flight',
-    'Flights',
-    'Rescuer',
-    'is_lost',
-    'is_over',
+    'CallTracker',
+    'EngineCall',
+    'Hedger',
+    'is_answer_lost',
+    'is_delivery_over',
 ]
 
 CHECK_SECONDS = 0.1
 # A call is late after this many times what such calls took of late.
-SLOWNESS = 4.0
+LATE_FACTOR = 4.0
 _SMOOTHING = 0.2
 # A slow answer and the refusal of its double leave the engine together.
 GRACE_SECONDS = 0.5
-_HAS_RUN = 'position'
-_HAS_NEWER = 'stale-epoch'
+_RAN_ERROR = 'position'
+_STALE_EPOCH_ERROR = 'stale-epoch'
 
 
 @attrs.define(eq=False)
-class Flight:
+class EngineCall:
     """One call under way.
 
     :ivar late: monotonic time from which it is looked into
@@ -48,24 +48,24 @@
     """
 
     steps: list[engines.Step]
-    began: float
-    late: float
-    end: float
+    started_at: float
+    late_at: float
+    give_up_at: float
     settled: threading.Event = attrs.field(factory=threading.Event)
     examined: bool = False
 
     @property
-    def begun(self) -> list[str]:
+    def first_step_sessions(self) -> list[str]:
         """Sessions whose first step this is."""
         return [step.session for step in self.steps if not step.position]
 
 
-def is_lost(found: engines.StepResult) -> bool:
+def is_answer_lost(found: engines.StepResult) -> bool:
     """Return whether the engine had run a step: its answer was lost."""
-    return found.error in (_HAS_RUN, _HAS_NEWER)
+    return found.error in (_RAN_ERROR, _STALE_EPOCH_ERROR)
 
 
-def is_over(
+def is_delivery_over(
     called: result.Result[list[engines.StepResult], engines.EngineError],
 ) -> bool:
     """Return whether no step of a call can reach the engine any more."""
@@ -74,7 +74,7 @@
     return bool(called.err_value.status) or not called.err_value.sent
 
 
-class Flights:
+class CallTracker:
     """The calls under way; each is settled by one thread only."""
 
     def __init__(
@@ -87,67 +87,67 @@
         self._silence = silence
         self._clock = clock
         self._lock = threading.Lock()
-        self._flights: set[Flight] = set()
+        self._calls: set[EngineCall] = set()
         self._mean = 0.0
 
     def begin(
-        self, steps: list[engines.Step], work: float, longest: float
-    ) -> Flight:
+        self, steps: list[engines.Step], size_seconds: float, timeout: float
+    ) -> EngineCall:
         """Take note of a call.
 
         :param work: seconds that its size allows it beyond others
         :param longest: seconds that it may take at most
         """
         now = self._clock()
-        late = now + self._silence + work + SLOWNESS * self._mean
-        flight = Flight(steps, now, late, now + longest)
+        late_at = now + self._silence + size_seconds + LATE_FACTOR * self._mean
+        call = EngineCall(steps, now, late_at, now + timeout)
         with self._lock:
-            self._flights.add(flight)
-        return flight
+            self._calls.add(call)
+        return call
 
-    def settle(self, flight: Flight) -> bool:
+    def settle(self, call: EngineCall) -> bool:
         """Take over the outcome of a call; False when another has."""
         with self._lock:
-            if flight.settled.is_set():
+            if call.settled.is_set():
                 return False
-            flight.settled.set()
-            self._flights.discard(flight)
-            took = self._clock() - flight.began
+            call.settled.set()
+            self._calls.discard(call)
+            took = self._clock() - call.started_at
             self._mean += _SMOOTHING * (took - self._mean)
             return True
 
-    def take_late(self) -> list[Flight]:
+    def claim_late(self) -> list[EngineCall]:
         """Give the calls that are late and that nobody looks into."""
         now = self._clock()
         with self._lock:
             found = [
                 one
-                for one in self._flights
-                if not one.examined and now > one.late
+                for one in self._calls
+                if not one.examined and now > one.late_at
             ]
             for one in found:
                 one.examined = True
             return found
 
-    def put_off(self, flight: Flight) -> None:
+    def postpone(self, call: EngineCall) -> None:
         """Look into a call again later."""
-        flight.late = self._clock() + self._silence
-        flight.examined = False
+        call.late_at = self._clock() + self._silence
+        call.examined = False
 
-    def tell_left(self, flight: Flight) -> float:
+    def get_remaining_seconds(self, call: EngineCall) -> float:
         """Return the seconds until a call is given up."""
-        return max(0.0, flight.end - self._clock())
+        return max(0.0, call.give_up_at - self._clock())
 
 
-class Rescuer:
+class Hedger:
     """Looks into late calls, each on a thread of its own."""
 
     def __init__(
         self,
         engine: engines.Engine,
-        flights: Flights,
-        take_over: Callable[[Flight, list[engines.StepResult]], None],
-        kept: leftovers.Leftovers,
+        tracker: CallTracker,
+        complete: Callable[[EngineCall, list[engines.StepResult]], None],
+        first_steps: firststeps.FirstSteps,
     ) -> None:
         """Remember whom to ask and whom to tell.
 
@@ -156,38 +156,40 @@
         :param kept: hears which first steps are asked for again
         """
         self._engine = engine
-        self._flights = flights
-        self._take_over = take_over
-        self._kept = kept
+        self._calls = tracker
+        self._complete = complete
+        self._first_steps = first_steps
 
     def run(self, stopped: threading.Event) -> None:
         """Look into late calls until the event is set."""
         while not stopped.wait(CHECK_SECONDS):
-            for flight in self._flights.take_late():
+            for call in self._calls.claim_late():
                 threading.Thread(
                     target=self._examine,
-                    args=(flight,),
+                    args=(call,),
                     name='rescue',
                     daemon=True,
                 ).start()
 
-    def _examine(self, flight: Flight) -> None:
+    def _examine(self, call: EngineCall) -> None:
         if self._engine.check_health().is_err():
             # The supervisor tells when the engine is to be given up.
-            self._flights.put_off(flight)
+            self._calls.postpone(call)
             return
-        left = self._flights.tell_left(flight)
-        if not left:
+        remaining = self._calls.get_remaining_seconds(call)
+        if not remaining:
             return  # The call ends by itself now.
-        self._kept.begin(flight.begun)
-        asked = self._engine.run_steps(flight.steps, left, anew=True)
-        if asked.is_ok():
-            flight.settled.wait(GRACE_SECONDS)
-        if asked.is_err() or not self._flights.settle(flight):
-            self._kept.end(flight.begun, answered=is_over(asked))
-            self._flights.put_off(flight)
+        self._first_steps.add_call(call.first_step_sessions)
+        hedged = self._engine.run_steps(call.steps, remaining, anew=True)
+        if hedged.is_ok():
+            call.settled.wait(GRACE_SECONDS)
+        if hedged.is_err() or not self._calls.settle(call):
+            self._first_steps.end_call(
+                call.first_step_sessions, answered=is_delivery_over(hedged)
+            )
+            self._calls.postpone(call)
             return
         # From now on it is the first call that may be late; see ``Driver``.
         # Idle connections may have gone silent with this one.
         self._engine.renew()
-        self._take_over(flight, asked.ok_value)
+        self._complete(call, hedged.ok_value)
--- a/packages/daemon/src/dunlintide_daemon/agent/orders.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/orders.py
@@ -22,21 +22,21 @@
 from dunlintide_core import placement
 
 __all__ = [
+    'HandleOrder',
     'Hooks',
     'Orders',
     'Refresh',
-    'Take',
 ]
 
 # Sessions of layers that are given up get this long to finish.
-RETIRE_SECONDS = 5.0
-LOAD_SECONDS = 600.0
+DRAIN_SECONDS = 5.0
+LOAD_TIMEOUT_SECONDS = 600.0
 _POLL_SECONDS = 0.05
-_NOT_TOLD = 404
+_UNSUPPORTED_STATUS = 404
 
 
 @attrs.frozen
-class Take:
+class HandleOrder:
     """An order that came over a link."""
 
     link: links.Link
@@ -61,9 +61,9 @@
     """
 
     get_holding: Callable[[], placement.Holding]
-    adopt: Callable[[placement.Holding, int], None]
+    apply_holding: Callable[[placement.Holding, int], None]
     count_sessions: Callable[[], int]
-    lose_sessions: Callable[[str], None]
+    fail_sessions: Callable[[str], None]
     is_leaving: Callable[[], bool]
     crash: Callable[[], None]
 
@@ -97,8 +97,8 @@
 
     def on_receive(self, message) -> None:
         """Handle one message."""
-        if isinstance(message, Take):
-            self._take(message.link, message.order)
+        if isinstance(message, HandleOrder):
+            self._handle_order(message.link, message.order)
         elif isinstance(message, Refresh):
             self._refresh()
 
@@ -111,14 +111,14 @@
         """Adopt what the engine holds; False when it could not tell."""
         read = self._engine.read_holding()
         if isinstance(read, result.Err):
-            return read.err_value.status == _NOT_TOLD
-        told = read.ok_value
-        self._fence = max(self._fence, told.fence)
-        self._loading = told.loading
-        holding = _make_holding(told)
+            return read.err_value.status == _UNSUPPORTED_STATUS
+        reported = read.ok_value
+        self._fence = max(self._fence, reported.fence)
+        self._loading = reported.loading
+        holding = _make_holding(reported)
         if not holding.equals(self._hooks.get_holding()):
-            self._hooks.adopt(holding, told.layer_count)
-            self._hooks.lose_sessions('the endpoint holds other layers')
+            self._hooks.apply_holding(holding, reported.layer_count)
+            self._hooks.fail_sessions('the endpoint holds other layers')
         return True
 
     def _reply(
@@ -149,7 +149,7 @@
             return placement.Refusal.HOLDS_OTHER
         return None
 
-    def _take(self, link: links.Link, order: link_pb2.Order) -> None:
+    def _handle_order(self, link: links.Link, order: link_pb2.Order) -> None:
         refusal = self._find_refusal(order)
         logging.info(
             'order of %s, fence %d, for layers %d to %d of %s: %s',
@@ -162,20 +162,20 @@
         )
         self._reply(link, order, refusal or '')
         if refusal is None:
-            self._retire(order)
+            self._drain_sessions(order)
             self._load(link, order)
 
-    def _retire(self, order: link_pb2.Order) -> None:
+    def _drain_sessions(self, order: link_pb2.Order) -> None:
         """Take no sessions for the old layers and let the last ones end.
 
         Before the engine changes its layers, so that no session can run
         on a mixture of both, whether the engine checks that or not.
         """
-        self._hooks.adopt(placement.Holding(), 0)
-        end = time.monotonic() + RETIRE_SECONDS
-        while self._hooks.count_sessions() and time.monotonic() < end:
+        self._hooks.apply_holding(placement.Holding(), 0)
+        deadline = time.monotonic() + DRAIN_SECONDS
+        while self._hooks.count_sessions() and time.monotonic() < deadline:
             time.sleep(_POLL_SECONDS)
-        self._hooks.lose_sessions('the endpoint is to hold other layers')
+        self._hooks.fail_sessions('the endpoint is to hold other layers')
 
     def _load(self, link: links.Link, order: link_pb2.Order) -> None:
         wanted = engines.EngineHolding(
@@ -185,10 +185,12 @@
             order.layer_end,
             order.layer_count,
         )
-        given = self._engine.give_order(order.fence, wanted, LOAD_SECONDS)
-        failure = given.err_value if given.is_err() else None
+        loaded = self._engine.give_order(
+            order.fence, wanted, LOAD_TIMEOUT_SECONDS
+        )
+        failure = loaded.err_value if loaded.is_err() else None
         if failure is None:
-            self._hooks.adopt(_make_holding(order), order.layer_count)
+            self._hooks.apply_holding(_make_holding(order), order.layer_count)
         # What the engine tells goes before what it was to hold.
         self._refresh()
         if _make_holding(order) == self._hooks.get_holding():
--- a/packages/daemon/src/dunlintide_daemon/agent/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/peers.py
@@ -35,7 +35,7 @@
     :ivar lost: gets the address and reason of a lost link
     """
 
-    take: Callable[[links.Link, list[link_pb2.Frame]], None]
+    frames: Callable[[links.Link, list[link_pb2.Frame]], None]
     up: Callable[[str], None]
     lost: Callable[[str, str], None]
 
@@ -46,7 +46,7 @@
     link: links.Link | None = None
     waiting: list[link_pb2.Frame] = attrs.field(factory=list)
     waiting_since: float = 0.0
-    used: float = 0.0
+    used_at: float = 0.0
     leaving: bool = False
 
 
@@ -71,7 +71,7 @@
         self._peers: dict[str, _Peer] = {}
         self._closed = False
 
-    def _raise(self, address: str, link: links.Link) -> None:
+    def _handle_up(self, address: str, link: links.Link) -> None:
         with self._lock:
             peer = self._peers.get(address)
             if peer is None:
@@ -83,7 +83,9 @@
             peer.link = link
         self._handlers.up(address)
 
-    def _drop(self, address: str, link: links.Link, reason: str) -> None:
+    def _handle_down(
+        self, address: str, link: links.Link, reason: str
+    ) -> None:
         with self._lock:
             peer = self._peers.get(address)
             if peer is not None and peer.link is link:
@@ -91,7 +93,7 @@
         if not self._closed:
             self._handlers.lost(address, reason)
 
-    def _note(
+    def _handle_frames(
         self, address: str, link: links.Link, frames: list[link_pb2.Frame]
     ) -> None:
         for frame in frames:
@@ -99,13 +101,15 @@
                 with self._lock:
                     if address in self._peers:
                         self._peers[address].leaving = True
-        self._handlers.take(link, frames)
+        self._handlers.frames(link, frames)
 
     def _dial(self, address: str) -> _Peer:
         handlers = links.Handlers(
-            up=lambda link: self._raise(address, link),
-            frames=lambda link, frames: self._note(address, link, frames),
-            down=lambda link, reason: self._drop(address, link, reason),
+            up=lambda link: self._handle_up(address, link),
+            frames=lambda link, frames: self._handle_frames(
+                address, link, frames
+            ),
+            down=lambda link, reason: self._handle_down(address, link, reason),
         )
         dialer = links.Dialer(
             address,
@@ -115,12 +119,12 @@
             transport=self._transport,
             role=fleet.Role.AGENT,
         )
-        peer = _Peer(dialer, used=self._clock())
+        peer = _Peer(dialer, used_at=self._clock())
         self._peers[address] = peer
         dialer.start()
         return peer
 
-    def prepare(self, address: str) -> None:
+    def connect(self, address: str) -> None:
         """Begin to open a link that will be needed soon."""
         with self._lock:
             if not self._closed and address not in self._peers:
@@ -147,7 +151,7 @@
             if self._closed:
                 return False
             peer = self._peers.get(address) or self._dial(address)
-            peer.used = now
+            peer.used_at = now
             if peer.link is not None:
                 return peer.link.send(frame)
             if len(peer.waiting) >= MAX_WAITING_FRAMES:
@@ -193,7 +197,7 @@
             idle = [
                 address
                 for address, peer in self._peers.items()
-                if address not in needed and now - peer.used > IDLE_SECONDS
+                if address not in needed and now - peer.used_at > IDLE_SECONDS
             ]
             closing = [self._peers.pop(address) for address in idle]
         for address in unreachable:
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -24,9 +24,9 @@
     'Pipeline',
 ]
 
-_NO_ROOM = 'kv-full'
+_KV_FULL_ERROR = 'kv-full'
 # The engine has not run the step and wants to be asked again.
-_WAIT = 'kv-wait'
+_RETRY_ERROR = 'kv-wait'
 
 
 def _list_suspects(jobs: list[drivers.Job]) -> list[poison.Suspect]:
@@ -46,22 +46,22 @@
 
     def __init__(
         self,
-        table: tables.Table,
+        table: tables.SessionTable,
         suspicion: suspicions.Suspicion,
     ) -> None:
         """Remember what to work with."""
         self._table = table
         self._suspicion = suspicion
-        self._stages = stages.Stages(table)
+        self._stages = stages.LaterStages(table)
         self._recovery = recovery.Recovery(table, self._stages)
-        self._heads = heads.Heads(table, self._recovery)
+        self._heads = heads.HeadStages(table, self._recovery)
         self._lock = table.gate.lock
 
     def __len__(self) -> int:
         return len(self._table)
 
     @property
-    def _place(self) -> poison.LayerRange:
+    def _layer_range(self) -> poison.LayerRange:
         identity = self._table.identity
         return poison.LayerRange(
             identity.model, identity.layer_start, identity.layer_end
@@ -70,7 +70,7 @@
     def count_stages(self) -> dict[str, int]:
         """Return how many sessions are here as head and as later stage."""
         with self._lock:
-            count = sum(one.is_head for one in self._table.list())
+            count = sum(session.is_head for session in self._table.list())
             return {'head': count, 'later': len(self._table) - count}
 
     def list_addresses(self) -> set[str]:
@@ -84,7 +84,7 @@
                     found.add(session.head.address)
             return found
 
-    def adopt(self, holding: placement.Holding) -> None:
+    def set_holding(self, holding: placement.Holding) -> None:
         """Take new sessions for other layers than before."""
         with self._lock:
             self._table.identity = attrs.evolve(
@@ -95,24 +95,24 @@
         """Return how many steps one call to the engine may take."""
         return self._table.limit_batch()
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Take no new sessions once heads had time to hear of it."""
         with self._lock:
-            self._stages.leave()
+            self._stages.start_leaving()
 
-    def is_open(self) -> bool:
+    def accepts_sessions(self) -> bool:
         """Return whether sessions of other heads may still come."""
         with self._lock:
-            return self._stages.is_open()
+            return self._stages.accepts_sessions()
 
     # Results of the engine.
 
-    def take_results(
+    def handle_results(
         self, pairs: list[tuple[drivers.Job, engines.StepResult]]
     ) -> None:
         """Pass on what the engine has run."""
         self._suspicion.note_steps(
-            self._place,
+            self._layer_range,
             [
                 suspicions.Passed(
                     job.owner.terms.fingerprint,
@@ -126,26 +126,26 @@
         with self._lock:
             for job, found in pairs:
                 session = job.owner
-                self._table.note_back(session)
-                if not self._table.holds(session):
-                    self._table.counts.drop('late-result')
-                elif found.error == _WAIT:
+                self._table.finish_step(session)
+                if not self._table.is_current(session):
+                    self._table.counts.add_drop('late-result')
+                elif found.error == _RETRY_ERROR:
                     self._table.submit(job)
                 elif found.error:
-                    self._take_error(session, found.error)
+                    self._handle_error(session, found.error)
                 else:
-                    self._take_result(session, found)
+                    self._handle_result(session, found)
 
-    def _take_error(self, session: sessions.Session, error: str) -> None:
+    def _handle_error(self, session: sessions.Session, error: str) -> None:
         code = outcomes.FailCode.ENDPOINT_FAILED
         ran = True
-        if error == _NO_ROOM:
+        if error == _KV_FULL_ERROR:
             code = outcomes.FailCode.NO_CAPACITY
             ran = session.ran
         detail = f'the engine refused a step: {error}'
         self._table.fail(session, code, detail, ran=ran)
 
-    def _take_result(
+    def _handle_result(
         self, session: sessions.Session, found: engines.StepResult
     ) -> None:
         session.ran = True
@@ -153,24 +153,24 @@
         if session.is_head and not session.cursor.next_position:
             session.prompt_tokens = found.count - session.generated
             session.cursor.accept(session.epoch, 0, found.count)
-            self._table.note_prompt(session)
+            self._table.on_prompt(session)
         if not session.is_last:
-            self._pass_step(session, found)
+            self._forward_step(session, found)
         elif found.token is None:
-            self._take_error(session, 'no-token')
+            self._handle_error(session, 'no-token')
         else:
             end = found.position + found.count
             index = end - session.prompt_tokens
-            self._pass_token(session, index, found.token)
+            self._forward_token(session, index, found.token)
 
-    def _pass_step(
+    def _forward_step(
         self, session: sessions.Session, found: engines.StepResult
     ) -> None:
-        self._recovery.keep(session, found)
-        if session.held is not None or session.waiting:
+        self._recovery.keep_activations(session, found)
+        if session.held_since is not None or session.awaits_reply:
             return
-        if session.resuming and not session.announced:
-            self._recovery.announce(session)
+        if session.resuming and not session.next_has_setup:
+            self._recovery.send_resume(session)
             return
         step = link_pb2.Step(
             request_id=session.request_id,
@@ -180,27 +180,27 @@
             count=found.count,
             activations=found.activations,
         )
-        if not session.announced:
+        if not session.next_has_setup:
             setup = sessions.build_setup(session, self._table.clock())
             step.setup.CopyFrom(setup)
-            session.announced = True
+            session.next_has_setup = True
         frame = link_pb2.Frame(step=step)
         if not self._table.peers.send(session.next.address, frame):
             code = outcomes.FailCode.LINK_LOST
             detail = 'the link to the next stage is backed up'
             self._table.fail(session, code, detail, session.next.agent)
 
-    def _pass_token(
+    def _forward_token(
         self,
         session: sessions.Session,
         index: int,
         sampled: engines.SampledToken,
     ) -> None:
-        if index < session.known:
-            self._table.counts.drop('replayed-token')
+        if index < session.known_tokens:
+            self._table.counts.add_drop('replayed-token')
             return
         session.sampled.append((index, sampled))
-        if session.held is None:
+        if session.held_since is None:
             self._send_token(session, index, sampled)
 
     def _send_token(
@@ -212,9 +212,9 @@
         token = sessions.build_token(session, index, sampled)
         done = sessions.build_done(session, index, sampled)
         if session.is_head:
-            self._heads.take_token(token)
+            self._heads.handle_token(token)
             if token.final:
-                self._heads.take_done(done)
+                self._heads.handle_done(done)
             return
         address = session.head.address
         frame = link_pb2.Frame(token=token)
@@ -239,43 +239,46 @@
         with self._lock:
             for job in jobs:
                 session = job.owner
-                self._table.note_back(session)
-                if self._table.holds(session):
+                self._table.finish_step(session)
+                if self._table.is_current(session):
                     ran = error.sent or session.ran
                     self._table.fail(session, code, error.detail, ran=ran)
 
     # Crashes.
 
-    def accuse(self, failed: list[drivers.Job] | None = None) -> None:
+    def report_crash(self, failed: list[drivers.Job] | None = None) -> None:
         """Put a crash of the engine down to what it was running.
 
         :param failed: jobs that the crash was seen by
         """
-        suspects = _list_suspects(self._table.driver.accuse(failed))
+        suspects = _list_suspects(self._table.driver.collect_suspects(failed))
         if suspects:
             identity = self._table.identity
             self._suspicion.accuse(
-                identity.name, identity.incarnation, self._place, suspects
+                identity.name,
+                identity.incarnation,
+                self._layer_range,
+                suspects,
             )
-            self.drop_quarantined()
+            self.fail_quarantined()
 
     def runs_alone(self, job: drivers.Job) -> bool:
         """Tell whether a step must share the engine with none."""
         terms = job.owner.terms
         return self._suspicion.runs_alone(
-            terms.fingerprint, terms.team, self._place
+            terms.fingerprint, terms.team, self._layer_range
         )
 
-    def drop_quarantined(self) -> None:
+    def fail_quarantined(self) -> None:
         """End what waits or runs of requests that are now quarantined."""
         is_quarantined = self._suspicion.is_quarantined
         code = outcomes.FailCode.QUARANTINED
         detail = 'the request has crashed endpoints'
         with self._lock:
-            self._table.gate.drop_quarantined()
+            self._table.gate.fail_quarantined()
             for session in self._table.list():
                 if is_quarantined(session.terms.fingerprint):
-                    ran = session.first is None
+                    ran = session.first_job is None
                     self._table.fail(session, code, detail, ran=ran)
 
     def fail_all(self, detail: str) -> None:
@@ -283,7 +286,7 @@
         code = outcomes.FailCode.ENDPOINT_FAILED
         with self._lock:
             for session in self._table.list():
-                ran = session.first is None
+                ran = session.first_job is None
                 self._table.fail(session, code, detail, ran=ran)
 
     # Frames of entries and other agents.
@@ -293,38 +296,38 @@
         with self._lock:
             self._heads.open(link, message)
 
-    def take_step(self, link: links.Link, step: link_pb2.Step) -> None:
+    def handle_step(self, link: links.Link, step: link_pb2.Step) -> None:
         """Take activations of the stage before."""
         with self._lock:
-            self._stages.take_step(link, step)
+            self._stages.handle_step(link, step)
 
-    def take_resume(self, link: links.Link, resume: link_pb2.Resume) -> None:
+    def handle_resume(self, link: links.Link, resume: link_pb2.Resume) -> None:
         """Take a new chain of the stage before, or a reply to one."""
         with self._lock:
             if resume.reply:
-                self._recovery.take_reply(resume)
+                self._recovery.handle_reply(resume)
                 return
-            session = self._recovery.take_resume(link, resume)
+            session = self._recovery.handle_resume(link, resume)
             if session is not None:
                 for index, sampled in tuple(session.sampled):
                     self._send_token(session, index, sampled)
 
-    def take_token(self, token: link_pb2.Token) -> None:
+    def handle_token(self, token: link_pb2.Token) -> None:
         """Take a token of the last stage."""
         with self._lock:
-            self._heads.take_token(token)
+            self._heads.handle_token(token)
 
-    def take_done(self, done: link_pb2.Done) -> None:
+    def handle_done(self, done: link_pb2.Done) -> None:
         """Take the end of an answer from the last stage."""
         with self._lock:
-            self._heads.take_done(done)
+            self._heads.handle_done(done)
 
-    def take_fail(self, fail: link_pb2.Fail) -> None:
+    def handle_fail(self, fail: link_pb2.Fail) -> None:
         """Take the failure of a later stage."""
         with self._lock:
-            self._heads.take_fail(fail)
+            self._heads.handle_fail(fail)
 
-    def take_cancel(self, link: links.Link, cancel: link_pb2.Cancel) -> None:
+    def handle_cancel(self, link: links.Link, cancel: link_pb2.Cancel) -> None:
         """Free a session on the word of a caller or the stage before."""
         with self._lock:
             session = self._table.find(cancel.request_id)
@@ -332,7 +335,7 @@
                 gate = self._table.gate
                 gate.cancel(cancel.request_id, cancel.epoch, link)
             elif cancel.epoch < session.epoch:
-                self._table.counts.drop('stale-cancel')
+                self._table.counts.add_drop('stale-cancel')
             elif cancel.hold:
                 self._recovery.hold(session)
             else:
@@ -340,18 +343,18 @@
 
     # Links and time.
 
-    def raise_peer(self, address: str) -> None:
+    def handle_peer_up(self, address: str) -> None:
         """Take note of a link that this agent opened and that is up."""
         with self._lock:
-            self._heads.raise_peer(address)
+            self._heads.handle_peer_up(address)
 
-    def lose_peer(self, address: str, reason: str) -> None:
+    def handle_peer_loss(self, address: str, reason: str) -> None:
         """End what relied on a link that this agent had opened."""
         code = outcomes.FailCode.LINK_LOST
         detail = f'the link to an agent was lost: {reason}'
         with self._lock:
             for session in self._table.list():
-                if session.announced and session.next.address == address:
+                if session.next_has_setup and session.next.address == address:
                     agent = session.next.agent
                 elif not session.is_head and session.head.address == address:
                     agent = session.head.agent
@@ -359,7 +362,7 @@
                     continue
                 self._table.fail(session, code, detail, agent)
 
-    def lose_link(self, link: links.Link) -> None:
+    def handle_link_loss(self, link: links.Link) -> None:
         """End what relied on a link that another agent had opened."""
         code = outcomes.FailCode.LINK_LOST
         detail = 'the link from an agent was lost'
@@ -368,7 +371,7 @@
             for session in self._table.list():
                 if session.upstream is link:
                     agent = session.chain[session.stage - 1].agent
-                elif session.announced and session.is_head:
+                elif session.next_has_setup and session.is_head:
                     if session.last.agent != name:
                         continue
                     agent = name
--- a/packages/daemon/src/dunlintide_daemon/agent/process.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/process.py
@@ -15,7 +15,7 @@
     'run',
 ]
 
-FAILED = 1
+EXIT_FAILURE = 1
 VITAL_THREADS = frozenset(('driver', 'reaper', 'ticker'))
 
 
@@ -40,7 +40,7 @@
 def _watch_threads(crash: Callable[[], None]) -> Iterator[None]:
     """Stop the process when a vital thread dies, within the block."""
 
-    def take(details: threading.ExceptHookArgs) -> None:
+    def handle_exception(details: threading.ExceptHookArgs) -> None:
         name = details.thread.name if details.thread else ''
         logging.error(
             'thread %s failed',
@@ -54,7 +54,7 @@
         if name in VITAL_THREADS:
             crash()
 
-    previous, threading.excepthook = threading.excepthook, take
+    previous, threading.excepthook = threading.excepthook, handle_exception
     try:
         yield
     finally:
@@ -74,4 +74,4 @@
         stack.enter_context(_watch_threads(agent.crash))
         logging.info('agent %s serves at %s', settings.name, agent.address)
         agent.done.wait()
-    return FAILED if agent.failed else 0
+    return EXIT_FAILURE if agent.failed else 0
--- a/packages/daemon/src/dunlintide_daemon/agent/recovery.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/recovery.py
@@ -42,29 +42,31 @@
 class Recovery:
     """Changes of the chain of sessions that have begun."""
 
-    def __init__(self, table: tables.Table, later: stages.Stages) -> None:
+    def __init__(
+        self, table: tables.SessionTable, later_stages: stages.LaterStages
+    ) -> None:
         self._table = table
-        self._stages = later
+        self._stages = later_stages
 
-    def keep(
+    def keep_activations(
         self, session: sessions.Session, found: engines.StepResult
     ) -> None:
         """Keep a result for the replacement of the next stage."""
         span = activations.Span(found.position, found.count, found.activations)
-        self._table.kept.add(session.request_id, span)
+        self._table.activation_store.add(session.request_id, span)
 
     def hold(self, session: sessions.Session) -> None:
         """Keep a session whose chain has ended, for a Resume."""
-        if session.held is None:
-            session.held = self._table.clock()
+        if session.held_since is None:
+            session.held_since = self._table.clock()
             self._table.cancel_next(session, hold=True)
 
-    def announce(self, session: sessions.Session) -> None:
+    def send_resume(self, session: sessions.Session) -> None:
         """Tell the next stage of the chain and ask what it lacks."""
         if session.is_last:
             return
-        session.announced = True
-        session.waiting = True
+        session.next_has_setup = True
+        session.awaits_reply = True
         resume = link_pb2.Resume(
             request_id=session.request_id,
             epoch=session.epoch,
@@ -82,20 +84,20 @@
         self._table.fail(session, code, detail, session.next.agent)
         return False
 
-    def _begin_epoch(
+    def _start_epoch(
         self,
         session: sessions.Session,
         epoch: int,
         chain: tuple[link_pb2.Stage, ...],
     ) -> None:
-        self._cancel_dropped(session, chain)
+        self._cancel_removed(session, chain)
         session.epoch = epoch
         session.cursor.advance_epoch(epoch)
-        session.held = None
-        session.announced = False
-        self._table.rechain(session, chain)
+        session.held_since = None
+        session.next_has_setup = False
+        self._table.set_chain(session, chain)
 
-    def _cancel_dropped(
+    def _cancel_removed(
         self, session: sessions.Session, chain: tuple[link_pb2.Stage, ...]
     ) -> None:
         """Free stages that are no longer in the chain but may be alive."""
@@ -118,11 +120,11 @@
         """Go on as head over the chain of a newer Open."""
         # A claimed run may be asked for under another id and epoch.
         epoch = max(session.epoch + 1, message.epoch)
-        self._begin_epoch(session, epoch, tuple(message.chain))
-        session.known = session.generated
-        self.announce(session)
+        self._start_epoch(session, epoch, tuple(message.chain))
+        session.known_tokens = session.generated
+        self.send_resume(session)
 
-    def take_resume(
+    def handle_resume(
         self, link: links.Link, resume: link_pb2.Resume
     ) -> sessions.Session | None:
         """Take the chain of a newer epoch from the stage before.
@@ -132,57 +134,57 @@
         session = self._table.find(resume.request_id)
         if session is not None:
             if session.is_head or resume.epoch <= session.epoch:
-                self._table.counts.drop('stale-resume')
+                self._table.counts.add_drop('stale-resume')
                 return None
-        if session is None or not self._fits(resume):
-            session = self._stages.set_up(link, resume)
+        if session is None or not self._matches_stage(resume):
+            session = self._stages.start_session(link, resume)
             if session is None:
                 return None
         else:
-            session = self._renew(session, link, resume)
+            session = self._update_session(session, link, resume)
         self._reply(session)
-        self.announce(session)
-        return session if self._table.holds(session) else None
+        self.send_resume(session)
+        return session if self._table.is_current(session) else None
 
-    def _fits(self, resume: link_pb2.Resume) -> bool:
+    def _matches_stage(self, resume: link_pb2.Resume) -> bool:
         chain = resume.setup.chain
         if not 0 < resume.stage < len(chain):
             return False
-        return self._table.identity.fits(chain[resume.stage])
+        return self._table.identity.matches(chain[resume.stage])
 
-    def _renew(
+    def _update_session(
         self,
         session: sessions.Session,
         link: links.Link,
         resume: link_pb2.Resume,
     ) -> sessions.Session:
         setup = resume.setup
-        self._begin_epoch(session, resume.epoch, tuple(setup.chain))
+        self._start_epoch(session, resume.epoch, tuple(setup.chain))
         self._table.counts.add('stage-resumed')
         session.stage = resume.stage
         session.upstream = link
-        session.known = setup.known_tokens
+        session.known_tokens = setup.known_tokens
         if session.is_last:
-            session = self._check_sampled(session)
+            session = self._restore_sampled(session)
         else:
-            self._table.peers.prepare(session.next.address)
-        self._table.peers.prepare(session.head.address)
+            self._table.peers.connect(session.next.address)
+        self._table.peers.connect(session.head.address)
         end = session.cursor.next_position
-        session.ahead = end > session.boundary
+        session.ran_ahead = end > session.boundary
         return session
 
-    def _check_sampled(self, session: sessions.Session) -> sessions.Session:
+    def _restore_sampled(self, session: sessions.Session) -> sessions.Session:
         """Go back to sample a token that nobody has any more."""
         wanted = [
             (index, sampled)
             for index, sampled in session.sampled
-            if index >= session.known
+            if index >= session.known_tokens
         ]
         session.sampled.clear()
         session.sampled.extend(wanted)
         if session.ran_end < session.boundary:
             return session
-        if wanted and wanted[0][0] == session.known:
+        if wanted and wanted[0][0] == session.known_tokens:
             return session
         return self._rewind(session, session.boundary - 1)
 
@@ -191,18 +193,18 @@
     ) -> sessions.Session:
         """Drop the positions from one on; a copy drops late results."""
         self._table.counts.add('rewound')
-        self._table.kept.truncate(session.request_id, position)
+        self._table.activation_store.truncate(session.request_id, position)
         last = position - session.prompt_tokens
         sampled = [pair for pair in session.sampled if pair[0] <= last]
         copy = attrs.evolve(
             session,
             cursor=positions.build_rewound(session.epoch, position),
             ran_end=min(position, session.ran_end),
-            ahead=False,
+            ran_ahead=False,
             truncate=True,
             sampled=type(session.sampled)(sampled, sessions.MAX_SAMPLED),
         )
-        self._table.swap(copy)
+        self._table.replace_copy(copy)
         return copy
 
     def _reply(self, session: sessions.Session) -> None:
@@ -214,23 +216,23 @@
         )
         session.upstream.send(link_pb2.Frame(resume=reply))
 
-    def take_reply(self, reply: link_pb2.Resume) -> None:
+    def handle_reply(self, reply: link_pb2.Resume) -> None:
         """Send the next stage what it lacks."""
         session = self._table.find(reply.request_id)
         if session is None or session.epoch != reply.epoch:
-            self._table.counts.drop('stale-resume')
+            self._table.counts.add_drop('stale-resume')
             return
         wanted = reply.next_position
-        if session.ahead and wanted <= session.boundary:
+        if session.ran_ahead and wanted <= session.boundary:
             session = self._rewind(session, session.boundary)
             self._reply(session)
-        session.waiting = False
+        session.awaits_reply = False
         if wanted >= session.ran_end:
             return
-        kept = self._table.kept
+        kept = self._table.activation_store
         span = kept.read(session.request_id, wanted, session.ran_end)
         if span is None:
-            self._run_again(session)
+            self._rerun(session)
             return
         self._table.counts.add('replayed-positions', span.count)
         for part in _split(span):
@@ -250,19 +252,19 @@
         )
         return self._send(session, link_pb2.Frame(step=step))
 
-    def _run_again(self, session: sessions.Session) -> None:
+    def _rerun(self, session: sessions.Session) -> None:
         """Run this stage's layers again: what was sent on is not kept."""
         self._table.counts.add('run-again')
-        self._table.kept.drop(session.request_id)
+        self._table.activation_store.drop(session.request_id)
         self._table.free(session)
         copy = attrs.evolve(
             session,
             cursor=positions.build_rewound(session.epoch, 0),
             ran_end=0,
-            ahead=False,
+            ran_ahead=False,
             truncate=False,
         )
-        self._table.swap(copy)
+        self._table.replace_copy(copy)
         if not copy.is_head:
             self._reply(copy)
             return
--- a/packages/daemon/src/dunlintide_daemon/agent/works.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/requests.py
@@ -13,8 +13,8 @@
 
 __all__ = [
     'Phase',
+    'Request',
     'Subscriber',
-    'Work',
     'build_fail',
     'read_claim',
 ]
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False)
-class Work:
+class Request:
     """One request that this agent runs as head, or calls a service for.
 
     :ivar epoch: of the run; subscribers may have newer ones
@@ -81,23 +81,23 @@
     deadline: float
     cost: float
     tokens: int
-    start: Callable[['Work'], None]
-    stop: Callable[['Work'], None]
+    start: Callable[['Request'], None]
+    stop: Callable[['Request'], None]
     keeps_log: bool = True
     chain_key: tuple = ()
     entry: ledger.Record | None = None
     phase: Phase = Phase.QUEUED
     ticket: queueing.Ticket | None = None
-    spent: float | None = None
-    under_way: int = 0
+    actual_cost: float | None = None
+    steps_under_way: int = 0
     subscribers: list[Subscriber] = attrs.field(factory=list)
     log: list[link_pb2.Frame] = attrs.field(factory=list)
     log_bytes: int = 0
-    detached: float | None = None
-    begun: float = 0.0
-    held: float | None = None
+    detached_since: float | None = None
+    started_at: float = 0.0
+    held_since: float | None = None
     finished: bool = False
-    take_over: Callable[['Work'], bool] = lambda other: False
+    resume_held: Callable[['Request'], bool] = lambda other: False
 
 
 def read_claim(claim: link_pb2.Claim) -> ledger.Claim:
--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -32,7 +32,7 @@
 from dunlintide_daemon.agent import dispatch
 from dunlintide_daemon.agent import driver as drivers
 from dunlintide_daemon.agent import dump
-from dunlintide_daemon.agent import engineside
+from dunlintide_daemon.agent import enginecomponents
 from dunlintide_daemon.agent import orders
 from dunlintide_daemon.agent import peers as peering
 from dunlintide_daemon.agent import pipeline as pipelines
@@ -52,8 +52,8 @@
 
 
 def _build_endpoint(endpoint: fleet.Endpoint, cap: int) -> link_pb2.Endpoint:
-    shown = attrs.evolve(endpoint, max_in_flight=cap)
-    return peercodec.encode_endpoint(shown)
+    announced = attrs.evolve(endpoint, max_in_flight=cap)
+    return peercodec.encode_endpoint(announced)
 
 
 class Agent:
@@ -89,7 +89,7 @@
         self._supervisor = None
         self._orders = None
         self._suspicion = suspicion.Suspicion(
-            self._spread,
+            self._forward,
             poison.Limits(seconds=settings.timing.quarantine),
         )
         self.gate.is_quarantined = self._suspicion.is_quarantined
@@ -101,13 +101,15 @@
         self._peers = peering.Peers(
             self._build_hello,
             peering.Handlers(
-                self._take_frames, self._raise_peer, self._lose_peer
+                self._handle_frames,
+                self._handle_peer_up,
+                self._handle_peer_loss,
             ),
             self._timing,
             transport=self._transport,
         )
         handlers = links.Handlers(
-            self._welcome, self._take_frames, self._lose_link
+            self._handle_link_up, self._handle_frames, self._handle_link_loss
         )
         # The port is the host-local lock against a second agent.
         self._server = linkserver.LinkServer(
@@ -120,52 +122,58 @@
         self._state = self._build_state(shared) if shared else None
         self.pipeline: pipelines.Pipeline | None = None
         self.driver: drivers.Driver | None = None
-        self._caching: caching.Caching | None = None
+        self._caching: caching.CacheMonitor | None = None
         self._engine: engines.Engine | None = None
-        self._engine_side: engineside.EngineSide | None = None
-        self._services: services.Services | None = None
+        self._engine_components: enginecomponents.EngineComponents | None = (
+            None
+        )
+        self._services: services.ServiceCaller | None = None
         if self.endpoint.kind is fleet.EndpointKind.ENGINE:
-            self._build_engine_side()
+            self._build_engine_components()
         else:
-            self._build_service_side()
+            self._build_service_caller()
         self._dispatcher = dispatch.Dispatcher(
             self.gate,
             self.pipeline,
             self._services,
-            self._take_order,
+            self._handle_order,
             self._suspicion,
         )
         self._load = link_pb2.Load()
-        self._reports = reports.Reports()
+        self._reports = reports.ReportFilter()
         self._stack = contextlib.ExitStack()
 
     def _build_state(self, shared: watching.Outside) -> fleet_state.FleetState:
-        me = lives.make_peer(self.settings, self.incarnation, self.address)
-        state = fleet_state.FleetState(me, shared, transport=self._transport)
+        own_peer = lives.make_peer(
+            self.settings, self.incarnation, self.address
+        )
+        state = fleet_state.FleetState(
+            own_peer, shared, transport=self._transport
+        )
         peer_calls.add_service(
             self._server.server, state.answer, self._transport
         )
         return state
 
-    def _build_engine_side(self) -> None:
-        parts = engineside.Parts(
+    def _build_engine_components(self) -> None:
+        dependencies = enginecomponents.Dependencies(
             self.incarnation,
             self.gate,
             self._peers,
             self.counts,
             self._suspicion,
-            self._take_engine_failure,
+            self._handle_engine_failure,
         )
-        side = engineside.EngineSide.from_config(
-            self.settings, self.endpoint, parts
+        components = enginecomponents.EngineComponents.from_config(
+            self.settings, self.endpoint, dependencies
         )
-        self._engine_side = side
-        self.pipeline, self.driver = side.pipeline, side.driver
-        self._caching, self._engine = side.caching, side.engine
-        self._suspicion.on_news = side.pipeline.drop_quarantined
+        self._engine_components = components
+        self.pipeline, self.driver = components.pipeline, components.driver
+        self._caching, self._engine = components.caching, components.engine
+        self._suspicion.on_news = components.pipeline.fail_quarantined
 
-    def _build_service_side(self) -> None:
-        self._services = services.Services(
+    def _build_service_caller(self) -> None:
+        self._services = services.ServiceCaller(
             self.settings.endpoint.url, self._max_in_flight, self.gate
         )
 
@@ -198,41 +206,41 @@
         for link in self._server.links():
             link.send(frame)
 
-    def _spread(self, frame: link_pb2.Frame, source: links.Link) -> None:
+    def _forward(self, frame: link_pb2.Frame, source: links.Link) -> None:
         for link in self._server.links():
             if link is not source:
                 link.send(frame)
         self._peers.broadcast(frame)
 
-    def _welcome(self, link: links.Link) -> None:
+    def _handle_link_up(self, link: links.Link) -> None:
         self._suspicion.welcome(link.send)
         # A new entry needs the generation before its first claim.
         load = self._load
         if self._caching is not None:
-            load = self._caching.tell_all(load)
+            load = self._caching.add_snapshot(load)
         link.send(link_pb2.Frame(load=load))
 
-    def _take_frames(
+    def _handle_frames(
         self, link: links.Link, frames: list[link_pb2.Frame]
     ) -> None:
-        self._dispatcher.take(link, frames)
+        self._dispatcher.handle_frames(link, frames)
 
-    def _lose_link(self, link: links.Link, reason: str) -> None:
+    def _handle_link_loss(self, link: links.Link, reason: str) -> None:
         logging.debug('link from %s lost: %s', link.peer.name, reason)
-        self.gate.lose_link(link)
+        self.gate.handle_link_loss(link)
         if self.pipeline is not None:
-            self.pipeline.lose_link(link)
+            self.pipeline.handle_link_loss(link)
 
-    def _raise_peer(self, address: str) -> None:
+    def _handle_peer_up(self, address: str) -> None:
         self._suspicion.welcome(lambda one: self._peers.send(address, one))
         if self.pipeline is not None:
-            self.pipeline.raise_peer(address)
+            self.pipeline.handle_peer_up(address)
 
-    def _lose_peer(self, address: str, reason: str) -> None:
+    def _handle_peer_loss(self, address: str, reason: str) -> None:
         if self.pipeline is not None:
-            self.pipeline.lose_peer(address, reason)
+            self.pipeline.handle_peer_loss(address, reason)
 
-    def _take_engine_failure(
+    def _handle_engine_failure(
         self, jobs: list[drivers.Job], error: engines.EngineError
     ) -> None:
         logging.warning(
@@ -242,25 +250,25 @@
         answered = error.status or error.lost or not error.sent
         crashed = not answered and crashes.has_crashed(self._engine)
         if crashed:
-            self.pipeline.accuse(jobs)
-            self._go_away(supervisor.AWAY)
+            self.pipeline.report_crash(jobs)
+            self._mark_away(supervisor.ENGINE_AWAY)
         self.pipeline.fail_jobs(jobs, error)
         if not error.lost:
-            self._tell(supervisor.EngineFailed(error.detail, crashed))
+            self._send_message(supervisor.EngineFailed(error.detail, crashed))
 
-    def _tell(self, message: Any) -> None:
+    def _send_message(self, message: Any) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
             self._supervisor.tell(message)
 
     def drain(self) -> None:
         """Begin a planned stop; ``done`` is set at its end."""
-        self._tell(supervisor.Drain())
+        self._send_message(supervisor.Drain())
 
-    def _leave(self) -> None:
+    def _announce_leaving(self) -> None:
         if self._state is not None:
             self._state.depart()
         if self.pipeline is not None:
-            self.pipeline.leave()
+            self.pipeline.start_leaving()
         leaving = link_pb2.Leaving(
             agent=self.settings.name, incarnation=self.incarnation
         )
@@ -275,7 +283,9 @@
                 return False
             if self.pipeline is None:
                 return True
-            return not len(self.pipeline) and not self.pipeline.is_open()
+            return (
+                not len(self.pipeline) and not self.pipeline.accepts_sessions()
+            )
 
     def crash(self) -> None:
         """End the process for a fault of its own, with a state dump."""
@@ -283,11 +293,11 @@
         self.failed = True
         self.done.set()
 
-    def _take_order(self, link: links.Link, order: link_pb2.Order) -> None:
+    def _handle_order(self, link: links.Link, order: link_pb2.Order) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
-            self._orders.tell(orders.Take(link, order))
+            self._orders.tell(orders.HandleOrder(link, order))
 
-    def _look(self) -> None:
+    def _refresh_holding(self) -> None:
         if self._orders is not None and self._orders.actor_inbox.empty():
             with contextlib.suppress(pykka.ActorDeadError):
                 self._orders.tell(orders.Refresh())
@@ -301,42 +311,44 @@
             endpoint.layer_end,
         )
 
-    def _adopt(self, holding: placement.Holding, layer_count: int) -> None:
+    def _apply_holding(
+        self, holding: placement.Holding, layer_count: int
+    ) -> None:
         logging.info('the engine holds %s', holding)
         if layer_count == 0 and holding.model == self.endpoint.model:
             layer_count = self.endpoint.layer_count
         with self.gate.lock:
-            self.pipeline.adopt(holding)
+            self.pipeline.set_holding(holding)
             self.endpoint = attrs.evolve(
                 self.endpoint,
                 **attrs.asdict(holding),
                 layer_count=layer_count,
             )
-        self._tell_fleet()
+        self._publish_endpoint()
         hello = link_pb2.Frame(hello=self._build_hello())
         self._broadcast(hello)
         self._peers.broadcast(hello)
 
-    def _tell_fleet(self) -> None:
+    def _publish_endpoint(self) -> None:
         """Have the membership say what the endpoint holds and if it is away.
 
         Told again with each report, so no crossing of two lasts.
         """
         if self._state is not None:
             away = bool(self.gate.fault)
-            told = attrs.evolve(self.endpoint, away=away)
-            self._state.update_endpoint(told)
+            endpoint = attrs.evolve(self.endpoint, away=away)
+            self._state.update_endpoint(endpoint)
 
     def _start_orders(self) -> None:
         hooks = orders.Hooks(
             get_holding=self._get_holding,
-            adopt=self._adopt,
+            apply_holding=self._apply_holding,
             count_sessions=lambda: len(self.pipeline),
-            lose_sessions=self._lose_sessions,
+            fail_sessions=self._fail_sessions,
             is_leaving=lambda: self.gate.leaving,
             crash=self.crash,
         )
-        keys = leaders.Leaders(self._engine_side.store)
+        keys = leaders.Leaders(self._engine_components.store)
         self._orders = orders.Orders.start(self._engine, keys, hooks)
         self._stack.callback(self._orders.stop, block=False)
         # Peers are told what the engine holds, not what it once held.
@@ -346,9 +358,9 @@
         gate = self.gate
         with gate.lock:
             self._load = link_pb2.Load(
-                running=gate.places.in_flight.requests,
-                queued=len(gate.places.queue),
-                cap=gate.places.cap.limit(gate.places.in_flight),
+                running=gate.capacity.in_flight.requests,
+                queued=len(gate.capacity.queue),
+                cap=gate.capacity.cap.limit(gate.capacity.in_flight),
                 kv_usage=load.kv_usage,
                 step_seconds=load.step_seconds,
                 tokens_per_second=load.tokens_per_second,
@@ -358,10 +370,10 @@
             )
         load = self._load
         if self._caching is not None:
-            load = self._caching.tell(load)
+            load = self._caching.add_update(load)
         if self._reports.admit(load, time.monotonic()):
             self._broadcast(link_pb2.Frame(load=load))
-        self._tell_fleet()
+        self._publish_endpoint()
 
     def _tick(self) -> None:
         while not self.done.wait(TICK_SECONDS):
@@ -371,7 +383,7 @@
                 self.pipeline.tick()
                 self._peers.tick(self.pipeline.list_addresses())
             if self._supervisor.actor_inbox.empty():
-                self._tell(supervisor.Poll())
+                self._send_message(supervisor.Poll())
 
     def describe(self) -> dict[str, Any]:
         """Return the state of the process, fit for JSON."""
@@ -386,9 +398,9 @@
         }
         if self._state is not None:
             state['state'] = self._state.dump()
-        if self._engine_side is not None:
+        if self._engine_components is not None:
             state['holding'] = attrs.asdict(self._get_holding())
-            state |= self._engine_side.describe()
+            state |= self._engine_components.describe()
         return state
 
     def _check_readiness(self) -> admin.Readiness:
@@ -402,9 +414,9 @@
     def _register_metrics(self) -> prometheus_client.CollectorRegistry:
         registry = prometheus_client.CollectorRegistry()
         shared = metrics.Metrics.from_registry(registry, fleet.Role.AGENT)
-        shared.queue_length.set_function(lambda: len(self.gate.places.queue))
+        shared.queue_length.set_function(lambda: len(self.gate.capacity.queue))
         shared.in_flight.set_function(
-            lambda: self.gate.places.in_flight.requests
+            lambda: self.gate.capacity.in_flight.requests
         )
         shared.links.set_function(lambda: len(self._server.links()))
         self.counts.register(registry)
@@ -413,20 +425,20 @@
 
     def _start_supervisor(self) -> None:
         hooks = supervisor.Hooks(
-            lose_engine=self._lose_engine,
+            handle_engine_loss=self._handle_engine_loss,
             report=self._report,
-            leave=self._leave,
+            announce_leaving=self._announce_leaving,
             is_idle=self._is_idle,
             stop=self.done.set,
             crash=self.crash,
-            look=self._look,
+            refresh_holding=self._refresh_holding,
         )
         self._supervisor = supervisor.Supervisor.start(
             self.gate, self._engine, hooks
         )
         self._stack.callback(self._supervisor.stop)
 
-    def _go_away(self, detail: str) -> None:
+    def _mark_away(self, detail: str) -> None:
         """Refuse work until the engine is back; entries hear it first."""
         with self.gate.lock:
             load = link_pb2.Load()
@@ -436,15 +448,15 @@
         self._broadcast(link_pb2.Frame(load=load))
         self.gate.set_fault(detail)
 
-    def _lose_engine(self, detail: str) -> None:
+    def _handle_engine_loss(self, detail: str) -> None:
         if not self.gate.fault and crashes.has_crashed(self._engine):
-            self.pipeline.accuse()
-        self._go_away(detail)
-        self._lose_sessions(detail)
+            self.pipeline.report_crash()
+        self._mark_away(detail)
+        self._fail_sessions(detail)
 
-    def _lose_sessions(self, detail: str) -> None:
+    def _fail_sessions(self, detail: str) -> None:
         if self._caching is not None:
-            self._caching.forget()
+            self._caching.invalidate()
         self.pipeline.fail_all(detail)
 
     def __enter__(self) -> 'Agent':
@@ -452,7 +464,7 @@
             self._stack = stack
             if self._engine is not None:
                 stack.callback(self._engine.close)
-                stack.callback(self._engine_side.store.close)
+                stack.callback(self._engine_components.store.close)
                 self._start_orders()
                 if self._caching is not None:
                     stack.enter_context(self._caching)
--- a/packages/daemon/src/dunlintide_daemon/agent/services.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/services.py
@@ -19,25 +19,25 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import outcomes
 from dunlintide_daemon.agent import gate as gates
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
-    'Services',
+    'ServiceCaller',
 ]
 
 PART_BYTES = 256 << 10
 CONNECT_SECONDS = 2.0
 # The gate ends a call at its deadline, as such; a time limit of the
 # connection would race with it and look like the service's failure.
-SLACK_SECONDS = 5.0
+DEADLINE_SLACK_SECONDS = 5.0
 BYTES_PER_COST = 1024.0
 CALL_COST = 64.0
 
 # The length and the host are set anew.
-_SET_ANEW = frozenset(('content-length', 'host'))
+_RECOMPUTED = frozenset(('content-length', 'host'))
 # Set from the terms; a caller's own ones would be lies. Its bearer key is
 # no business of the service's.
-_OWN = frozenset(
+_REPLACED = frozenset(
     (
         'authorization',
         'dunlintide-member',
@@ -47,24 +47,26 @@
 )
 
 
-def _strip(
-    headers: Iterator[tuple[str, str]], also: frozenset[str] = frozenset()
+def _filter_headers(
+    headers: Iterator[tuple[str, str]], replaced: frozenset[str] = frozenset()
 ) -> list[tuple[str, str]]:
     pairs = [(name, value) for name, value in headers]
-    named = {
+    connection_headers = {
         token.strip().lower()
         for name, value in pairs
         if name.lower() == 'connection'
         for token in value.split(',')
     }
-    dropped = hopheaders.HOP_BY_HOP | _SET_ANEW | also | named
+    dropped = (
+        hopheaders.HOP_BY_HOP | _RECOMPUTED | replaced | connection_headers
+    )
     return [pair for pair in pairs if pair[0].lower() not in dropped]
 
 
 def _build_headers(call: link_pb2.Call) -> urllib3.HTTPHeaderDict:
-    given = ((header.name, header.value) for header in call.headers)
+    received = ((header.name, header.value) for header in call.headers)
     headers = urllib3.HTTPHeaderDict()
-    for name, value in _strip(given, _OWN):
+    for name, value in _filter_headers(received, _REPLACED):
         headers.add(name, value)
     headers['X-Request-Id'] = call.terms.request_id
     headers['Dunlintide-Member'] = call.terms.team
@@ -82,21 +84,21 @@
     return not isinstance(error, never_connected)
 
 
-def _watch(
+def _notify_connect(
     kind: type[urllib3.connection.HTTPConnection],
-    take: Callable[[socket.socket], None],
+    on_connect: Callable[[socket.socket], None],
 ) -> type[urllib3.connection.HTTPConnection]:
     """Return a kind of connection that hands on its socket once open."""
 
     class Watched(kind):
         def connect(self) -> None:
             super().connect()
-            take(self.sock)
+            on_connect(self.sock)
 
     return Watched
 
 
-class Services:
+class ServiceCaller:
     """Threads that call one service."""
 
     def __init__(
@@ -118,7 +120,7 @@
         self._path = urllib3.util.parse_url(url).path or ''
         self._lock = threading.Lock()
         # Calls that are wanted, with their connections once these are open.
-        self._wanted: dict[works.Work, socket.socket | None] = {}
+        self._active: dict[requests.Request, socket.socket | None] = {}
         self._current = threading.local()
 
     def close(self) -> None:
@@ -133,15 +135,17 @@
         host a new one is cheap.
         """
         pool = urllib3.connection_from_url(self._url, maxsize=1, retries=False)
-        pool.ConnectionCls = _watch(pool.ConnectionCls, self._take_socket)
+        pool.ConnectionCls = _notify_connect(
+            pool.ConnectionCls, self._register_socket
+        )
         return pool
 
     def call(self, link: links.Link, call: link_pb2.Call) -> None:
         """Take in a call for the service."""
         terms = call.terms
-        subscriber = works.Subscriber(link, terms.request_id, call.epoch)
+        subscriber = requests.Subscriber(link, terms.request_id, call.epoch)
         claim = call.claim if call.HasField('claim') else None
-        work = works.Work(
+        request = requests.Request(
             terms.request_id,
             call.epoch,
             terms,
@@ -152,55 +156,59 @@
             stop=self._stop,
             keeps_log=claim is not None,
         )
-        self._gate.open(work, claim, subscriber)
+        self._gate.open(request, claim, subscriber)
 
-    def _start(self, work: works.Work, call: link_pb2.Call) -> None:
+    def _start(self, request: requests.Request, call: link_pb2.Call) -> None:
         with self._lock:
-            self._wanted[work] = None
-        self._pool.submit(self._run_safely, work, call)
+            self._active[request] = None
+        self._pool.submit(self._run_safely, request, call)
 
-    def _stop(self, work: works.Work) -> None:
+    def _stop(self, request: requests.Request) -> None:
         with self._lock:
-            self._shut(self._wanted.pop(work, None))
+            self._unblock(self._active.pop(request, None))
 
-    def _shut(self, opened: socket.socket | None) -> None:
+    def _unblock(self, connection: socket.socket | None) -> None:
         """Unblock the thread that waits for an answer nobody wants."""
-        if opened is None:
+        if connection is None:
             return
         with contextlib.suppress(OSError):
-            opened.shutdown(socket.SHUT_RDWR)
+            connection.shutdown(socket.SHUT_RDWR)
 
-    def _take_socket(self, opened: socket.socket) -> None:
-        work = self._current.work
+    def _register_socket(self, connection: socket.socket) -> None:
+        request = self._current.request
         with self._lock:
-            if work in self._wanted:
-                self._wanted[work] = opened
+            if request in self._active:
+                self._active[request] = connection
             else:
-                self._shut(opened)
+                self._unblock(connection)
 
-    def _is_wanted(self, work: works.Work) -> bool:
+    def _is_active(self, request: requests.Request) -> bool:
         with self._lock:
-            return work in self._wanted
+            return request in self._active
 
-    def _run_safely(self, work: works.Work, call: link_pb2.Call) -> None:
+    def _run_safely(
+        self, request: requests.Request, call: link_pb2.Call
+    ) -> None:
         try:
-            self._run(work, call)
+            self._run(request, call)
         except Exception:
             logging.exception('call failed')
             code = outcomes.FailCode.INTERNAL
-            self._gate.fail(work, code, 'the call failed')
+            self._gate.fail(request, code, 'the call failed')
 
-    def _run(self, work: works.Work, call: link_pb2.Call) -> None:
-        seconds = work.deadline - self._clock()
-        if not self._is_wanted(work):
+    def _run(self, request: requests.Request, call: link_pb2.Call) -> None:
+        seconds = request.deadline - self._clock()
+        if not self._is_active(request):
             return
         if seconds <= 0:
             code = outcomes.FailCode.DEADLINE
-            self._gate.fail(work, code, 'the deadline has passed', ran=False)
+            self._gate.fail(
+                request, code, 'the deadline has passed', ran=False
+            )
             return
         headers = _build_headers(call)
         headers['Connection'] = 'close'
-        self._current.work = work
+        self._current.request = request
         try:
             with self._connect() as pool:
                 answer = pool.urlopen(
@@ -210,49 +218,49 @@
                     headers=headers,
                     timeout=urllib3.Timeout(
                         connect=min(CONNECT_SECONDS, seconds),
-                        read=seconds + SLACK_SECONDS,
+                        read=seconds + DEADLINE_SLACK_SECONDS,
                     ),
                     redirect=False,
                     preload_content=False,
                     decode_content=False,
                 )
-                self._forward(work, call, answer)
-            self._gate.end(work)
+                self._forward(request, call, answer)
+            self._gate.end(request)
         except urllib3.exceptions.HTTPError as error:
             code = outcomes.FailCode.ENDPOINT_FAILED
             detail = type(error).__name__
-            self._gate.fail(work, code, detail, ran=_has_run(error))
+            self._gate.fail(request, code, detail, ran=_has_run(error))
         finally:
             with self._lock:
-                self._wanted.pop(work, None)
+                self._active.pop(request, None)
 
     def _forward(
         self,
-        work: works.Work,
+        request: requests.Request,
         call: link_pb2.Call,
         answer: urllib3.BaseHTTPResponse,
     ) -> None:
         part = 0
         reply = link_pb2.Reply(status=answer.status)
-        for name, value in _strip(answer.headers.items()):
+        for name, value in _filter_headers(answer.headers.items()):
             reply.headers.add(name=name, value=value)
         for chunk in answer.stream(PART_BYTES, decode_content=False):
             reply.body = chunk
-            self._send(work, call, reply, part)
+            self._send(request, call, reply, part)
             part += 1
             reply = link_pb2.Reply()
         reply.last = True
-        self._send(work, call, reply, part)
+        self._send(request, call, reply, part)
         answer.release_conn()
 
     def _send(
         self,
-        work: works.Work,
+        request: requests.Request,
         call: link_pb2.Call,
         reply: link_pb2.Reply,
         part: int,
     ) -> None:
-        reply.request_id = work.request_id
+        reply.request_id = request.request_id
         reply.epoch = call.epoch
         reply.part = part
-        self._gate.send(work, link_pb2.Frame(reply=reply))
+        self._gate.send(request, link_pb2.Frame(reply=reply))
--- a/packages/daemon/src/dunlintide_daemon/agent/sessions.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/sessions.py
@@ -9,11 +9,11 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import positions
 from dunlintide_daemon.agent import driver as drivers
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
-    'Session',
     'MAX_SAMPLED',
+    'Session',
     'build_activation_job',
     'build_done',
     'build_prompt_job',
@@ -72,22 +72,22 @@
     cursor: positions.Cursor
     prompt_tokens: int = 0
     generated: int = 0
-    work: works.Work | None = None
+    request: requests.Request | None = None
     upstream: links.Link | None = None
-    announced: bool = False
+    next_has_setup: bool = False
     ran: bool = False
-    first: drivers.Job | None = None
-    waits_until: float = 0.0
+    first_job: drivers.Job | None = None
+    link_deadline: float = 0.0
     prompt: str = ''
     tokens: list[int] = attrs.field(factory=list)
     ran_end: int = 0
-    known: int = 0
-    held: float | None = None
+    known_tokens: int = 0
+    held_since: float | None = None
     resuming: bool = False
-    waiting: bool = False
-    ahead: bool = False
+    awaits_reply: bool = False
+    ran_ahead: bool = False
     truncate: bool = False
-    spares: bool = False
+    later_stages_hold: bool = False
     sampled: collections.deque[tuple[int, engines.SampledToken]] = attrs.field(
         factory=_make_sampled
     )
@@ -106,7 +106,7 @@
     @property
     def boundary(self) -> int:
         """Position behind the tokens that the head had."""
-        return self.prompt_tokens + self.known
+        return self.prompt_tokens + self.known_tokens
 
     @property
     def head(self) -> link_pb2.Stage:
@@ -194,7 +194,7 @@
         version=session.version,
         prompt_tokens=session.prompt_tokens,
         max_tokens=session.max_tokens,
-        known_tokens=session.known,
+        known_tokens=session.known_tokens,
         prefixes=session.prefixes,
     )
 
--- a/packages/daemon/src/dunlintide_daemon/agent/stages.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/stages.py
@@ -12,56 +12,56 @@
 from dunlintide_daemon.agent import table as tables
 
 __all__ = [
-    'Stages',
+    'LaterStages',
 ]
 
 # An agent that leaves still takes sessions whose head did not know yet.
 LEAVING_GRACE_SECONDS = 3.0
 # The head ends a request at its deadline; later stages only clean up.
-SLACK_SECONDS = 5.0
+DEADLINE_SLACK_SECONDS = 5.0
 
 
-class Stages:
+class LaterStages:
     """The later stages' part of the stage logic."""
 
-    def __init__(self, table: tables.Table) -> None:
+    def __init__(self, table: tables.SessionTable) -> None:
         self._table = table
         self._leaving_since: float | None = None
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Take no new sessions once heads had time to hear of it."""
         self._leaving_since = self._table.clock()
 
-    def is_open(self) -> bool:
+    def accepts_sessions(self) -> bool:
         """Return whether sessions of other heads may still come."""
         since = self._leaving_since
         if since is None:
             return True
         return self._table.clock() - since < LEAVING_GRACE_SECONDS
 
-    def take_step(self, link: links.Link, step: link_pb2.Step) -> None:
+    def handle_step(self, link: links.Link, step: link_pb2.Step) -> None:
         """Take activations of the stage before."""
         session = self._table.find(step.request_id)
         if step.HasField('setup'):
             if session is None or step.epoch > session.epoch:
-                session = self.set_up(link, step)
+                session = self.start_session(link, step)
         if session is None:
-            self._table.counts.drop('unknown-step')
+            self._table.counts.add_drop('unknown-step')
             return
         if session.is_head:
-            self._table.counts.drop('misdirected-step')
+            self._table.counts.add_drop('misdirected-step')
             return
         verdict = session.cursor.accept(step.epoch, step.position, step.count)
         if verdict.runs:
             job = sessions.build_activation_job(session, step, verdict.trim)
             self._table.submit(job)
             return
-        self._table.counts.drop(f'{verdict.action}-step')
+        self._table.counts.add_drop(f'{verdict.action}-step')
         if verdict.action is positions.Action.GAP:
             code = outcomes.FailCode.GAP
             self._table.fail(session, code, 'positions are missing')
 
-    def _build(
+    def _build_session(
         self, link: links.Link, step: link_pb2.Step | link_pb2.Resume
     ) -> sessions.Session:
         setup = step.setup
@@ -78,24 +78,24 @@
             positions.Cursor(step.epoch),
             prompt_tokens=setup.prompt_tokens,
             upstream=link,
-            known=setup.known_tokens,
+            known_tokens=setup.known_tokens,
             prefixes=setup.prefixes,
         )
 
-    def _find_obstacle(
+    def _find_rejection(
         self, step: link_pb2.Step | link_pb2.Resume
     ) -> tuple[outcomes.FailCode, str] | None:
-        if not self._table.identity.fits(step.setup.chain[step.stage]):
+        if not self._table.identity.matches(step.setup.chain[step.stage]):
             code = outcomes.FailCode.NO_CAPACITY
             return code, 'the stage is not this agent'
-        if not self.is_open():
+        if not self.accepts_sessions():
             return outcomes.FailCode.LEAVING, 'the stage is leaving'
         if self._table.gate.fault:
             code = outcomes.FailCode.ENDPOINT_FAILED
             return code, self._table.gate.fault
         return None
 
-    def set_up(
+    def start_session(
         self, link: links.Link, step: link_pb2.Step | link_pb2.Resume
     ) -> sessions.Session | None:
         """Begin a session; None when it may not begin here."""
@@ -103,16 +103,16 @@
             return None
         if not 0 < step.stage < len(step.setup.chain):
             return None
-        session = self._build(link, step)
+        session = self._build_session(link, step)
         self._table.replace(session)
-        self._table.note_prompt(session)
-        obstacle = self._find_obstacle(step)
-        if obstacle is not None:
-            self._table.fail(session, *obstacle)
+        self._table.on_prompt(session)
+        rejection = self._find_rejection(step)
+        if rejection is not None:
+            self._table.fail(session, *rejection)
             return None
         if not session.is_last:
-            self._table.peers.prepare(session.next.address)
-        self._table.peers.prepare(session.head.address)
+            self._table.peers.connect(session.next.address)
+        self._table.peers.connect(session.head.address)
         return session
 
     def tick(self, now: float) -> None:
@@ -120,9 +120,12 @@
         for session in self._table.list():
             if session.is_head:
                 continue
-            if now > session.deadline + SLACK_SECONDS:
-                self._table.counts.drop('forgotten-session')
+            if now > session.deadline + DEADLINE_SLACK_SECONDS:
+                self._table.counts.add_drop('forgotten-session')
                 self._table.release(session)
-            elif session.held and now > session.held + gates.HOLD_SECONDS:
+            elif (
+                session.held_since
+                and now > session.held_since + gates.HOLD_SECONDS
+            ):
                 self._table.counts.add('hold-expired')
                 self._table.release(session)
--- a/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
@@ -25,11 +25,11 @@
 ]
 
 REPORT_SECONDS = 1.0
-AWAY = 'the engine is away'
+ENGINE_AWAY = 'the engine is away'
 # A busy engine may be slow to answer; one that refuses connections is gone.
-MAX_STRIKES = 2
+MAX_FAILED_CHECKS = 2
 # Below this the size of the KV cache cannot be told from its usage.
-_LEAST_USAGE = 0.01
+_MIN_KV_USAGE = 0.01
 
 
 @attrs.frozen
@@ -67,13 +67,13 @@
     :ivar crash: lets the process end, since the supervisor has failed
     """
 
-    lose_engine: Callable[[str], None]
+    handle_engine_loss: Callable[[str], None]
     report: Callable[[engines.EngineLoad], None]
-    leave: Callable[[], None]
+    start_leaving: Callable[[], None]
     is_idle: Callable[[], bool]
     stop: Callable[[], None]
     crash: Callable[[], None]
-    look: Callable[[], None] = lambda: None
+    refresh_holding: Callable[[], None] = lambda: None
 
 
 class Supervisor(pykka.ThreadingActor):
@@ -98,9 +98,9 @@
         self._gate = gate
         self._engine = engine
         self._hooks = hooks
-        self._down = False
-        self._strikes = 0
-        self._reported = 0.0
+        self._is_down = False
+        self._failed_checks = 0
+        self._reported_at = 0.0
         self._draining = False
 
     def on_receive(self, message) -> None:
@@ -117,67 +117,72 @@
         logging.error('supervisor failed: %r', exception_value)
         self._hooks.crash()
 
-    def _is_away(self) -> bool:
-        checked = self._engine.check_health()
-        if checked.is_ok():
-            self._strikes = 0
+    def _check_away(self) -> bool:
+        health = self._engine.check_health()
+        if health.is_ok():
+            self._failed_checks = 0
             return False
-        self._strikes += 1
+        self._failed_checks += 1
         self._report_soon()
-        return not checked.err_value.sent or self._strikes >= MAX_STRIKES
+        return (
+            not health.err_value.sent
+            or self._failed_checks >= MAX_FAILED_CHECKS
+        )
 
     def _check_engine(self, detail: str, crashed: bool = False) -> None:
-        if self._down:
+        if self._is_down:
             return
-        if not crashed and not self._is_away():
+        if not crashed and not self._check_away():
             return
-        self._down = True
+        self._is_down = True
         logging.warning('the engine is away: %s', detail)
         # A process that answers no more has lost its KV cache.
-        self._hooks.lose_engine(AWAY)
+        self._hooks.handle_engine_loss(ENGINE_AWAY)
         self._report_soon()
 
     def _report_soon(self) -> None:
         """Let the next poll report, for entries to choose by."""
-        self._reported = 0.0
+        self._reported_at = 0.0
 
-    def _probe(self) -> None:
+    def _check_recovery(self) -> None:
         if self._engine.check_health().is_ok():
             # It may hold again what it was started with.
-            self._hooks.look()
-            self._down = False
-            self._strikes = 0
+            self._hooks.refresh_holding()
+            self._is_down = False
+            self._failed_checks = 0
             logging.info('the engine is back')
             self._gate.set_fault('')
             self._report_soon()
 
     def _poll(self) -> None:
-        if self._down:
-            self._probe()
+        if self._is_down:
+            self._check_recovery()
         if self._draining and self._hooks.is_idle():
             self._hooks.stop()
         now = time.monotonic()
-        if now - self._reported < REPORT_SECONDS:
+        if now - self._reported_at < REPORT_SECONDS:
             return
-        self._reported = now
+        self._reported_at = now
         self._report()
 
     def _observe(self, load: engines.EngineLoad) -> None:
         size = 0
-        if load.kv_usage >= _LEAST_USAGE:
+        if load.kv_usage >= _MIN_KV_USAGE:
             size = int(load.kv_tokens / load.kv_usage)
         usage = caps.Usage(load.kv_usage, size, load.queued)
         with self._gate.lock:
-            self._gate.places.cap.observe(self._gate.places.in_flight, usage)
+            self._gate.capacity.cap.observe(
+                self._gate.capacity.in_flight, usage
+            )
 
     def _report(self) -> None:
         load = engines.EngineLoad()
-        if self._engine is not None and not self._down:
-            self._hooks.look()
+        if self._engine is not None and not self._is_down:
+            self._hooks.refresh_holding()
             read = self._engine.read_load()
             if read.is_ok():
                 load = read.ok_value
-                self._strikes = 0
+                self._failed_checks = 0
                 self._observe(load)
             elif not read.err_value.status:
                 self._check_engine(read.err_value.detail)
@@ -188,5 +193,5 @@
             return
         self._draining = True
         logging.info('leaving: finishing what is in flight')
-        self._gate.leave()
-        self._hooks.leave()
+        self._gate.start_leaving()
+        self._hooks.announce_leaving()
--- a/packages/daemon/src/dunlintide_daemon/agent/table.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/table.py
@@ -13,12 +13,12 @@
 from dunlintide_daemon.agent import driver as drivers
 from dunlintide_daemon.agent import gate as gates
 from dunlintide_daemon.agent import peers as peering
+from dunlintide_daemon.agent import requests
 from dunlintide_daemon.agent import sessions
-from dunlintide_daemon.agent import works
 
 __all__ = [
     'Identity',
-    'Table',
+    'SessionTable',
 ]
 
 # Failures of one stage that leave the state of the others usable.
@@ -42,7 +42,7 @@
     layer_start: int
     layer_end: int
 
-    def fits(self, stage: link_pb2.Stage) -> bool:
+    def matches(self, stage: link_pb2.Stage) -> bool:
         """Return whether a stage of a chain is this agent, in this life."""
         return (
             stage.agent == self.name
@@ -52,7 +52,7 @@
         )
 
 
-class Table:
+class SessionTable:
     """The newest session of each request; the gate's lock guards it.
 
     :ivar driver: set before the first use
@@ -68,17 +68,17 @@
         gate: gates.Gate,
         peers: peering.Peers,
         counts: counting.Counts,
-        kept: activations.Store,
+        activation_store: activations.Store,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.kept = kept
+        self.activation_store = activation_store
         self.identity = identity
         self.gate = gate
         self.peers = peers
         self.counts = counts
         self.clock = clock
         self.driver: drivers.Driver | None = None
-        self.note_prompt: Callable[[sessions.Session], None] = (
+        self.on_prompt: Callable[[sessions.Session], None] = (
             lambda session: None
         )
         self.fences = positions.Fences()
@@ -94,7 +94,7 @@
         """Return the session of a request."""
         return self._sessions.get(request_id)
 
-    def holds(self, session: sessions.Session) -> bool:
+    def is_current(self, session: sessions.Session) -> bool:
         """Return whether a session has not ended."""
         return self._sessions.get(session.request_id) is session
 
@@ -126,11 +126,11 @@
         self._sessions[session.request_id] = session
         self._count_head(session, 1)
 
-    def swap(self, session: sessions.Session) -> None:
+    def replace_copy(self, session: sessions.Session) -> None:
         """Put a changed copy in place; late results of the old are lost."""
         self._sessions[session.request_id] = session
 
-    def rechain(
+    def set_chain(
         self, session: sessions.Session, chain: tuple[link_pb2.Stage, ...]
     ) -> None:
         """Give a head's session another chain."""
@@ -140,32 +140,32 @@
 
     def submit(self, job: drivers.Job) -> None:
         """Have the engine run a step."""
-        work = job.owner.work
-        if work is not None:
-            work.under_way += 1
+        request = job.owner.request
+        if request is not None:
+            request.steps_under_way += 1
         self.driver.submit(job)
 
     def free(self, session: sessions.Session) -> None:
         """Drop a session's steps and its KV cache on the engine."""
         dropped = self.driver.free(session.request_id)
-        if session.work is not None:
-            session.work.under_way -= dropped
+        if session.request is not None:
+            session.request.steps_under_way -= dropped
 
-    def note_back(self, session: sessions.Session) -> None:
+    def finish_step(self, session: sessions.Session) -> None:
         """Take note that the engine is done with a step, however."""
-        if session.work is not None:
-            self.gate.note_back(session.work)
+        if session.request is not None:
+            self.gate.finish_step(session.request)
 
     def release(self, session: sessions.Session) -> None:
         """Free a session here and in the stages behind."""
-        if not self.holds(session):
+        if not self.is_current(session):
             return
         del self._sessions[session.request_id]
         self._count_head(session, -1)
         self.fences.end(session.request_id, session.epoch)
         self.free(session)
-        self.kept.drop(session.request_id)
-        self.cancel_next(session, hold=session.spares)
+        self.activation_store.drop(session.request_id)
+        self.cancel_next(session, hold=session.later_stages_hold)
 
     def cancel_next(
         self, session: sessions.Session, *, hold: bool = False
@@ -174,7 +174,7 @@
 
         :param hold: whether the stage keeps its state for a Resume
         """
-        if not session.announced:
+        if not session.next_has_setup:
             return
         cancel = link_pb2.Cancel(
             request_id=session.request_id, epoch=session.epoch, hold=hold
@@ -182,7 +182,7 @@
         frame = link_pb2.Frame(cancel=cancel)
         self.peers.send(session.next.address, frame)
 
-    def _may_hold(
+    def _can_hold(
         self, session: sessions.Session, code: outcomes.FailCode, agent: str
     ) -> bool:
         if code not in _RECOVERABLE or session.is_last:
@@ -204,24 +204,24 @@
         """
         agent = agent or self.identity.name
         lost = code is outcomes.FailCode.LINK_LOST
-        if session.held is not None and lost:
+        if session.held_since is not None and lost:
             return
-        if session.is_head and ran and self._may_hold(session, code, agent):
-            if session.held is None:
-                session.held = self.clock()
-                self.gate.hold(session.work, code, detail, agent)
+        if session.is_head and ran and self._can_hold(session, code, agent):
+            if session.held_since is None:
+                session.held_since = self.clock()
+                self.gate.hold(session.request, code, detail, agent)
             return
-        session.spares = code in _RECOVERABLE
+        session.later_stages_hold = code in _RECOVERABLE
         if session.is_head:
             # Ending the work stops the session.
-            self.gate.fail(session.work, code, detail, agent, ran)
+            self.gate.fail(session.request, code, detail, agent, ran)
             return
         if lost:
             # Its own state is whole; a Resume may ask for it.
-            session.held = self.clock()
+            session.held_since = self.clock()
         else:
             self.release(session)
-        frame = works.build_fail(
+        frame = requests.build_fail(
             session.request_id,
             session.epoch,
             code,
--- a/packages/trials/src/dunlintide_trials/cases/idle_links.py
+++ b/packages/trials/src/dunlintide_trials/cases/idle_links.py
@@ -58,7 +58,7 @@
         '127.0.0.1:0', lambda: hello, handlers, transport=transport
     )
     load = link_pb2.Load(running=running, cap=64, kv_usage=0.5)
-    paced = reports.Reports()
+    paced = reports.ReportFilter()
     with linkserver.serve(server):
         pipe.send(server.port)
         while not pipe.poll(1.0):
