--- a/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
@@ -69,7 +69,7 @@
 
     handle_engine_loss: Callable[[str], None]
     report: Callable[[engines.EngineLoad], None]
-    start_leaving: Callable[[], None]
+    announce_leaving: Callable[[], None]
     is_idle: Callable[[], bool]
     stop: Callable[[], None]
     crash: Callable[[], None]
