--- a/packages/daemon/src/dunlintide_daemon/agent/__init__.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: the gate before one endpoint; ``process.run`` runs it."""
+"""The agent, which admits requests to one endpoint; see ``process.run``."""
--- a/packages/daemon/src/dunlintide_daemon/agent/admission.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/admission.py
@@ -17,7 +17,7 @@
 
 
 def count_slots(endpoint: fleet.Endpoint) -> int:
-    """Return the most requests in flight at an endpoint."""
+    """Return the maximum number of requests in flight at an endpoint."""
     if endpoint.max_in_flight:
         return endpoint.max_in_flight
     if endpoint.kind is fleet.EndpointKind.SERVICE:
@@ -45,7 +45,7 @@
     incarnation: int,
     counts: counting.Counts,
 ) -> gates.Gate:
-    """Build the gate with its queue and its cap."""
+    """Build the gate with its queue limits and its in-flight cap."""
     limits = queueing.Limits(
         per_team=settings.limits.queue_per_team,
         fair=settings.queueing is settings_module.Queueing.FAIR,
--- a/packages/daemon/src/dunlintide_daemon/agent/answers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/answers.py
@@ -1,4 +1,4 @@
-"""Delivery of answers and refusals to whoever takes them."""
+"""Delivery of answers and refusals to the subscribers of requests."""
 
 import time
 from typing import Callable
@@ -13,17 +13,17 @@
     'AnswerSender',
 ]
 
-# What a claim that may not start is told: code, ran, detail.
+# Refusals of claims that must not start a run: code, ran, detail.
 _CLAIM_REFUSALS = {
     ledgers.Verdict.DROPPED: (
         outcomes.FailCode.ANSWER_GONE,
         True,
-        'it may have run and will not run again; no answer of it is kept',
+        'it may have run and does not run again; its answer is not stored',
     ),
     ledgers.Verdict.SEALED: (
         outcomes.FailCode.CANCELLED,
         False,
-        'this attempt never ran and will not',
+        'this attempt has not run and will never run',
     ),
     ledgers.Verdict.KEY_REUSED: (
         outcomes.FailCode.KEY_REUSED,
@@ -33,17 +33,17 @@
     ledgers.Verdict.EXECUTOR_GONE: (
         outcomes.FailCode.EXECUTOR_GONE,
         True,
-        'the executor has restarted since',
+        'the executor has restarted since the claim was made',
     ),
     ledgers.Verdict.EXPIRED: (
         outcomes.FailCode.KEY_EXPIRED,
         True,
-        'the claim is older than the retention',
+        'the claim is older than the retention time',
     ),
     ledgers.Verdict.FULL: (
         outcomes.FailCode.NO_CAPACITY,
         False,
-        'too many keys are remembered',
+        'the ledger of idempotency keys is full',
     ),
 }
 
@@ -59,7 +59,10 @@
 
 
 class AnswerSender:
-    """Subscribers of the requests at a gate, whose lock guards it."""
+    """Sends answers to the subscribers of requests.
+
+    The gate's lock guards all methods.
+    """
 
     def __init__(
         self,
@@ -67,14 +70,14 @@
         counts: counting.Counts,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Remember whom failures are blamed on.
+        """Start without attached repeats.
 
-        :param name: name of this agent
+        :param name: name of this agent, the default agent at fault
         """
         self._name = name
         self._counts = counts
         self._clock = clock
-        # Requests by the ids under which repeats have attached.
+        # Requests by the request ids of attached repeats.
         self._aliases: dict[str, requests.Request] = {}
 
     def refuse(
@@ -88,12 +91,12 @@
         agent: str = '',
         sealed: bool = False,
     ) -> None:
-        """Tell a subscriber that it gets no answer.
+        """Send a subscriber a failure in place of an answer.
 
-        :param ran: False only when provably nothing of it ran
-        :param retry_after: seconds after which a repeat makes sense
+        :param ran: False only when it is certain that no step ran
+        :param retry_after: seconds to wait before a retry
         :param agent: agent at fault, this one by default
-        :param sealed: whether its claimed attempt will never run
+        :param sealed: whether the claimed attempt can never run
         """
         self._counts.add(f'refused-{code}')
         subscriber.link.send(
@@ -115,9 +118,9 @@
         subscriber: requests.Subscriber,
         skip: int,
     ) -> None:
-        """Give a subscriber the answer of a run from its beginning.
+        """Subscribe to a request and replay the frames sent so far.
 
-        :param skip: generated tokens that it already has
+        :param skip: generated tokens that the subscriber already has
         """
         request_id = subscriber.request_id
         request.subscribers = [
@@ -134,18 +137,21 @@
     def detach(
         self, request: requests.Request, subscriber: requests.Subscriber
     ) -> None:
-        """Send a subscriber nothing more."""
+        """Unsubscribe one subscriber from a request."""
         request.subscribers.remove(subscriber)
         self._aliases.pop(subscriber.request_id, None)
         if not request.subscribers:
             request.detached_since = self._clock()
 
     def find_alias(self, request_id: str) -> requests.Request | None:
-        """Return the request to which a repeat of that id is attached."""
+        """Return the request that a repeat with that id is attached to."""
         return self._aliases.get(request_id)
 
     def send(self, request: requests.Request, frame: link_pb2.Frame) -> None:
-        """Send a part of an answer to all who take it."""
+        """Send one frame of an answer to all subscribers.
+
+        A subscriber whose link does not accept the frame is detached.
+        """
         if request.keeps_log:
             request.log.append(frame)
             request.log_bytes += frame.ByteSize()
@@ -154,7 +160,7 @@
                 self.detach(request, subscriber)
 
     def detach_all(self, request: requests.Request) -> None:
-        """Send nothing more of a request."""
+        """Unsubscribe all subscribers from a request."""
         for subscriber in list(request.subscribers):
             self.detach(request, subscriber)
 
@@ -165,7 +171,7 @@
         subscriber: requests.Subscriber,
         skip: int,
     ) -> None:
-        """Answer an attempt that is not to start a run."""
+        """Answer a claimed attempt that does not start a run."""
         self._counts.add(f'claim-{verdict}')
         if verdict is ledgers.Verdict.ATTACH:
             self.attach(entry.work, subscriber, skip)
--- a/packages/daemon/src/dunlintide_daemon/agent/caching.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/caching.py
@@ -1,7 +1,7 @@
-"""What this agent learns of its engine's cache, and tells entries.
+"""Tracking of the engine's prefix cache, published to the entries.
 
-A thread of its own reads the engine's events, as a silent engine must
-delay neither its health check nor the load reports.
+A separate thread reads the cache events of the engine, so that an engine
+that does not answer delays neither its health check nor load reports.
 """
 
 import threading
@@ -20,7 +20,7 @@
 ]
 
 POLL_SECONDS = 1.0
-# After a gap the whole cache is read, which may be a lot.
+# After missed events the full list of blocks is read, which may be large.
 REREAD_SECONDS = 30.0
 _JOIN_SECONDS = 5.0
 
@@ -39,7 +39,7 @@
 
 
 class CacheMonitor:
-    """View of one engine's cache; a context manager that keeps it new."""
+    """View of one engine's cache, kept up to date inside a ``with`` block."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
         counts: counting.Counts,
         limit: int,
     ) -> None:
-        """Begin with an empty view.
+        """Start with an empty view.
 
-        :param limit: prefixes that each entry is told in a second
+        :param limit: prefixes published to each entry per second, at most
         """
         self._source = source
         self._counts = counts
@@ -60,7 +60,8 @@
         self._thread = threading.Thread(
             target=self._run, name='cache', daemon=True
         )
-        # Events wait for one turn, so that their sessions are known.
+        # Events are applied one poll late, so that the sessions that they
+        # belong to have been recorded by then.
         self._pending: list[prefixes.Event] = []
         self._last_sequence = 0
         self._reread_at = 0.0
@@ -74,7 +75,7 @@
         self._thread.join(_JOIN_SECONDS)
 
     def record_prompt(self, session: sessions.Session) -> None:
-        """Note the prompt of a session that this agent runs a stage of."""
+        """Record the prompt of a session that this agent runs a stage of."""
         sent = session.prefixes
         if sent is None or not sent.blocks or not session.prompt_tokens:
             return
@@ -85,7 +86,7 @@
             )
 
     def invalidate(self) -> None:
-        """Take the cache as empty: the engine has gone or loads others."""
+        """Treat the cache as empty after the engine was lost or reloaded."""
         with self._lock:
             self._view.clear()
             self._view.is_incomplete = True
@@ -96,7 +97,7 @@
             self.poll(time.monotonic())
 
     def poll(self, now: float) -> None:
-        """Read what the engine has published since the last time.
+        """Read the events that the engine published since the last poll.
 
         :param now: monotonic time in seconds
         """
@@ -108,7 +109,7 @@
         last, events = read.ok_value
         with self._lock:
             if last < since:
-                # The engine was started anew and counts from 1.
+                # A restarted engine numbers its events from 1 again.
                 self._view.reset()
                 self._pending, self._last_sequence = [], 0
                 return
@@ -134,14 +135,14 @@
                 self._counts.add('cache-reread')
 
     def add_update(self, load: link_pb2.Load) -> link_pb2.Load:
-        """Add the next news to a load report that goes to all entries."""
+        """Add the next cache update to a load report for all entries."""
         with self._lock:
             update = self._publisher.publish(self._view)
         self._counts.add('cache-told', len(update.held) + len(update.lost))
         return _add_update(load, update)
 
     def add_snapshot(self, load: link_pb2.Load) -> link_pb2.Load:
-        """Add all that was told to the first report on a new link."""
+        """Add all published prefixes to the first report on a new link."""
         with self._lock:
             update = self._publisher.build_snapshot()
         return _add_update(load, update)
--- a/packages/daemon/src/dunlintide_daemon/agent/capacity.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/capacity.py
@@ -1,6 +1,6 @@
-"""Places at the endpoint: who waits for one, who has one, and how many.
+"""Capacity of the endpoint: the queue, the slots and the in-flight cap.
 
-The gate's lock guards all of it.
+The gate's lock guards all methods.
 """
 
 import attrs
@@ -17,13 +17,13 @@
     'Rejection',
 ]
 
-# Time between two looks at the rate at which requests end, in seconds.
+# Interval between samples of the rate at which requests finish.
 RATE_SECONDS = 1.0
 
 
 @attrs.frozen
 class Rejection:
-    """Why a request cannot begin here now.
+    """Reason why a request cannot start here now.
 
     :ivar agent: agent at fault, empty for this one
     """
@@ -34,16 +34,16 @@
 
 
 class Capacity:
-    """The queue before the endpoint and what is in flight behind it.
+    """The queue of the endpoint and the requests in flight there.
 
-    :ivar in_flight: requests and tokens that the endpoint has
-    :ivar rate: cost of what ends here, a second
+    :ivar in_flight: requests and tokens in flight at the endpoint
+    :ivar rate: cost of the finished requests per second
     """
 
     def __init__(
         self, limits: queueing.Limits, cap: caps.Cap, now: float
     ) -> None:
-        """Begin empty.
+        """Start without requests.
 
         :param now: monotonic time in seconds
         """
@@ -56,23 +56,23 @@
         self._sampled_at = now
 
     def find_rejection(self, team: str, limit: int) -> Rejection | None:
-        """Tell whether a team has as many requests here as it may.
+        """Return a rejection if a team is at its concurrency limit.
 
-        :param limit: requests at a time, 0 for no bound
+        :param limit: maximum number of requests at a time, 0 for no limit
         """
         if limit and self._teams.get(team, 0) >= limit:
             return Rejection(
                 outcomes.FailCode.RATE_LIMITED,
-                'too many requests of the team are in flight',
+                'the team has reached its limit of concurrent requests',
             )
         return None
 
     def enqueue(
         self, request: requests.Request, now: float
     ) -> outcomes.Refusal | None:
-        """Let a request wait its turn.
+        """Put a request into the queue.
 
-        :returns: why it is not worth waiting, None when it waits
+        :returns: refusal if waiting is pointless, None if it is queued
         """
         request.ticket = queueing.Ticket(
             request.terms.team,
@@ -90,7 +90,7 @@
         return refusal
 
     def add_request(self, team: str) -> None:
-        """Count a request of a team that waits or runs here."""
+        """Count a queued or running request of a team."""
         self._teams[team] = self._teams.get(team, 0) + 1
 
     def _has_slot(self, team: str) -> bool:
@@ -101,7 +101,7 @@
         return self.cap.admits(self.in_flight, ticket.item.tokens)
 
     def start_next(self, now: float) -> requests.Request | None:
-        """Give a place to the request whose turn it is, if there is one."""
+        """Take the next request off the queue and count it as in flight."""
         ticket = self.queue.pick(now, self._has_room, self._has_slot)
         if ticket is None:
             return None
@@ -114,13 +114,16 @@
         return request
 
     def release(self, request: requests.Request) -> None:
-        """Take back the place of a request with no step on the engine."""
+        """Free the slot of a request without a step on the engine."""
         self._slots.end(request.ticket.team, True)
         self.in_flight.requests -= 1
         self.in_flight.tokens -= request.tokens
 
     def remove_request(self, request: requests.Request) -> None:
-        """Take a request off that ends; its place, once no step is left."""
+        """Remove an ended request.
+
+        Its slot is freed once none of its steps is under way.
+        """
         team = request.terms.team
         self._teams[team] -= 1
         if not self._teams[team]:
@@ -137,7 +140,7 @@
             self.release(request)
 
     def tick(self, now: float) -> None:
-        """Do what time demands."""
+        """Update the slots and sample the rate."""
         self._slots.tick(now)
         if now - self._sampled_at >= RATE_SECONDS:
             self._sampled_at = now
--- a/packages/daemon/src/dunlintide_daemon/agent/counts.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/counts.py
@@ -1,4 +1,4 @@
-"""Counts that an agent keeps, for metrics and the dump."""
+"""Event counters of an agent, for metrics and the state dump."""
 
 import collections
 
@@ -11,10 +11,10 @@
 
 
 class Counts:
-    """Events by name and reason.
+    """Counters of events by name and of drops by reason.
 
-    A plain dictionary, since the paths that count hold a lock already;
-    ``collect`` makes it a metrics collector.
+    Plain dictionaries suffice, since callers already hold a lock.
+    ``collect`` makes the object a metrics collector.
     """
 
     def __init__(self) -> None:
@@ -22,23 +22,23 @@
         self._events: collections.Counter[str] = collections.Counter()
 
     def add_drop(self, reason: str) -> None:
-        """Count a frame or result that was dropped."""
+        """Count one dropped frame or result."""
         self._drops[reason] += 1
 
     def add(self, event: str, number: float = 1) -> None:
-        """Count events."""
+        """Add a number to the counter of an event."""
         self._events[event] += number
 
     def get_drops(self) -> dict[str, int]:
-        """Return the drops by reason."""
+        """Return the numbers of drops by reason."""
         return dict(self._drops)
 
     def get_events(self) -> dict[str, float]:
-        """Return the events by name."""
+        """Return the numbers of events by name."""
         return dict(self._events)
 
     def collect(self):
-        """Yield the counts in the form of the metrics library."""
+        """Yield the counters as metric families."""
         drops = metrics_core.CounterMetricFamily(
             'dunlintide_agent_drops',
             'Frames and results dropped, by reason',
@@ -49,7 +49,7 @@
         yield drops
         events = metrics_core.CounterMetricFamily(
             'dunlintide_agent_events',
-            'What the agent did, by kind',
+            'Events of the agent, by kind',
             labels=['event'],
         )
         for event, number in self.get_events().items():
@@ -57,5 +57,5 @@
         yield events
 
     def register(self, registry: prometheus_client.CollectorRegistry) -> None:
-        """Give the counts to a metrics registry."""
+        """Add the counters to a metrics registry."""
         registry.register(self)
--- a/packages/daemon/src/dunlintide_daemon/agent/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/crashes.py
@@ -1,4 +1,4 @@
-"""Whether an engine's process is gone, not just silent."""
+"""Detection of a crashed engine process, as against a silent one."""
 
 import time
 
@@ -10,16 +10,17 @@
 
 CHECK_SECONDS = 0.5
 POLL_SECONDS = 0.02
-# New connections in a row that end without an answer, where only one
-# could have been cut. Few, as an engine may soon be started again.
+# Consecutive new connections closed without an answer. A single one may
+# have been cut by chance; a high number would miss a fast engine restart.
 MAX_CLOSED_CONNECTIONS = 3
 
 
 def has_crashed(engine: engines.Engine) -> bool:
-    """Tell whether the engine's process is gone; takes half a second.
+    """Return whether the engine's process is gone; takes up to half a second.
 
-    Where something between takes connections in its place, such as a
-    port forwarder, they end without an answer, each new one too.
+    A refused connection shows that it is. A proxy such as a port forwarder
+    accepts connections for a dead engine and closes each without an answer,
+    so several closed connections in a row count as a crash too.
     """
     closed_connections = 0
     deadline = time.monotonic() + CHECK_SECONDS
@@ -34,6 +35,6 @@
         )
         if closed_connections >= MAX_CLOSED_CONNECTIONS:
             return True
-        # Its connections end a little before its port is free.
+        # A dying process closes its connections before its listening port.
         time.sleep(POLL_SECONDS)
     return False
--- a/packages/daemon/src/dunlintide_daemon/agent/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/dispatch.py
@@ -1,4 +1,4 @@
-"""Hands frames off the links to the part that they concern."""
+"""Dispatch of received frames to the components that handle them."""
 
 from typing import Callable
 
@@ -16,7 +16,7 @@
 
 
 class Dispatcher:
-    """Takes frames on link readers; never blocks."""
+    """Dispatches frames on the link reader threads; never blocks."""
 
     def __init__(
         self,
@@ -26,11 +26,11 @@
         handle_order: Callable[[links.Link, link_pb2.Order], None],
         suspicion: suspicions.Suspicion,
     ) -> None:
-        """Remember where frames go.
+        """Set the handlers of frames.
 
-        :param pipeline: None before a plain service
-        :param services: None before an engine
-        :param take_order: called with orders to the engine
+        :param pipeline: None if the endpoint is a plain service
+        :param services: None if the endpoint is an engine
+        :param handle_order: called with placement orders for the engine
         """
         self._handle_order = handle_order
         self._gate = gate
@@ -41,7 +41,7 @@
     def handle_frames(
         self, link: links.Link, frames: list[link_pb2.Frame]
     ) -> None:
-        """Hand on a batch of frames of one link."""
+        """Dispatch a batch of frames of one link."""
         with self._gate.lock:
             for frame in frames:
                 self._handle_frame(link, frame)
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -1,10 +1,10 @@
-"""Feeds the engine: gathers ready steps into calls.
+"""Batching of ready steps into calls to the engine.
 
-Several calls are under way at a time, which the engine merges: it always
-has work, and a call of few steps has its results soon. What becomes ready
-meanwhile gathers for the next call. A session has one step under way at
-most, which keeps its results in order. A step that may crash the
-engine runs while no other does, in turn with the rest.
+Several calls are under way at a time and the engine merges them, so it is
+never idle between calls, and a call with few steps returns early. Steps that
+become ready meanwhile are batched into the next call. A session has at most
+one step under way, which keeps its results in order. A step suspected of
+crashing the engine runs alone; such steps and batches take turns.
 """
 
 import collections
@@ -28,25 +28,28 @@
 ]
 
 MAX_CONCURRENT_CALLS = 4
-# Smaller calls cost more processor time than their results' wait.
+# Smaller batches would cost more processor time per step than the lower
+# latency is worth.
 MIN_STEPS = 16
 MAX_STEPS = 256
 MAX_POSITIONS = 16_384
-# A slow batch must not look like a hung engine.
+# The timeout grows with the batch, so that a large one is not mistaken for
+# a hung engine.
 BASE_TIMEOUT_SECONDS = 10.0
 TIMEOUT_SECONDS_PER_POSITION = 0.01
-# Past this a call is looked into; see ``rescue``.
+# A call without an answer for this long may be hedged; see ``hedging``.
 SILENCE_SECONDS = 3.0
 _STOP_SECONDS = 5.0
-# Between looks for sessions whose end was put off.
+# Interval of the checks for deferred frees.
 _SWEEP_SECONDS = 0.5
 
 
 @attrs.frozen(eq=False)
 class Job:
-    """A step and what it is for.
+    """A step and the session that it belongs to.
 
-    :ivar positions: size of the span, for batching
+    :ivar owner: session of the step, as the handlers expect it
+    :ivar positions: number of positions in the span, for batching
     """
 
     step: engines.Step
@@ -58,11 +61,12 @@
 class Handlers:
     """Callbacks of a driver, on its threads.
 
-    :ivar results: gets each finished call, in order for each session
-    :ivar failed: gets the jobs of a call without a usable answer
-    :ivar limit: returns the most steps that the next call may take
-    :ivar runs_alone: tells whether a step must share the engine with none
-    :ivar find_team: returns whom a step is for
+    :ivar results: receives the results of each call; those of one session
+        come in order
+    :ivar failed: receives the jobs of a call without a usable answer
+    :ivar limit: returns the maximum number of steps in the next call
+    :ivar runs_alone: returns whether a step must run while no other does
+    :ivar find_team: returns the team that a step is billed to
     """
 
     results: Callable[[list[tuple[Job, engines.StepResult]]], None]
@@ -74,10 +78,13 @@
 
 @attrs.define(eq=False)
 class _SessionState:
-    """Steps of one session id.
+    """Queued and running steps of one session id.
 
-    :ivar freeing: calls under way that free the session
-    :ivar free_again: whether a running step may bring the state back
+    :ivar queued: whether the session waits for its turn
+    :ivar busy: whether a step of the session is under way
+    :ivar freeing: number of frees queued or under way
+    :ivar free_again: whether to free again after the running step, which
+        may recreate the session on the engine
     """
 
     pending: collections.deque = attrs.field(factory=collections.deque)
@@ -94,7 +101,8 @@
 class Driver:
     """Threads that call one engine.
 
-    :ivar rescued: calls that were given up for a silent connection
+    :ivar rescued: calls completed by a hedge, as their connection was silent
+    :ivar busy_seconds: summed duration of all calls
     """
 
     def __init__(
@@ -104,24 +112,26 @@
         silence: float = SILENCE_SECONDS,
         arrival_seconds: float = firststeps.ARRIVAL_SECONDS,
     ) -> None:
-        """Prepare the threads; ``start`` begins.
+        """Prepare the threads, which ``start`` starts.
 
-        :param silence: seconds after which a call may be late
-        :param hold: seconds for which a step may arrive late
+        :param silence: seconds without an answer before a call can be late
+        :param arrival_seconds: time for which a step of an unanswered call
+            may still reach the engine
         """
         self._engine = engine
         self._handlers = handlers
         self._sessions: dict[str, _SessionState] = {}
         self._ready: collections.deque[str] = collections.deque()
-        # Sessions whose next step runs alone, and whether one is next.
+        # Sessions whose next step must run alone, and whether the next call
+        # takes one of them.
         self._alone_sessions: collections.deque[str] = collections.deque()
         self._alone_next = False
         self._alone_running = False
         self._running: set[Job] = set()
         self._spans = spans.SpanPacer()
-        # Seconds until a long span that has to wait may begin.
+        # Seconds until the next delayed long span may start.
         self._long_span_delay: float | None = None
-        # Of those running, the ones that a crash was put down to.
+        # Running jobs that have been reported as suspects of a crash.
         self._suspects: set[Job] = set()
         self._wake = threading.Condition()
         self._jobs: dict[hedging.EngineCall, list[Job]] = {}
@@ -159,12 +169,12 @@
         )
 
     def start(self) -> None:
-        """Begin to call the engine."""
+        """Start to call the engine."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End the threads once their calls have returned."""
+        """Stop the threads after their current calls have returned."""
         with self._wake:
             self._stopped = True
             self._wake.notify_all()
@@ -193,12 +203,13 @@
             self._mark_ready(session, state)
 
     def free(self, session: str) -> int:
-        """Drop what is queued for a session and free its KV cache.
+        """Drop the queued steps of a session and free its KV cache.
 
-        Steps that are submitted later wait until that has been done. While
-        a first step of the session may still arrive, its cache is kept.
+        Steps submitted later wait until the cache is free. The free is
+        deferred while a first step of the session may still reach the
+        engine.
 
-        :returns: steps that were dropped, which no handler hears of
+        :returns: number of dropped steps, for which no handler is called
         """
         with self._wake:
             state = self._sessions.setdefault(session, _SessionState())
@@ -213,20 +224,20 @@
         return dropped
 
     def is_free(self, session: str) -> bool:
-        """Return whether nothing of a session is queued or under way."""
+        """Return whether no step or free of a session is pending."""
         with self._wake:
             return session not in self._sessions
 
     @property
     def unsettled_first_steps(self) -> int:
-        """Sessions that the engine keeps against a late first step."""
+        """Number of sessions whose first step may still reach the engine."""
         return len(self._first_steps)
 
     def collect_suspects(self, failed: list[Job] | None = None) -> list[Job]:
         """Return the jobs under way when the engine crashed.
 
-        :param failed: jobs of the call that shows the crash; nothing is
-            returned when an earlier one had shown the same crash
+        :param failed: jobs of the call that revealed the crash; the result
+            is empty if another call has revealed the same crash before
         """
         with self._wake:
             if failed and self._suspects.issuperset(failed):
@@ -256,7 +267,7 @@
         return jobs
 
     def _gather_alone(self) -> list[Job]:
-        """Take the step that runs next by itself, once no other runs."""
+        """Take the next step that must run alone, if no other is running."""
         if self._running:
             return []
         self._alone_next = False
@@ -352,7 +363,7 @@
                 return
 
     def _call(self, jobs: list[Job]) -> bool:
-        """Make one call; False when another thread has replaced this one."""
+        """Make one call; return False if a hedge has replaced this thread."""
         size_seconds = TIMEOUT_SECONDS_PER_POSITION * sum(
             job.positions for job in jobs
         )
@@ -393,7 +404,13 @@
     def _complete_hedged(
         self, call: hedging.EngineCall, results: list[engines.StepResult]
     ) -> None:
-        """Finish a call whose thread waits on a silent connection."""
+        """Finish a call whose own thread is blocked on a silent connection.
+
+        A new thread replaces the blocked one.
+
+        :param results: results of the hedge; a step that the first call has
+            run fails in it, and its answer is lost
+        """
         with self._wake:
             jobs = self._jobs.pop(call)
         self.rescued += 1
@@ -426,7 +443,8 @@
         if pairs:
             self._handlers.results(pairs)
         if missing:
-            error = engines.EngineError('steps without a result')
+            detail = 'the engine returned no result for a step'
+            error = engines.EngineError(detail)
             self._handlers.failed(missing, error)
 
     def _run_frees(self) -> None:
--- a/packages/daemon/src/dunlintide_daemon/agent/dump.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/dump.py
@@ -1,4 +1,4 @@
-"""State dump of an agent, without request content and without keys."""
+"""State dump of an agent, without request contents and API keys."""
 
 import collections
 from typing import Any
@@ -29,7 +29,7 @@
 
 
 def describe_gate(gate: gates.Gate, now: float) -> dict[str, Any]:
-    """Return the state of a gate, fit for JSON.
+    """Return the state of a gate as JSON-compatible data.
 
     :param now: monotonic time in seconds
     """
--- a/packages/daemon/src/dunlintide_daemon/agent/enginecomponents.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/enginecomponents.py
@@ -1,4 +1,4 @@
-"""What an agent has before an engine, and not before a plain service."""
+"""Components that an agent has only for an engine, not for a service."""
 
 from typing import Any, Callable
 
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Dependencies:
-    """Parts of the agent that its engine's side works with."""
+    """Components of the agent that those of the engine depend on."""
 
     incarnation: int
     gate: gates.Gate
@@ -41,10 +41,11 @@
 
 @attrs.frozen
 class EngineComponents:
-    """The engine, what drives it, and the sessions that it runs.
+    """The client of the engine, its driver and the sessions that it runs.
 
-    :ivar caching: None where cache news are off
-    :ivar store: where the leader's key is read
+    :ivar caching: None if cache updates are disabled
+    :ivar store: client of the store that holds the leader's key
+    :ivar activation_store: activations kept to resend to the next stage
     """
 
     engine: engines.Engine
@@ -61,7 +62,7 @@
         endpoint: fleet.Endpoint,
         dependencies: Dependencies,
     ) -> 'EngineComponents':
-        """Build all of it; nothing runs yet."""
+        """Build the components without starting any thread."""
         timing = settings.timing
         activation_store = activations.Store(
             settings.limits.kept_activation_bytes
@@ -107,7 +108,7 @@
         return cls(engine, driver, pipeline, monitor, keys, activation_store)
 
     def describe(self) -> dict[str, Any]:
-        """Return its state, fit for JSON."""
+        """Return the state as JSON-compatible data."""
         state = {
             'stages': self.pipeline.count_stages(),
             'kept_activations': {
--- a/packages/daemon/src/dunlintide_daemon/agent/firststeps.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/firststeps.py
@@ -1,9 +1,8 @@
-"""Sessions whose first step may still reach the engine.
+"""Deferred frees of sessions whose first step may still reach the engine.
 
-A first step that is asked for twice finds its session there the second
-time, and the engine refuses it; but once the session has been freed, the
-engine would begin it anew. So such a session is kept on the engine until
-no call that carries its first step is out any more.
+The engine refuses a duplicate first step while it holds the session. If the
+session had been freed before, the duplicate would start a new one. A session
+therefore stays on the engine until no call with its first step is under way.
 """
 
 import collections
@@ -18,21 +17,26 @@
     'FirstSteps',
 ]
 
-# What a connection held may arrive after its end was seen here.
+# Buffered data of a connection may reach the engine after this agent has
+# seen the connection end.
 ARRIVAL_SECONDS = 30.0
 
 
 class FirstSteps:
-    """Counts the calls that may bring a first step; safe in any thread."""
+    """Counts the calls under way with first steps, by session.
+
+    Methods may be called from any thread.
+    """
 
     def __init__(
         self,
         arrival_seconds: float = ARRIVAL_SECONDS,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin with none.
+        """Start without calls.
 
-        :param hold: seconds for which a call without an answer counts on
+        :param arrival_seconds: time for which a call that ended without an
+            answer still counts as under way
         """
         self._arrival_seconds = arrival_seconds
         self._clock = clock
@@ -43,19 +47,19 @@
         self._number = itertools.count()
 
     def __len__(self) -> int:
-        """Return how many sessions are not to be freed yet."""
+        """Return how many sessions must not be freed yet."""
         with self._lock:
             return len(self._calls)
 
     def add_call(self, sessions: Iterable[str]) -> None:
-        """Take note of a call that carries first steps of sessions."""
+        """Record the start of a call with the first steps of sessions."""
         with self._lock:
             self._calls.update(sessions)
 
     def end_call(self, sessions: list[str], *, answered: bool) -> None:
-        """Take note that such a call has ended.
+        """Record the end of such a call.
 
-        :param answered: whether its steps can't reach the engine any more
+        :param answered: whether its steps can no longer reach the engine
         """
         due = self._clock() + (0.0 if answered else self._arrival_seconds)
         with self._lock:
@@ -64,7 +68,10 @@
             )
 
     def defer_free(self, session: str) -> bool:
-        """Return whether a session is to be freed by ``take_due`` only."""
+        """Defer the free of a session if its first step may still arrive.
+
+        :returns: whether it is deferred; ``pop_due`` then returns it later
+        """
         with self._lock:
             if session not in self._calls:
                 return False
@@ -72,12 +79,12 @@
             return True
 
     def cancel_free(self, session: str) -> None:
-        """Forget a put-off end: a newer epoch has taken its place."""
+        """Cancel a deferred free, since a newer epoch uses the session."""
         with self._lock:
             self._deferred.discard(session)
 
     def pop_due(self) -> list[str]:
-        """Give the sessions that were put off and can be freed now."""
+        """Remove and return the deferred sessions that can be freed now."""
         now = self._clock()
         found = []
         with self._lock:
--- a/packages/daemon/src/dunlintide_daemon/agent/gate.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/gate.py
@@ -1,8 +1,9 @@
-"""Admission of everything that comes to the endpoint.
+"""Admission control for all requests to the endpoint.
 
-All entries meet here, so the queue, fairness, the in-flight cap, the
-ledger of attempts and the refusals while leaving live here. Methods run
-on link readers and driver threads under one lock and must not block.
+The agent is the one place that sees the requests of all entries. It therefore
+holds the queue, fairness between teams, the in-flight cap and the ledger of
+claimed attempts, and refuses requests while it is leaving. Methods run on
+link reader and driver threads under one lock and must not block.
 """
 
 import threading
@@ -29,7 +30,7 @@
     'HOLD_SECONDS',
 ]
 
-# Longer than an entry looks for another chain.
+# Longer than the time for which an entry searches for another chain.
 HOLD_SECONDS = 10.0
 _QUARANTINED = 'the request has crashed endpoints'
 
@@ -38,8 +39,9 @@
 class GateSettings:
     """Constants of a gate.
 
-    :ivar detach_grace: seconds that an idempotent run goes on with nobody
-        to take its answer
+    :ivar name: name of this agent
+    :ivar detach_grace: seconds for which an idempotent run continues
+        without a subscriber
     """
 
     name: str
@@ -50,7 +52,15 @@
 
 
 class Gate:
-    """Requests that this agent is the executor of."""
+    """Admits and tracks the requests that this agent executes.
+
+    :ivar lock: guards the state of the gate and of its components
+    :ivar leaving: whether new requests are refused for good
+    :ivar fault: why new requests are refused; empty if they are accepted
+    :ivar is_quarantined: returns whether a request fingerprint is refused,
+        as the request has crashed endpoints
+    :ivar fences: epochs that have ended here
+    """
 
     def __init__(
         self,
@@ -77,7 +87,7 @@
         return len(self._requests)
 
     def find(self, request_id: str) -> requests.Request | None:
-        """Return the request of that id, if it has not ended."""
+        """Return the request with that id if it has not ended."""
         return self._requests.get(request_id)
 
     def list_requests(self) -> list[requests.Request]:
@@ -88,7 +98,7 @@
     def attach(
         self, claim: link_pb2.Claim, subscriber: requests.Subscriber
     ) -> None:
-        """Deliver the answer of an earlier attempt, or say what is known."""
+        """Deliver the answer of an earlier attempt, or what became of it."""
         with self.lock:
             verdict, entry = self.ledger.attach(requests.read_claim(claim))
             self._answers.answer_claim(verdict, entry, subscriber, 0)
@@ -150,9 +160,11 @@
         skip: int,
         rejection: capacity.Rejection | None,
     ) -> bool:
-        """Give a run that nobody takes to a newer epoch of its request.
+        """Attach a newer epoch of a request to its run, if there is one.
+
+        A run that can neither be attached to nor resumed is stopped.
 
-        True also when the frame is settled by dropping it.
+        :returns: whether the message is done with, also by dropping it
         """
         earlier = self._requests.get(request.request_id)
         if earlier is None:
@@ -191,7 +203,7 @@
         skip: int,
         rejection: capacity.Rejection | None,
     ) -> None:
-        """Give a claim's run to a repeat, and its chain to a held run."""
+        """Attach a repeat to its claim's run, and resume a held run."""
         verdict = ledgers.Verdict.ATTACH
         self._answers.answer_claim(verdict, entry, subscriber, skip)
         earlier = entry.work
@@ -209,12 +221,12 @@
         skip: int = 0,
         rejection: capacity.Rejection | None = None,
     ) -> None:
-        """Take in a request: refuse, queue, or give it an earlier run.
+        """Refuse or queue a request, or attach it to an earlier run.
 
-        :param claim: for a non-idempotent request
+        :param claim: claim of a non-idempotent request
         :param skip: generated tokens that the subscriber already has
-        :param obstacle: why it may not begin; an earlier run's answer is
-            delivered all the same
+        :param rejection: why the request cannot start; the answer of an
+            earlier run is delivered nevertheless
         """
         with self.lock:
             if claim is not None:
@@ -235,7 +247,11 @@
                     self.ledger.seal(entry)
                     code = outcomes.FailCode.BAD_REQUEST
                     self._answers.refuse(
-                        subscriber, code, 'id in use', False, sealed=True
+                        subscriber,
+                        code,
+                        'the request id is already in use',
+                        False,
+                        sealed=True,
                     )
                     return
             elif self.fences.has_ended(request.request_id, request.epoch):
@@ -254,7 +270,7 @@
             self.start_queued()
 
     def start_queued(self) -> None:
-        """Start what may start."""
+        """Start queued requests while the endpoint has capacity."""
         with self.lock:
             now = self._clock()
             while request := self.capacity.start_next(now):
@@ -263,7 +279,7 @@
                 request.start(request)
 
     def send(self, request: requests.Request, frame: link_pb2.Frame) -> None:
-        """Send a part of the answer to whoever takes it."""
+        """Send one frame of an answer to the subscribers."""
         with self.lock:
             if request.phase is requests.Phase.ENDED:
                 self.counts.add_drop('late-answer')
@@ -271,10 +287,11 @@
             self._answers.send(request, frame)
 
     def finish_step(self, request: requests.Request) -> None:
-        """Take note that the engine is done with a step of a request.
+        """Record that the engine has finished a step of a request.
 
-        One that ended meanwhile has held its slot: else a flood of
-        requests that are given up fills the engine past its cap.
+        An ended request keeps its slot until its last step is finished.
+        Otherwise a flood of cancelled requests would load the engine beyond
+        its cap.
         """
         with self.lock:
             request.steps_under_way -= 1
@@ -294,7 +311,7 @@
         self.fences.end(request.request_id, request.epoch)
 
     def end(self, request: requests.Request, *, stop: bool = False) -> None:
-        """Forget a request whose answer, if any, has been sent whole.
+        """End a request whose answer, if any, has been sent completely.
 
         :param stop: whether the run must be stopped first
         """
@@ -321,9 +338,10 @@
         agent: str = '',
         ran: bool = True,
     ) -> None:
-        """End a request without a whole answer.
+        """End a request without a complete answer.
 
-        :param ran: False only when the run provably did nothing
+        :param agent: agent at fault, this one by default
+        :param ran: False only when it is certain that no step ran
         """
         with self.lock:
             if request.phase is requests.Phase.ENDED:
@@ -354,7 +372,7 @@
         detail: str,
         agent: str,
     ) -> None:
-        """Keep a run that lost a later stage, and ask for another one.
+        """Hold a run that lost a later stage and ask for a replacement.
 
         :param agent: agent at fault
         """
@@ -376,7 +394,7 @@
                 subscriber.send(frame)
 
     def finish(self, request: requests.Request) -> None:
-        """Take the end of an answer; one that is held waits to be asked."""
+        """Record the end of an answer; a held run waits for its repeat."""
         with self.lock:
             if request.held_since is None:
                 self.end(request)
@@ -384,9 +402,9 @@
                 request.finished = True
 
     def cancel(self, request_id: str, epoch: int, link: links.Link) -> None:
-        """Stop a request on its caller's word.
+        """Cancel a request for its caller.
 
-        A non-idempotent run goes on: its answer is kept for a repeat.
+        A non-idempotent run continues, and its answer is kept for a repeat.
         """
         with self.lock:
             request = self._requests.get(request_id)
@@ -424,7 +442,7 @@
         )
 
     def handle_link_loss(self, link: links.Link) -> None:
-        """Take note that a caller's link is gone."""
+        """Unsubscribe all requests of a lost link."""
         with self.lock:
             for request in self._requests.values():
                 for subscriber in list(request.subscribers):
@@ -432,9 +450,9 @@
                         self._answers.detach(request, subscriber)
 
     def set_fault(self, detail: str) -> None:
-        """Refuse new work while the endpoint is away, and what waits.
+        """Refuse new and queued requests while the endpoint is unavailable.
 
-        :param detail: why; empty once the endpoint is back
+        :param detail: reason; empty once the endpoint is available
         """
         with self.lock:
             self.fault = detail
@@ -445,7 +463,7 @@
                     self.fail(request, outcomes.FailCode.NO_CAPACITY, detail)
 
     def fail_quarantined(self) -> None:
-        """Refuse what waits of requests that are now quarantined."""
+        """Fail queued requests that are quarantined now."""
         with self.lock:
             for request in list(self._requests.values()):
                 if request.phase is not requests.Phase.QUEUED:
@@ -455,7 +473,7 @@
                     self.fail(request, code, _QUARANTINED)
 
     def start_leaving(self) -> None:
-        """Refuse new work from now on."""
+        """Refuse new requests from now on."""
         with self.lock:
             self.leaving = True
 
@@ -464,7 +482,7 @@
             self.end(request)
             return
         code = outcomes.FailCode.LINK_LOST
-        self.fail(request, code, 'a stage was lost and none took its place')
+        self.fail(request, code, 'a stage was lost and not replaced in time')
 
     def _check_request(self, request: requests.Request, now: float) -> None:
         if now > request.deadline:
@@ -482,11 +500,13 @@
             return
         if now - request.detached_since > self._settings.detach_grace:
             self.fail(
-                request, outcomes.FailCode.LINK_LOST, 'nobody takes the answer'
+                request,
+                outcomes.FailCode.LINK_LOST,
+                'the answer has no subscriber',
             )
 
     def tick(self) -> None:
-        """Do what time demands; call it a few times a second."""
+        """Enforce time limits; to be called a few times a second."""
         with self.lock:
             now = self._clock()
             for request in list(self._requests.values()):
--- a/packages/daemon/src/dunlintide_daemon/agent/heads.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/heads.py
@@ -1,6 +1,6 @@
-"""Requests that this agent heads: it holds their whole answers.
+"""Head stages: sessions whose prompt and complete answer this agent holds.
 
-The head feeds its engine the prompt and then each sampled token. Methods
+The head runs the prompt and then each sampled token on its engine. Methods
 run under the gate's lock and must not block.
 """
 
@@ -35,13 +35,14 @@
 
 
 def _record_cost(session: sessions.Session) -> None:
-    """Tell the queue what ran in place of what was estimated."""
+    """Set the measured cost, which replaces the estimate in the queue."""
     prefilled = session.prompt_tokens + session.known_tokens
     decoded = session.generated - session.known_tokens
     if session.first_job is not None:
         prefilled = decoded = 0
     elif not session.prompt_tokens:
-        # The engine runs the prompt although nobody waits for it.
+        # The first step is still under way, and the engine runs the whole
+        # prompt even if the request has been cancelled.
         asked = max(0, session.max_tokens - session.known_tokens)
         prefilled = session.request.tokens - asked
     session.request.actual_cost = queueing.compute_cost(prefilled, decoded)
@@ -55,7 +56,7 @@
 
 
 class HeadStages:
-    """The head's part of the stage logic."""
+    """Handles messages and tokens as the head of a chain."""
 
     def __init__(
         self, table: tables.SessionTable, recovery: recoveries.Recovery
@@ -72,7 +73,7 @@
         code = outcomes.FailCode.NO_CAPACITY
         identity = self._table.identity
         if not message.chain or not identity.matches(message.chain[0]):
-            detail = 'the chain does not begin with this agent'
+            detail = 'the first stage of the chain is not this agent'
             return capacity.Rejection(code, detail)
         for stage in message.chain[1:]:
             if self._peers.is_leaving(stage.address):
@@ -82,7 +83,7 @@
         return None
 
     def open(self, link: links.Link, message: link_pb2.Open) -> None:
-        """Take in a request to run as head."""
+        """Admit a request to run as head."""
         terms = message.terms
         subscriber = requests.Subscriber(link, terms.request_id, message.epoch)
         rejection = self._find_rejection(message)
@@ -114,7 +115,7 @@
     def _resume_held(
         self, request: requests.Request, message: link_pb2.Open
     ) -> bool:
-        """Go on with a held run over the chain of a newer Open."""
+        """Resume a held run over the chain of a newer Open."""
         session = self._table.find(request.request_id)
         if session is None or session.request is not request:
             return False
@@ -166,9 +167,9 @@
             self._table.release(session)
 
     def _submit_first_job(self, session: sessions.Session) -> None:
-        """Run the first step, but not before a next stage that is gone.
+        """Run the first step once the link to the next stage is up.
 
-        So a request whose next stage cannot be reached has not run.
+        A request whose next stage cannot be reached has then not run.
         """
         if not session.is_last:
             stage = session.next
@@ -190,13 +191,13 @@
         self._table.fail(session, code, detail, agent, False)
 
     def handle_peer_up(self, address: str) -> None:
-        """Begin what waited for a link that is up now."""
+        """Start the sessions that waited for a link."""
         for session in self._table.list():
             if session.first_job and session.next.address == address:
                 self._submit_first_job(session)
 
     def tick(self, now: float) -> None:
-        """End what waits for a link in vain."""
+        """Fail sessions whose link has not come up in time."""
         for session in self._table.list():
             if session.first_job and now > session.link_deadline:
                 detail = 'the next stage cannot be reached'
@@ -213,7 +214,7 @@
         return session
 
     def handle_token(self, token: link_pb2.Token) -> None:
-        """Take a token of the last stage: pass it on and feed it back."""
+        """Send a token of the last stage to the caller and run it next."""
         session = self._find(token.request_id, token.epoch)
         if session is None:
             return
@@ -234,10 +235,11 @@
         self._counts.add_drop('gap-token')
         code = outcomes.FailCode.GAP
         agent = session.last.agent
-        self._table.fail(session, code, 'tokens are missing', agent)
+        detail = f'tokens are missing from index {session.generated} on'
+        self._table.fail(session, code, detail, agent)
 
     def handle_done(self, done: link_pb2.Done) -> None:
-        """Take the end of an answer from the last stage."""
+        """Handle the end of an answer from the last stage."""
         session = self._find(done.request_id, done.epoch)
         if session is None:
             return
@@ -251,7 +253,7 @@
         self._gate.finish(session.request)
 
     def handle_fail(self, fail: link_pb2.Fail) -> None:
-        """Take the failure of a later stage."""
+        """Handle the failure of a later stage."""
         session = self._find(fail.request_id, fail.epoch)
         if session is not None:
             code = _read_code(fail.code)
--- a/packages/daemon/src/dunlintide_daemon/agent/hedging.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/hedging.py
@@ -1,13 +1,13 @@
-"""Calls to the engine that stay without an answer.
-
-A connection can go silent for good while new ones work, and then its
-call would hold its sessions until the longest time that a slow engine
-may take. A call that is late is looked into: when the engine is well, the
-same steps are asked for once more over a new connection. The engine
-refuses positions that it has run, so nothing runs twice, and it takes
-steps in turn, so a call that is only slow is answered first. It knows
-that of sessions which it holds only, so none is freed while either call
-may bring its first step; see ``leftovers``.
+"""Hedging of late calls to the engine.
+
+A connection can go silent for good while new ones work. Its call would then
+block its sessions until the timeout, which allows for a slow engine. If the
+engine is healthy, a late call is therefore repeated over a new connection.
+The engine refuses positions that it has run, so no step runs twice, and it
+runs steps in order of arrival, so a call that is merely slow is answered
+first. The engine can refuse duplicates only for sessions that it holds, so a
+session is not freed while either call may bring its first step; see
+``firststeps``.
 """
 
 import threading
@@ -29,10 +29,11 @@
 ]
 
 CHECK_SECONDS = 0.1
-# A call is late after this many times what such calls took of late.
+# A call is late after this multiple of the mean duration of recent calls.
 LATE_FACTOR = 4.0
 _SMOOTHING = 0.2
-# A slow answer and the refusal of its double leave the engine together.
+# The answer of a slow call and the refusal of its hedge leave the engine at
+# the same time, so the original gets this long to arrive first.
 GRACE_SECONDS = 0.5
 _RAN_ERROR = 'position'
 _STALE_EPOCH_ERROR = 'stale-epoch'
@@ -42,9 +43,11 @@
 class EngineCall:
     """One call under way.
 
-    :ivar late: monotonic time from which it is looked into
-    :ivar end: monotonic time at which it is given up
-    :ivar settled: whether somebody has taken care of its outcome
+    :ivar started_at: monotonic time in seconds
+    :ivar late_at: monotonic time from which the call counts as late
+    :ivar give_up_at: monotonic time at which the call times out
+    :ivar settled: set once a thread has taken the outcome
+    :ivar examined: whether the hedger is examining the call
     """
 
     steps: list[engines.Step]
@@ -56,33 +59,33 @@
 
     @property
     def first_step_sessions(self) -> list[str]:
-        """Sessions whose first step this is."""
+        """Sessions whose first step the call carries."""
         return [step.session for step in self.steps if not step.position]
 
 
 def is_answer_lost(found: engines.StepResult) -> bool:
-    """Return whether the engine had run a step: its answer was lost."""
+    """Return whether the engine ran a step before, so the answer is lost."""
     return found.error in (_RAN_ERROR, _STALE_EPOCH_ERROR)
 
 
 def is_delivery_over(
     called: result.Result[list[engines.StepResult], engines.EngineError],
 ) -> bool:
-    """Return whether no step of a call can reach the engine any more."""
+    """Return whether no step of a call can still reach the engine."""
     if called.is_ok():
         return True
     return bool(called.err_value.status) or not called.err_value.sent
 
 
 class CallTracker:
-    """The calls under way; each is settled by one thread only."""
+    """The calls under way, each settled by exactly one thread."""
 
     def __init__(
         self, silence: float, clock: Callable[[], float] = time.monotonic
     ) -> None:
-        """Begin with none.
+        """Start without calls.
 
-        :param silence: least time in seconds after which a call is late
+        :param silence: minimum time in seconds before a call is late
         """
         self._silence = silence
         self._clock = clock
@@ -93,10 +96,10 @@
     def begin(
         self, steps: list[engines.Step], size_seconds: float, timeout: float
     ) -> EngineCall:
-        """Take note of a call.
+        """Record the start of a call.
 
-        :param work: seconds that its size allows it beyond others
-        :param longest: seconds that it may take at most
+        :param size_seconds: extra time allowed for the size of the call
+        :param timeout: maximum duration of the call in seconds
         """
         now = self._clock()
         late_at = now + self._silence + size_seconds + LATE_FACTOR * self._mean
@@ -106,7 +109,7 @@
         return call
 
     def settle(self, call: EngineCall) -> bool:
-        """Take over the outcome of a call; False when another has."""
+        """Settle a call; return False if another thread has settled it."""
         with self._lock:
             if call.settled.is_set():
                 return False
@@ -117,7 +120,7 @@
             return True
 
     def claim_late(self) -> list[EngineCall]:
-        """Give the calls that are late and that nobody looks into."""
+        """Mark as examined and return the late calls that were not."""
         now = self._clock()
         with self._lock:
             found = [
@@ -130,17 +133,17 @@
             return found
 
     def postpone(self, call: EngineCall) -> None:
-        """Look into a call again later."""
+        """Let a call be examined again after the silence time."""
         call.late_at = self._clock() + self._silence
         call.examined = False
 
     def get_remaining_seconds(self, call: EngineCall) -> float:
-        """Return the seconds until a call is given up."""
+        """Return the seconds until a call times out."""
         return max(0.0, call.give_up_at - self._clock())
 
 
 class Hedger:
-    """Looks into late calls, each on a thread of its own."""
+    """Repeats late calls, each on a separate thread."""
 
     def __init__(
         self,
@@ -149,11 +152,11 @@
         complete: Callable[[EngineCall, list[engines.StepResult]], None],
         first_steps: firststeps.FirstSteps,
     ) -> None:
-        """Remember whom to ask and whom to tell.
+        """Set the engine and the callback.
 
-        :param take_over: gets a call whose connection is silent, settled,
-            and what its steps gave when they were asked for again
-        :param kept: hears which first steps are asked for again
+        :param complete: receives a settled call whose connection is silent,
+            and the results of its hedge
+        :param first_steps: records the first steps that hedges carry
         """
         self._engine = engine
         self._calls = tracker
@@ -161,7 +164,7 @@
         self._first_steps = first_steps
 
     def run(self, stopped: threading.Event) -> None:
-        """Look into late calls until the event is set."""
+        """Examine late calls until the event is set."""
         while not stopped.wait(CHECK_SECONDS):
             for call in self._calls.claim_late():
                 threading.Thread(
@@ -173,12 +176,12 @@
 
     def _examine(self, call: EngineCall) -> None:
         if self._engine.check_health().is_err():
-            # The supervisor tells when the engine is to be given up.
+            # The supervisor decides when the engine counts as lost.
             self._calls.postpone(call)
             return
         remaining = self._calls.get_remaining_seconds(call)
         if not remaining:
-            return  # The call ends by itself now.
+            return  # The call is about to time out.
         self._first_steps.add_call(call.first_step_sessions)
         hedged = self._engine.run_steps(call.steps, remaining, anew=True)
         if hedged.is_ok():
@@ -189,7 +192,8 @@
             )
             self._calls.postpone(call)
             return
-        # From now on it is the first call that may be late; see ``Driver``.
-        # Idle connections may have gone silent with this one.
+        # The first steps stay recorded: the first call may still deliver them,
+        # and the driver ends the record when that call returns.
+        # Other idle connections may be silent as well, so all are renewed.
         self._engine.renew()
         self._complete(call, hedged.ok_value)
--- a/packages/daemon/src/dunlintide_daemon/agent/orders.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/orders.py
@@ -1,10 +1,10 @@
-"""Orders of leaders: what this agent's engine is to hold.
+"""Orders of leaders, which set the layers that the engine holds.
 
-One actor carries them out, one after the other. An order counts only
-while its fencing number is that of the leader's key in the store, which
-is read for each order: so a restarted agent, which has forgotten the
-numbers that it saw, takes no more than one that remembers. The highest
-number seen is kept besides, and the engine's own where it tells it.
+One actor executes them in sequence. An order is valid only while its fencing
+token equals that of the leader's key in the store, which is read for each
+order. A restarted agent, which has lost the tokens it saw, is thus as strict
+as one that kept running. In addition, orders below the highest token seen by
+this agent, or reported by the engine, are refused.
 """
 
 import time
@@ -28,7 +28,7 @@
     'Refresh',
 ]
 
-# Sessions of layers that are given up get this long to finish.
+# Time for sessions to finish before their layers are unloaded.
 DRAIN_SECONDS = 5.0
 LOAD_TIMEOUT_SECONDS = 600.0
 _POLL_SECONDS = 0.05
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class HandleOrder:
-    """An order that came over a link."""
+    """Message with an order that was received over a link."""
 
     link: links.Link
     order: link_pb2.Order
@@ -45,19 +45,20 @@
 
 @attrs.frozen
 class Refresh:
-    """Look at what the engine holds."""
+    """Message to read which layers the engine holds."""
 
 
 @attrs.frozen
 class Hooks:
-    """What the actor does beyond its own state.
-
-    :ivar get_holding: what peers are told that the engine holds
-    :ivar adopt: tells them of another holding and the model's layers
-    :ivar count_sessions: sessions that run on the engine
-    :ivar lose_sessions: ends them, with the reason
-    :ivar is_leaving: whether this agent takes no new work
-    :ivar crash: lets the process end, since the actor has failed
+    """Callbacks into the rest of the agent.
+
+    :ivar get_holding: returns the layers that the agent announces
+    :ivar apply_holding: announces other layers, with the model's number of
+        layers
+    :ivar count_sessions: returns the number of sessions on the engine
+    :ivar fail_sessions: ends these sessions with a reason
+    :ivar is_leaving: returns whether this agent refuses new requests
+    :ivar crash: ends the process, since the actor has failed
     """
 
     get_holding: Callable[[], placement.Holding]
@@ -77,7 +78,7 @@
 
 
 class Orders(pykka.ThreadingActor):
-    """Carries out orders and follows what the engine holds."""
+    """Executes orders and tracks which layers the engine holds."""
 
     use_daemon_thread = True
 
@@ -87,7 +88,7 @@
         leaders: leader_keys.Leaders,
         hooks: Hooks,
     ) -> None:
-        """Remember whom to ask."""
+        """Set the engine, the reader of the leader's key and the hooks."""
         super().__init__()
         self._engine = engine
         self._leaders = leaders
@@ -103,12 +104,16 @@
             self._refresh()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Stop the process: an actor that raised is silently dead."""
+        """Stop the process, since the actor handles no more messages."""
         logging.error('orders failed: %r', exception_value)
         self._hooks.crash()
 
     def _refresh(self) -> bool:
-        """Adopt what the engine holds; False when it could not tell."""
+        """Apply the layers that the engine holds.
+
+        :returns: False if the engine did not report them, unless it does
+            not support such reports at all
+        """
         read = self._engine.read_holding()
         if isinstance(read, result.Err):
             return read.err_value.status == _UNSUPPORTED_STATUS
@@ -118,7 +123,7 @@
         holding = _make_holding(reported)
         if not holding.equals(self._hooks.get_holding()):
             self._hooks.apply_holding(holding, reported.layer_count)
-            self._hooks.fail_sessions('the endpoint holds other layers')
+            self._hooks.fail_sessions('the endpoint now holds other layers')
         return True
 
     def _reply(
@@ -135,7 +140,8 @@
         if not self._refresh():
             return placement.Refusal.ENGINE_AWAY
         if self._loading:
-            # An order that an earlier life of this agent passed on.
+            # The engine still executes an order that this agent passed on
+            # before a restart.
             return placement.Refusal.BUSY
         if order.fence < self._fence:
             return placement.Refusal.OLD_FENCE
@@ -152,7 +158,7 @@
     def _handle_order(self, link: links.Link, order: link_pb2.Order) -> None:
         refusal = self._find_refusal(order)
         logging.info(
-            'order of %s, fence %d, for layers %d to %d of %s: %s',
+            'order of leader %s with fence %d for layers %d to %d of %s: %s',
             order.leader,
             order.fence,
             order.layer_start,
@@ -166,16 +172,17 @@
             self._load(link, order)
 
     def _drain_sessions(self, order: link_pb2.Order) -> None:
-        """Take no sessions for the old layers and let the last ones end.
+        """Refuse sessions for the old layers and let running ones finish.
 
-        Before the engine changes its layers, so that no session can run
-        on a mixture of both, whether the engine checks that or not.
+        This comes before the engine changes its layers, so that no session
+        runs partly on the old and partly on the new ones, whether or not the
+        engine checks that.
         """
         self._hooks.apply_holding(placement.Holding(), 0)
         deadline = time.monotonic() + DRAIN_SECONDS
         while self._hooks.count_sessions() and time.monotonic() < deadline:
             time.sleep(_POLL_SECONDS)
-        self._hooks.fail_sessions('the endpoint is to hold other layers')
+        self._hooks.fail_sessions('the endpoint is about to load other layers')
 
     def _load(self, link: links.Link, order: link_pb2.Order) -> None:
         wanted = engines.EngineHolding(
@@ -191,12 +198,12 @@
         failure = loaded.err_value if loaded.is_err() else None
         if failure is None:
             self._hooks.apply_holding(_make_holding(order), order.layer_count)
-        # What the engine tells goes before what it was to hold.
+        # The layers that the engine reports override those of the order.
         self._refresh()
         if _make_holding(order) == self._hooks.get_holding():
             return
         refusal = placement.Refusal.LOAD_FAILED
         if failure and failure.status == engines.OLD_FENCE_STATUS:
             refusal = placement.Refusal.OLD_FENCE
-        logging.warning('order not carried out: %s', refusal)
+        logging.warning('order not executed: %s', refusal)
         self._reply(link, order, refusal)
--- a/packages/daemon/src/dunlintide_daemon/agent/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/peers.py
@@ -1,7 +1,7 @@
 """Links that this agent opens to other agents, by address.
 
 They are shared by all requests, opened on first use and closed when idle.
-What is sent before a link is up waits for it, for a bounded time.
+Frames sent before a link is up are queued for a bounded time.
 """
 
 import threading
@@ -30,9 +30,9 @@
 class Handlers:
     """Callbacks of the links, on their reader threads.
 
-    :ivar take: gets frames that come over these links
-    :ivar up: gets the address of a link that is up
-    :ivar lost: gets the address and reason of a lost link
+    :ivar frames: receives the frames of these links
+    :ivar up: receives the address of a link that has come up
+    :ivar lost: receives the address and reason of a lost link
     """
 
     frames: Callable[[links.Link, list[link_pb2.Frame]], None]
@@ -61,7 +61,7 @@
         clock: Callable[[], float] = time.monotonic,
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Remember whom to tell; links open on demand."""
+        """Set the callbacks; links open on demand."""
         self._hello = hello
         self._handlers = handlers
         self._timing = timing
@@ -125,26 +125,26 @@
         return peer
 
     def connect(self, address: str) -> None:
-        """Begin to open a link that will be needed soon."""
+        """Start to open a link that will be needed soon."""
         with self._lock:
             if not self._closed and address not in self._peers:
                 self._dial(address)
 
     def is_leaving(self, address: str) -> bool:
-        """Return whether a peer said that it leaves."""
+        """Return whether a peer has announced that it is leaving."""
         peer = self._peers.get(address)
         return peer is not None and peer.leaving
 
     def get_incarnation(self, address: str) -> int | None:
-        """Return which life of a peer is linked, None while none is."""
+        """Return the incarnation of a linked peer, None without a link."""
         peer = self._peers.get(address)
         link = peer.link if peer is not None else None
         return link.peer.incarnation if link is not None else None
 
     def send(self, address: str, frame: link_pb2.Frame) -> bool:
-        """Send a frame, or keep it until the link is up.
+        """Send a frame, or queue it until the link is up.
 
-        :returns: False when the link is backed up or closing
+        :returns: False if a queue is full or the links are closing
         """
         now = self._clock()
         with self._lock:
@@ -169,7 +169,7 @@
                     peer.link.send(frame)
 
     def list_addresses(self) -> dict[str, bool]:
-        """Return the addresses, and whether each link is up."""
+        """Return the addresses of the peers and whether each link is up."""
         with self._lock:
             return {
                 address: peer.link is not None
@@ -187,9 +187,9 @@
         return found
 
     def tick(self, needed: set[str]) -> None:
-        """Give up on unreachable peers and close idle links.
+        """Drop frames for unreachable peers and close idle links.
 
-        :param needed: addresses that running requests rely on
+        :param needed: addresses that running requests depend on
         """
         now = self._clock()
         with self._lock:
@@ -201,13 +201,17 @@
             ]
             closing = [self._peers.pop(address) for address in idle]
         for address in unreachable:
-            logging.info('agent at %s cannot be reached', address)
+            logging.info(
+                'agent at %s not reachable within %g s',
+                address,
+                CONNECT_SECONDS,
+            )
             self._handlers.lost(address, 'unreachable')
         for peer in closing:
             peer.dialer.stop()
 
     def close(self) -> None:
-        """Close all links and open no more."""
+        """Close all links and refuse to open others."""
         with self._lock:
             self._closed = True
             peers = list(self._peers.values())
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -1,7 +1,7 @@
-"""Stage logic: runs this agent's layers and passes results on.
+"""Stage logic: runs this agent's layers and forwards the results.
 
-The callers are link readers, driver threads and the ticker; each method
-takes the gate's lock, and none blocks.
+Methods are called by link readers, driver threads and the ticker thread.
+Each takes the gate's lock, and none blocks.
 """
 
 import attrs
@@ -25,7 +25,7 @@
 ]
 
 _KV_FULL_ERROR = 'kv-full'
-# The engine has not run the step and wants to be asked again.
+# The engine has not run the step and expects it to be submitted again.
 _RETRY_ERROR = 'kv-wait'
 
 
@@ -49,7 +49,7 @@
         table: tables.SessionTable,
         suspicion: suspicions.Suspicion,
     ) -> None:
-        """Remember what to work with."""
+        """Build the handlers of stages that share a session table."""
         self._table = table
         self._suspicion = suspicion
         self._stages = stages.LaterStages(table)
@@ -68,13 +68,13 @@
         )
 
     def count_stages(self) -> dict[str, int]:
-        """Return how many sessions are here as head and as later stage."""
+        """Return the numbers of sessions by kind of stage."""
         with self._lock:
             count = sum(session.is_head for session in self._table.list())
             return {'head': count, 'later': len(self._table) - count}
 
     def list_addresses(self) -> set[str]:
-        """Return the addresses of agents that the sessions rely on."""
+        """Return the addresses of agents that the sessions depend on."""
         with self._lock:
             found = set()
             for session in self._table.list():
@@ -85,23 +85,23 @@
             return found
 
     def set_holding(self, holding: placement.Holding) -> None:
-        """Take new sessions for other layers than before."""
+        """Set the layers for which new sessions are accepted."""
         with self._lock:
             self._table.identity = attrs.evolve(
                 self._table.identity, **attrs.asdict(holding)
             )
 
     def limit_batch(self) -> int:
-        """Return how many steps one call to the engine may take."""
+        """Return the maximum number of steps in one call to the engine."""
         return self._table.limit_batch()
 
     def start_leaving(self) -> None:
-        """Take no new sessions once heads had time to hear of it."""
+        """Accept no new sessions once the grace time has passed."""
         with self._lock:
             self._stages.start_leaving()
 
     def accepts_sessions(self) -> bool:
-        """Return whether sessions of other heads may still come."""
+        """Return whether sessions of other heads are still accepted."""
         with self._lock:
             return self._stages.accepts_sessions()
 
@@ -110,7 +110,7 @@
     def handle_results(
         self, pairs: list[tuple[drivers.Job, engines.StepResult]]
     ) -> None:
-        """Pass on what the engine has run."""
+        """Forward the results of a call to the engine."""
         self._suspicion.note_steps(
             self._layer_range,
             [
@@ -232,7 +232,7 @@
     def fail_jobs(
         self, jobs: list[drivers.Job], error: engines.EngineError
     ) -> None:
-        """End the sessions of a call that the engine did not answer."""
+        """Fail the sessions of a call that the engine did not answer."""
         code = outcomes.FailCode.ENDPOINT_FAILED
         if error.lost:
             code = outcomes.FailCode.LINK_LOST
@@ -247,9 +247,9 @@
     # Crashes.
 
     def report_crash(self, failed: list[drivers.Job] | None = None) -> None:
-        """Put a crash of the engine down to what it was running.
+        """Report the requests under way in a crash of the engine as suspects.
 
-        :param failed: jobs that the crash was seen by
+        :param failed: jobs of the call that revealed the crash
         """
         suspects = _list_suspects(self._table.driver.collect_suspects(failed))
         if suspects:
@@ -263,14 +263,14 @@
             self.fail_quarantined()
 
     def runs_alone(self, job: drivers.Job) -> bool:
-        """Tell whether a step must share the engine with none."""
+        """Return whether a step must run while no other does."""
         terms = job.owner.terms
         return self._suspicion.runs_alone(
             terms.fingerprint, terms.team, self._layer_range
         )
 
     def fail_quarantined(self) -> None:
-        """End what waits or runs of requests that are now quarantined."""
+        """Fail queued and running requests that are quarantined now."""
         is_quarantined = self._suspicion.is_quarantined
         code = outcomes.FailCode.QUARANTINED
         detail = 'the request has crashed endpoints'
@@ -282,7 +282,7 @@
                     self._table.fail(session, code, detail, ran=ran)
 
     def fail_all(self, detail: str) -> None:
-        """End all sessions: the engine has lost their state."""
+        """Fail all sessions, since the engine has lost their state."""
         code = outcomes.FailCode.ENDPOINT_FAILED
         with self._lock:
             for session in self._table.list():
@@ -292,17 +292,17 @@
     # Frames of entries and other agents.
 
     def open(self, link: links.Link, message: link_pb2.Open) -> None:
-        """Take in a request to run as head."""
+        """Admit a request to run as head."""
         with self._lock:
             self._heads.open(link, message)
 
     def handle_step(self, link: links.Link, step: link_pb2.Step) -> None:
-        """Take activations of the stage before."""
+        """Handle activations of the previous stage."""
         with self._lock:
             self._stages.handle_step(link, step)
 
     def handle_resume(self, link: links.Link, resume: link_pb2.Resume) -> None:
-        """Take a new chain of the stage before, or a reply to one."""
+        """Handle a new chain of the previous stage, or a reply to one."""
         with self._lock:
             if resume.reply:
                 self._recovery.handle_reply(resume)
@@ -313,22 +313,22 @@
                     self._send_token(session, index, sampled)
 
     def handle_token(self, token: link_pb2.Token) -> None:
-        """Take a token of the last stage."""
+        """Handle a token of the last stage."""
         with self._lock:
             self._heads.handle_token(token)
 
     def handle_done(self, done: link_pb2.Done) -> None:
-        """Take the end of an answer from the last stage."""
+        """Handle the end of an answer from the last stage."""
         with self._lock:
             self._heads.handle_done(done)
 
     def handle_fail(self, fail: link_pb2.Fail) -> None:
-        """Take the failure of a later stage."""
+        """Handle the failure of a later stage."""
         with self._lock:
             self._heads.handle_fail(fail)
 
     def handle_cancel(self, link: links.Link, cancel: link_pb2.Cancel) -> None:
-        """Free a session on the word of a caller or the stage before."""
+        """Cancel a session for a caller or the previous stage."""
         with self._lock:
             session = self._table.find(cancel.request_id)
             if session is None or session.is_head:
@@ -344,12 +344,12 @@
     # Links and time.
 
     def handle_peer_up(self, address: str) -> None:
-        """Take note of a link that this agent opened and that is up."""
+        """Start the sessions that waited for a link that is up now."""
         with self._lock:
             self._heads.handle_peer_up(address)
 
     def handle_peer_loss(self, address: str, reason: str) -> None:
-        """End what relied on a link that this agent had opened."""
+        """Fail the sessions that used a link opened by this agent."""
         code = outcomes.FailCode.LINK_LOST
         detail = f'the link to an agent was lost: {reason}'
         with self._lock:
@@ -363,7 +363,7 @@
                 self._table.fail(session, code, detail, agent)
 
     def handle_link_loss(self, link: links.Link) -> None:
-        """End what relied on a link that another agent had opened."""
+        """Fail the sessions that used a link opened by another agent."""
         code = outcomes.FailCode.LINK_LOST
         detail = 'the link from an agent was lost'
         name = link.peer.name
@@ -380,7 +380,7 @@
                 self._table.fail(session, code, detail, agent)
 
     def tick(self) -> None:
-        """Do what time demands; call it a few times a second."""
+        """Enforce time limits; to be called a few times a second."""
         now = self._table.clock()
         with self._lock:
             self._heads.tick(now)
--- a/packages/daemon/src/dunlintide_daemon/agent/process.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/process.py
@@ -1,4 +1,4 @@
-"""An agent as a process, which stops on signals and with vital threads."""
+"""The agent process, which stops on signals and on failed threads."""
 
 import contextlib
 import signal
@@ -21,7 +21,7 @@
 
 @contextlib.contextmanager
 def _watch_signals(drain: Callable[[], None]) -> Iterator[None]:
-    """Begin a planned stop on a signal, within the block."""
+    """Start a planned stop on a signal, within the block."""
     if threading.current_thread() is not threading.main_thread():
         yield
         return
@@ -38,7 +38,7 @@
 
 @contextlib.contextmanager
 def _watch_threads(crash: Callable[[], None]) -> Iterator[None]:
-    """Stop the process when a vital thread dies, within the block."""
+    """Stop the process if a vital thread fails, within the block."""
 
     def handle_exception(details: threading.ExceptHookArgs) -> None:
         name = details.thread.name if details.thread else ''
@@ -72,6 +72,8 @@
         agent = stack.enter_context(role.Agent(settings, shared))
         stack.enter_context(_watch_signals(agent.drain))
         stack.enter_context(_watch_threads(agent.crash))
-        logging.info('agent %s serves at %s', settings.name, agent.address)
+        logging.info(
+            'agent %s is listening at %s', settings.name, agent.address
+        )
         agent.done.wait()
     return EXIT_FAILURE if agent.failed else 0
--- a/packages/daemon/src/dunlintide_daemon/agent/recovery.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/recovery.py
@@ -1,9 +1,9 @@
-"""Going on with a new chain after the death of a stage.
+"""Resumption of sessions over a new chain after the loss of a stage.
 
-Each stage tells the next one of the new epoch with ``Resume``; the reply
-says from which position on activations are wanted. So only a replacement
-runs positions again, fed with what the stage before it has kept. Methods
-run under the gate's lock and must not block.
+Each stage starts the new epoch at the next one with ``Resume``; the reply
+names the first position whose activations the next stage lacks. Only a
+replacement runs positions again, on activations that the previous stage has
+kept. Methods run under the gate's lock and must not block.
 """
 
 import attrs
@@ -22,7 +22,7 @@
     'Recovery',
 ]
 
-# Well under the largest message; one frame more costs little.
+# Far below the maximum message size; an additional frame costs little.
 MAX_SPAN_BYTES = 1 << 20
 
 
@@ -40,7 +40,7 @@
 
 
 class Recovery:
-    """Changes of the chain of sessions that have begun."""
+    """Moves running sessions to other chains."""
 
     def __init__(
         self, table: tables.SessionTable, later_stages: stages.LaterStages
@@ -51,18 +51,18 @@
     def keep_activations(
         self, session: sessions.Session, found: engines.StepResult
     ) -> None:
-        """Keep a result for the replacement of the next stage."""
+        """Keep a result, to resend if the next stage is replaced."""
         span = activations.Span(found.position, found.count, found.activations)
         self._table.activation_store.add(session.request_id, span)
 
     def hold(self, session: sessions.Session) -> None:
-        """Keep a session whose chain has ended, for a Resume."""
+        """Hold a session and those of later stages for a Resume."""
         if session.held_since is None:
             session.held_since = self._table.clock()
             self._table.cancel_next(session, hold=True)
 
     def send_resume(self, session: sessions.Session) -> None:
-        """Tell the next stage of the chain and ask what it lacks."""
+        """Send the new epoch to the next stage and ask what it lacks."""
         if session.is_last:
             return
         session.next_has_setup = True
@@ -100,7 +100,7 @@
     def _cancel_removed(
         self, session: sessions.Session, chain: tuple[link_pb2.Stage, ...]
     ) -> None:
-        """Free stages that are no longer in the chain but may be alive."""
+        """Cancel the session at linked stages that left the chain."""
         if not session.is_head:
             return
         cancel = link_pb2.Cancel(
@@ -117,8 +117,8 @@
     def resume(
         self, session: sessions.Session, message: link_pb2.Open
     ) -> None:
-        """Go on as head over the chain of a newer Open."""
-        # A claimed run may be asked for under another id and epoch.
+        """Resume as head over the chain of a newer Open."""
+        # A repeat of a claimed request has its own request id and epoch.
         epoch = max(session.epoch + 1, message.epoch)
         self._start_epoch(session, epoch, tuple(message.chain))
         session.known_tokens = session.generated
@@ -127,9 +127,9 @@
     def handle_resume(
         self, link: links.Link, resume: link_pb2.Resume
     ) -> sessions.Session | None:
-        """Take the chain of a newer epoch from the stage before.
+        """Apply the chain of a newer epoch from the previous stage.
 
-        :returns: the session, None when it cannot go on here
+        :returns: the session, None if it cannot continue here
         """
         session = self._table.find(resume.request_id)
         if session is not None:
@@ -174,7 +174,7 @@
         return session
 
     def _restore_sampled(self, session: sessions.Session) -> sessions.Session:
-        """Go back to sample a token that nobody has any more."""
+        """Rewind to sample a token again that is no longer kept."""
         wanted = [
             (index, sampled)
             for index, sampled in session.sampled
@@ -191,7 +191,11 @@
     def _rewind(
         self, session: sessions.Session, position: int
     ) -> sessions.Session:
-        """Drop the positions from one on; a copy drops late results."""
+        """Discard the positions from a given one on.
+
+        :returns: copy that replaces the session, so that late results of
+            the original are dropped
+        """
         self._table.counts.add('rewound')
         self._table.activation_store.truncate(session.request_id, position)
         last = position - session.prompt_tokens
@@ -217,7 +221,7 @@
         session.upstream.send(link_pb2.Frame(resume=reply))
 
     def handle_reply(self, reply: link_pb2.Resume) -> None:
-        """Send the next stage what it lacks."""
+        """Resend the activations that the next stage lacks."""
         session = self._table.find(reply.request_id)
         if session is None or session.epoch != reply.epoch:
             self._table.counts.add_drop('stale-resume')
@@ -253,7 +257,7 @@
         return self._send(session, link_pb2.Frame(step=step))
 
     def _rerun(self, session: sessions.Session) -> None:
-        """Run this stage's layers again: what was sent on is not kept."""
+        """Run all positions again, since their activations are not kept."""
         self._table.counts.add('run-again')
         self._table.activation_store.drop(session.request_id)
         self._table.free(session)
--- a/packages/daemon/src/dunlintide_daemon/agent/reports.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/reports.py
@@ -1,4 +1,4 @@
-"""When an agent tells the entries its load."""
+"""Suppression of redundant load reports to the entries."""
 
 from dunlintide_adapters.wire import link_pb2
 
@@ -7,14 +7,14 @@
     'ReportFilter',
 ]
 
-# Longest time between two reports of an agent that stays without work.
+# Maximum time between two reports of an idle agent.
 IDLE_SECONDS = 3.0
 
 
 class ReportFilter:
-    """Leaves out what entries know: that an idle agent is still idle.
+    """Suppresses repeated reports of an idle agent.
 
-    With any work each report goes out, as entries learn from each.
+    Reports of a busy agent are all sent, as entries evaluate each of them.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self._sent_at = 0.0
 
     def admit(self, load: link_pb2.Load, now: float) -> bool:
-        """Tell whether to send a report now; if so it counts as sent.
+        """Return whether to send a report now, and record it as sent if so.
 
         :param now: monotonic time in seconds
         """
--- a/packages/daemon/src/dunlintide_daemon/agent/requests.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/requests.py
@@ -1,4 +1,4 @@
-"""Requests at an agent, and who gets their answers."""
+"""Requests at an agent and the subscribers of their answers."""
 
 import enum
 from typing import Callable
@@ -21,7 +21,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Where a request stands at its gate."""
+    """Phase of a request at the gate."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -30,9 +30,9 @@
 
 @attrs.frozen(eq=False)
 class Subscriber:
-    """Where an answer goes, and under which name.
+    """Link that receives an answer, with the request id to use on it.
 
-    A repeat may come under another request id and epoch than the run.
+    A repeat may have another request id and epoch than the run.
     """
 
     link: links.Link
@@ -40,7 +40,7 @@
     epoch: int
 
     def send(self, frame: link_pb2.Frame) -> bool:
-        """Send a frame under this subscriber's own names."""
+        """Send a frame with the request id and epoch of this subscriber."""
         body = frame.WhichOneof('body')
         part = getattr(frame, body)
         if part.request_id == self.request_id and part.epoch == self.epoch:
@@ -55,24 +55,27 @@
 
 @attrs.define(eq=False)
 class Request:
-    """One request that this agent runs as head, or calls a service for.
+    """A request that this agent runs as head or sends to a service.
 
-    :ivar epoch: of the run; subscribers may have newer ones
+    :ivar epoch: epoch of the run; subscribers may have newer ones
     :ivar deadline: monotonic time in seconds
-    :ivar cost: in the queue's unit
-    :ivar tokens: KV cache positions that it may come to need
-    :ivar spent: what it really cost so far; None when not known
-    :ivar under_way: steps that the engine has yet to run
-    :ivar start: begins the run; must not block
-    :ivar stop: ends the run early; must not block
-    :ivar log: frames sent so far, for repeats
-    :ivar keeps_log: whether a repeat may ask for the answer
-    :ivar detached: time since which nobody takes the answer
-    :ivar held: time since which a stage is lost and the run waits for an
-        entry to name another one
-    :ivar finished: whether the whole answer came while it was held
-    :ivar take_over: goes on with another request's held run over the
-        chain of this one; False when it cannot
+    :ivar cost: estimated cost in the unit of the queue
+    :ivar tokens: maximum number of KV cache positions
+    :ivar start: starts the run; must not block
+    :ivar stop: stops the run early; must not block
+    :ivar keeps_log: whether to keep sent frames for repeats
+    :ivar chain_key: agents and layers of the chain, to compare chains
+    :ivar entry: ledger record of a claimed request
+    :ivar ticket: position in the queue
+    :ivar actual_cost: measured cost so far; None if not known
+    :ivar steps_under_way: steps submitted and not finished by the engine
+    :ivar log: frames sent so far
+    :ivar detached_since: monotonic time of the loss of the last subscriber
+    :ivar held_since: monotonic time since which the run waits for an entry
+        to replace a lost stage
+    :ivar finished: whether the complete answer came while the run was held
+    :ivar resume_held: resumes the held run of another request over the
+        chain of this one; returns False if that is not possible
     """
 
     request_id: str
@@ -101,7 +104,7 @@
 
 
 def read_claim(claim: link_pb2.Claim) -> ledger.Claim:
-    """Read a claim off the wire."""
+    """Decode a claim message."""
     return ledger.Claim(
         claim.key_digest,
         claim.fingerprint,
@@ -125,11 +128,11 @@
 ) -> link_pb2.Frame:
     """Build a Fail frame.
 
-    :param ran: False only when provably nothing of it ran
+    :param ran: False only when it is certain that no step ran
     :param agent: agent at fault
-    :param retry_after: seconds
-    :param sealed: whether the claimed attempt never ran and never will
-    :param held: whether the run waits for an Open that names a new chain
+    :param retry_after: seconds to wait before a retry
+    :param sealed: whether the claimed attempt has not run and cannot run
+    :param held: whether the run waits for an Open with a new chain
     """
     return link_pb2.Frame(
         fail=link_pb2.Fail(
--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -1,4 +1,4 @@
-"""The agent role: wires links, gate, pipeline, driver and services."""
+"""The agent role, which connects links, gate, pipeline and endpoint."""
 
 import contextlib
 import threading
@@ -59,9 +59,9 @@
 class Agent:
     """One agent process; a context manager that runs it.
 
-    :ivar incarnation: rises with each start of the same name
+    :ivar incarnation: start time in nanoseconds, which grows with each start
     :ivar done: set once the process may end
-    :ivar failed: whether it ends for a fault of its own
+    :ivar failed: whether the process ends because of an internal fault
     """
 
     def __init__(
@@ -69,10 +69,10 @@
         settings: settings_module.Settings,
         shared: watching.Outside | None = None,
     ) -> None:
-        """Build all parts; binds the link port.
+        """Build all components and bind the link port.
 
-        :param shared: what the fleet's state is drawn from; without it
-            this agent takes no part in passing that state on
+        :param shared: sources of the fleet's state; without them this agent
+            does not take part in gossip
         :raises OSError: when a port is taken
         """
         self.settings = settings
@@ -111,7 +111,7 @@
         handlers = links.Handlers(
             self._handle_link_up, self._handle_frames, self._handle_link_loss
         )
-        # The port is the host-local lock against a second agent.
+        # Binding the port also prevents a second agent at this address.
         self._server = linkserver.LinkServer(
             settings.link_listen,
             self._build_hello,
@@ -179,7 +179,7 @@
 
     @property
     def address(self) -> str:
-        """How peers reach this agent."""
+        """Address at which peers reach this agent."""
         if self.settings.advertise:
             return self.settings.advertise
         host = self.settings.link_listen.rpartition(':')[0]
@@ -187,7 +187,7 @@
 
     @property
     def admin_port(self) -> int:
-        """Operators' port."""
+        """Port of the admin server."""
         return self._admin.port
 
     def _build_hello(self) -> link_pb2.Hello:
@@ -214,7 +214,8 @@
 
     def _handle_link_up(self, link: links.Link) -> None:
         self._suspicion.welcome(link.send)
-        # A new entry needs the generation before its first claim.
+        # The load has the ledger generation, which an entry needs before its
+        # first claim.
         load = self._load
         if self._caching is not None:
             load = self._caching.add_snapshot(load)
@@ -244,9 +245,10 @@
         self, jobs: list[drivers.Job], error: engines.EngineError
     ) -> None:
         logging.warning(
-            'a call of %d steps failed: %s', len(jobs), error.detail
+            'engine call with %d steps failed: %s', len(jobs), error.detail
         )
-        # Whoever hears that an attempt failed must know of the crash.
+        # The crash is reported before the failure of the attempt, so that a
+        # retry elsewhere is checked against the suspects.
         answered = error.status or error.lost or not error.sent
         crashed = not answered and crashes.has_crashed(self._engine)
         if crashed:
@@ -261,7 +263,7 @@
             self._supervisor.tell(message)
 
     def drain(self) -> None:
-        """Begin a planned stop; ``done`` is set at its end."""
+        """Start a planned stop; ``done`` is set when it is complete."""
         self._send_message(supervisor.Drain())
 
     def _announce_leaving(self) -> None:
@@ -288,7 +290,7 @@
             )
 
     def crash(self) -> None:
-        """End the process for a fault of its own, with a state dump."""
+        """End the process because of an internal fault and log its state."""
         logging.error('state: %s', self.describe())
         self.failed = True
         self.done.set()
@@ -330,9 +332,10 @@
         self._peers.broadcast(hello)
 
     def _publish_endpoint(self) -> None:
-        """Have the membership say what the endpoint holds and if it is away.
+        """Publish the endpoint's layers and availability in the membership.
 
-        Told again with each report, so no crossing of two lasts.
+        This is repeated with each load report, so that a stale value written
+        by a concurrent call is soon corrected.
         """
         if self._state is not None:
             away = bool(self.gate.fault)
@@ -351,7 +354,8 @@
         keys = leaders.Leaders(self._engine_components.store)
         self._orders = orders.Orders.start(self._engine, keys, hooks)
         self._stack.callback(self._orders.stop, block=False)
-        # Peers are told what the engine holds, not what it once held.
+        # Read the layers before serving, so that peers learn the actual ones
+        # and not those of the settings.
         self._orders.ask(orders.Refresh())
 
     def _report(self, load: engines.EngineLoad) -> None:
@@ -386,7 +390,7 @@
                 self._send_message(supervisor.Poll())
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of the process, fit for JSON."""
+        """Return the state of the process as JSON-compatible data."""
         state = {
             'name': self.settings.name,
             'incarnation': self.incarnation,
@@ -439,7 +443,10 @@
         self._stack.callback(self._supervisor.stop)
 
     def _mark_away(self, detail: str) -> None:
-        """Refuse work until the engine is back; entries hear it first."""
+        """Refuse requests until the engine is back.
+
+        Entries are notified before requests are refused.
+        """
         with self.gate.lock:
             load = link_pb2.Load()
             load.CopyFrom(self._load)
--- a/packages/daemon/src/dunlintide_daemon/agent/services.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/services.py
@@ -1,7 +1,7 @@
-"""Calls of a plain service beside the agent.
+"""Calls to a plain service as the endpoint of the agent.
 
-A bounded pool of threads calls the service; what waits does so in the
-gate's fair queue. No call is ever repeated here.
+A bounded pool of threads calls the service; further calls wait in the gate's
+fair queue. No call is retried here.
 """
 
 from concurrent import futures
@@ -27,16 +27,16 @@
 
 PART_BYTES = 256 << 10
 CONNECT_SECONDS = 2.0
-# The gate ends a call at its deadline, as such; a time limit of the
-# connection would race with it and look like the service's failure.
+# The gate ends a call at its deadline. A socket timeout at the same time
+# would race with that and be reported as a failure of the service.
 DEADLINE_SLACK_SECONDS = 5.0
 BYTES_PER_COST = 1024.0
 CALL_COST = 64.0
 
-# The length and the host are set anew.
+# Headers that the HTTP client computes.
 _RECOMPUTED = frozenset(('content-length', 'host'))
-# Set from the terms; a caller's own ones would be lies. Its bearer key is
-# no business of the service's.
+# Headers set from the terms, since those of the caller could be forged. The
+# caller's API key in ``authorization`` is not passed to the service.
 _REPLACED = frozenset(
     (
         'authorization',
@@ -76,7 +76,7 @@
 
 
 def _has_run(error: urllib3.exceptions.HTTPError) -> bool:
-    """Return whether the service may have acted on a failed call."""
+    """Return whether the service may have executed a failed call."""
     never_connected = (
         urllib3.exceptions.ConnectTimeoutError,
         urllib3.exceptions.NewConnectionError,
@@ -88,7 +88,7 @@
     kind: type[urllib3.connection.HTTPConnection],
     on_connect: Callable[[socket.socket], None],
 ) -> type[urllib3.connection.HTTPConnection]:
-    """Return a kind of connection that hands on its socket once open."""
+    """Return a connection class that passes on its socket when opened."""
 
     class Watched(kind):
         def connect(self) -> None:
@@ -99,7 +99,7 @@
 
 
 class ServiceCaller:
-    """Threads that call one service."""
+    """Thread pool that calls one service."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         """Prepare the pool; connections open on demand.
 
         :param url: base address of the service
-        :param threads: calls under way at most
+        :param threads: maximum number of concurrent calls
         """
         self._gate = gate
         self._clock = clock
@@ -119,20 +119,19 @@
         self._url = url
         self._path = urllib3.util.parse_url(url).path or ''
         self._lock = threading.Lock()
-        # Calls that are wanted, with their connections once these are open.
+        # Calls that have not been stopped, with their sockets once open.
         self._active: dict[requests.Request, socket.socket | None] = {}
         self._current = threading.local()
 
     def close(self) -> None:
-        """Wait for the calls under way."""
+        """Wait for the calls under way and stop the threads."""
         self._pool.shutdown()
 
     def _connect(self) -> urllib3.HTTPConnectionPool:
-        """Make a pool for one call.
+        """Build a connection pool for a single call.
 
-        A kept connection may have gone silent, or be closed by the
-        service, with or without a word, just as it is used; on the same
-        host a new one is cheap.
+        A reused connection may have gone silent, or the service may close it
+        just as it is used. A new connection on the same host is cheap.
         """
         pool = urllib3.connection_from_url(self._url, maxsize=1, retries=False)
         pool.ConnectionCls = _notify_connect(
@@ -141,7 +140,7 @@
         return pool
 
     def call(self, link: links.Link, call: link_pb2.Call) -> None:
-        """Take in a call for the service."""
+        """Admit a call to the service."""
         terms = call.terms
         subscriber = requests.Subscriber(link, terms.request_id, call.epoch)
         claim = call.claim if call.HasField('claim') else None
@@ -168,7 +167,7 @@
             self._unblock(self._active.pop(request, None))
 
     def _unblock(self, connection: socket.socket | None) -> None:
-        """Unblock the thread that waits for an answer nobody wants."""
+        """Shut down a socket to unblock the thread that reads from it."""
         if connection is None:
             return
         with contextlib.suppress(OSError):
@@ -192,9 +191,10 @@
         try:
             self._run(request, call)
         except Exception:
-            logging.exception('call failed')
+            logging.exception('internal error in a call to the service')
             code = outcomes.FailCode.INTERNAL
-            self._gate.fail(request, code, 'the call failed')
+            detail = 'internal error of the agent in a call to the service'
+            self._gate.fail(request, code, detail)
 
     def _run(self, request: requests.Request, call: link_pb2.Call) -> None:
         seconds = request.deadline - self._clock()
--- a/packages/daemon/src/dunlintide_daemon/agent/sessions.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/sessions.py
@@ -1,4 +1,4 @@
-"""State of one request at one stage of its chain."""
+"""State of a request at one stage of its chain."""
 
 import collections
 
@@ -22,7 +22,8 @@
     'build_token_job',
 ]
 
-# Tokens that a last stage keeps, should the head die with some of them.
+# Tokens that the last stage keeps to resend, as a lost head or link may have
+# lost the newest ones.
 MAX_SAMPLED = 64
 
 
@@ -32,32 +33,36 @@
 
 @attrs.define(eq=False)
 class Session:
-    """One epoch of a request at this stage.
+    """State of one epoch of a request at this stage.
 
     :ivar stage: index of this agent in the chain
-    :ivar prompt_tokens: 0 at the head until its engine has told
-    :ivar max_tokens: generated tokens of the whole request, at most
+    :ivar cursor: epoch and next position expected at this stage
+    :ivar prompt_tokens: 0 at the head until its engine has returned it
+    :ivar max_tokens: maximum number of generated tokens of the request
     :ivar deadline: monotonic time in seconds
-    :ivar generated: index of the next generated token; at the head
-    :ivar work: the request at this agent's gate; at the head
-    :ivar upstream: link over which the steps come; behind the head
-    :ivar announced: whether the next stage has its setup
-    :ivar ran: whether a step may have run on this agent's engine
-    :ivar first: the head's first step, until the next stage is linked
-    :ivar waits_until: monotonic time at which that wait ends
-    :ivar prompt: text; at the head
-    :ivar tokens: ids of all generated tokens; at the head
-    :ivar ran_end: position behind the last one whose result has come
-    :ivar known: tokens that the head had when this epoch began
-    :ivar held: monotonic time since which a stage of the chain is lost
-    :ivar resuming: whether the next stage is told to keep its state
-    :ivar waiting: whether the next stage has yet to say what it lacks
-    :ivar ahead: whether positions ran on tokens that the head lacked
-        when this epoch began
-    :ivar truncate: whether the next step drops what ran behind it
-    :ivar spares: whether later stages keep their state at the end
-    :ivar sampled: newest tokens with their indices; at the last stage
-    :ivar prefixes: hashes of the prompt's blocks, for cache events
+    :ivar generated: index of the next generated token; head only
+    :ivar request: request at this agent's gate; head only
+    :ivar upstream: link to the previous stage; later stages only
+    :ivar next_has_setup: whether the setup was sent to the next stage
+    :ivar ran: whether the engine has run a step of the session
+    :ivar first_job: first step, until the next stage is linked; head only
+    :ivar link_deadline: monotonic time at which the wait for that link ends
+    :ivar prompt: text of the prompt; head only
+    :ivar tokens: ids of all generated tokens; head only
+    :ivar ran_end: position after the last one with a result
+    :ivar known_tokens: tokens that the head had at the start of this epoch
+    :ivar held_since: monotonic time since which the session waits for a
+        replacement of a lost stage
+    :ivar resuming: whether the next stage may hold state to resume
+    :ivar awaits_reply: whether the next stage has yet to reply which
+        positions it lacks
+    :ivar ran_ahead: whether positions ran on tokens that the head lacked at
+        the start of this epoch
+    :ivar truncate: whether the next step discards later positions
+    :ivar later_stages_hold: whether later stages hold their state when the
+        session ends
+    :ivar sampled: newest tokens with their indices; last stage only
+    :ivar prefixes: hashes of the prompt's blocks, to match cache events
     """
 
     request_id: str
@@ -105,7 +110,7 @@
 
     @property
     def boundary(self) -> int:
-        """Position behind the tokens that the head had."""
+        """Position after the tokens that the head had at the epoch's start."""
         return self.prompt_tokens + self.known_tokens
 
     @property
@@ -115,7 +120,7 @@
 
     @property
     def next(self) -> link_pb2.Stage:
-        """The stage behind this one; not for the last."""
+        """The stage after this one; undefined at the last stage."""
         return self.chain[self.stage + 1]
 
     @property
@@ -150,15 +155,15 @@
 def build_prompt_job(
     session: Session, prompt: str, resumed: tuple[int, ...], count: int
 ) -> drivers.Job:
-    """Build the head's first step: the prompt and resumed tokens.
+    """Build the first step of the head: the prompt and resumed tokens.
 
-    :param count: estimated positions
+    :param count: estimated number of positions
     """
     return _build_job(session, 0, count, prompt=prompt, tokens=resumed or None)
 
 
 def build_token_job(session: Session, token_id: int) -> drivers.Job:
-    """Build the head's step for a token that was just sampled."""
+    """Build the step of the head that runs a sampled token."""
     position = session.cursor.next_position
     session.cursor.accept(session.epoch, position, 1)
     return _build_job(session, position, 1, tokens=(token_id,))
@@ -167,9 +172,9 @@
 def build_activation_job(
     session: Session, step: link_pb2.Step, trim: int
 ) -> drivers.Job:
-    """Build a later stage's step.
+    """Build a step of a later stage.
 
-    :param trim: leading positions that have run already
+    :param trim: number of leading positions that have already run
     """
     activations = step.activations
     if trim:
@@ -183,7 +188,7 @@
 
 
 def build_setup(session: Session, now: float) -> link_pb2.Setup:
-    """Build what the next stage must know."""
+    """Build the setup that starts the session at the next stage."""
     terms = link_pb2.Terms()
     terms.CopyFrom(session.terms)
     terms.deadline_ms = max(1, int((session.deadline - now) * 1000))
@@ -216,7 +221,7 @@
 def build_done(
     session: Session, index: int, sampled: engines.SampledToken
 ) -> link_pb2.Done:
-    """Build the end mark behind the last token."""
+    """Build the message that ends an answer."""
     return link_pb2.Done(
         request_id=session.request_id,
         epoch=session.epoch,
--- a/packages/daemon/src/dunlintide_daemon/agent/stages.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/stages.py
@@ -1,4 +1,4 @@
-"""Later stages: what this agent runs for the heads of other chains.
+"""Later stages: sessions that this agent runs for other agents' heads.
 
 Methods run under the gate's lock and must not block.
 """
@@ -15,32 +15,32 @@
     'LaterStages',
 ]
 
-# An agent that leaves still takes sessions whose head did not know yet.
+# A leaving agent accepts sessions until other agents must have heard of it.
 LEAVING_GRACE_SECONDS = 3.0
-# The head ends a request at its deadline; later stages only clean up.
+# The head enforces the deadline; later stages only clean up after it.
 DEADLINE_SLACK_SECONDS = 5.0
 
 
 class LaterStages:
-    """The later stages' part of the stage logic."""
+    """Handles messages as a later stage of a chain."""
 
     def __init__(self, table: tables.SessionTable) -> None:
         self._table = table
         self._leaving_since: float | None = None
 
     def start_leaving(self) -> None:
-        """Take no new sessions once heads had time to hear of it."""
+        """Accept no new sessions once the grace time has passed."""
         self._leaving_since = self._table.clock()
 
     def accepts_sessions(self) -> bool:
-        """Return whether sessions of other heads may still come."""
+        """Return whether new sessions are still accepted."""
         since = self._leaving_since
         if since is None:
             return True
         return self._table.clock() - since < LEAVING_GRACE_SECONDS
 
     def handle_step(self, link: links.Link, step: link_pb2.Step) -> None:
-        """Take activations of the stage before."""
+        """Run the activations of the previous stage."""
         session = self._table.find(step.request_id)
         if step.HasField('setup'):
             if session is None or step.epoch > session.epoch:
@@ -59,7 +59,8 @@
         self._table.counts.add_drop(f'{verdict.action}-step')
         if verdict.action is positions.Action.GAP:
             code = outcomes.FailCode.GAP
-            self._table.fail(session, code, 'positions are missing')
+            detail = f'positions are missing before {step.position}'
+            self._table.fail(session, code, detail)
 
     def _build_session(
         self, link: links.Link, step: link_pb2.Step | link_pb2.Resume
@@ -87,7 +88,7 @@
     ) -> tuple[outcomes.FailCode, str] | None:
         if not self._table.identity.matches(step.setup.chain[step.stage]):
             code = outcomes.FailCode.NO_CAPACITY
-            return code, 'the stage is not this agent'
+            return code, 'the stage does not name this agent and its layers'
         if not self.accepts_sessions():
             return outcomes.FailCode.LEAVING, 'the stage is leaving'
         if self._table.gate.fault:
@@ -98,7 +99,7 @@
     def start_session(
         self, link: links.Link, step: link_pb2.Step | link_pb2.Resume
     ) -> sessions.Session | None:
-        """Begin a session; None when it may not begin here."""
+        """Start a session; return None if it cannot start here."""
         if self._table.fences.has_ended(step.request_id, step.epoch):
             return None
         if not 0 < step.stage < len(step.setup.chain):
@@ -116,7 +117,7 @@
         return session
 
     def tick(self, now: float) -> None:
-        """Free sessions that nobody ended."""
+        """Release sessions whose end message has not come in time."""
         for session in self._table.list():
             if session.is_head:
                 continue
--- a/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
@@ -1,8 +1,8 @@
-"""Slow matters of an agent: engine health, load reports and drain.
+"""Supervision of an agent: engine health, load reports and drain.
 
-One actor holds them, so they keep their order without locks. No token
-and no step passes through its mailbox; the ticker sends it one message
-at a time.
+One actor handles these slow tasks in sequence, without locks. Tokens and
+steps bypass its mailbox. The ticker thread sends a poll only when the mailbox
+is empty.
 """
 
 import time
@@ -25,18 +25,19 @@
 ]
 
 REPORT_SECONDS = 1.0
-ENGINE_AWAY = 'the engine is away'
-# A busy engine may be slow to answer; one that refuses connections is gone.
+ENGINE_AWAY = 'the engine is unavailable'
+# A busy engine may be slow to answer, so it counts as lost only after this
+# many failed checks. One that refuses connections is lost at once.
 MAX_FAILED_CHECKS = 2
-# Below this the size of the KV cache cannot be told from its usage.
+# Below this usage the KV cache size derived from it would be too inaccurate.
 _MIN_KV_USAGE = 0.01
 
 
 @attrs.frozen
 class EngineFailed:
-    """A call to the engine had no usable answer.
+    """Message that a call to the engine had no usable answer.
 
-    :ivar crashed: whether the engine's process is known to be gone
+    :ivar crashed: whether the engine process is known to be gone
     """
 
     detail: str
@@ -45,26 +46,27 @@
 
 @attrs.frozen
 class Poll:
-    """Read the load and tell the entries."""
+    """Message to check the engine and report the load when due."""
 
 
 @attrs.frozen
 class Drain:
-    """Begin a planned stop."""
+    """Message to start a planned stop."""
 
 
 @attrs.frozen
 class Hooks:
-    """What a supervisor does beyond its own state.
+    """Callbacks into the rest of the agent.
 
-    :ivar lose_engine: takes no new work and ends all sessions, with
-        the reason
+    :ivar handle_engine_loss: refuses new requests and ends all sessions,
+        with a reason
     :ivar report: sends a load report
-    :ivar leave: tells all peers that this agent leaves
-    :ivar is_idle: whether nothing is in flight any more
-    :ivar stop: lets the process end
-    :ivar look: looks at what the engine holds, in the background
-    :ivar crash: lets the process end, since the supervisor has failed
+    :ivar announce_leaving: notifies all peers that this agent is leaving
+    :ivar is_idle: returns whether nothing is in flight
+    :ivar stop: ends the process
+    :ivar refresh_holding: reads which layers the engine holds, in the
+        background
+    :ivar crash: ends the process, since the supervisor has failed
     """
 
     handle_engine_loss: Callable[[str], None]
@@ -77,10 +79,7 @@
 
 
 class Supervisor(pykka.ThreadingActor):
-    """Watches the endpoint and stops the process in order.
-
-    :ivar load: as the engine last reported it
-    """
+    """Monitors the engine and drains the agent before a planned stop."""
 
     use_daemon_thread = True
 
@@ -90,9 +89,9 @@
         engine: engines.Engine | None,
         hooks: Hooks,
     ) -> None:
-        """Remember what to watch.
+        """Set the engine to monitor.
 
-        :param engine: None before a plain service
+        :param engine: None if the endpoint is a plain service
         """
         super().__init__()
         self._gate = gate
@@ -113,7 +112,7 @@
             self._drain()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Stop the process: an actor that raised is silently dead."""
+        """Stop the process, since the actor handles no more messages."""
         logging.error('supervisor failed: %r', exception_value)
         self._hooks.crash()
 
@@ -135,22 +134,22 @@
         if not crashed and not self._check_away():
             return
         self._is_down = True
-        logging.warning('the engine is away: %s', detail)
-        # A process that answers no more has lost its KV cache.
+        logging.warning('engine unavailable: %s', detail)
+        # An engine that does not answer may have lost its KV cache.
         self._hooks.handle_engine_loss(ENGINE_AWAY)
         self._report_soon()
 
     def _report_soon(self) -> None:
-        """Let the next poll report, for entries to choose by."""
+        """Report at the next poll, so that entries learn the new state."""
         self._reported_at = 0.0
 
     def _check_recovery(self) -> None:
         if self._engine.check_health().is_ok():
-            # It may hold again what it was started with.
+            # A restarted engine may hold its initial layers again.
             self._hooks.refresh_holding()
             self._is_down = False
             self._failed_checks = 0
-            logging.info('the engine is back')
+            logging.info('engine available again')
             self._gate.set_fault('')
             self._report_soon()
 
@@ -192,6 +191,6 @@
         if self._draining:
             return
         self._draining = True
-        logging.info('leaving: finishing what is in flight')
+        logging.info('draining: new requests are refused')
         self._gate.start_leaving()
         self._hooks.announce_leaving()
--- a/packages/daemon/src/dunlintide_daemon/agent/table.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/table.py
@@ -1,4 +1,4 @@
-"""Sessions at one agent, and how they end."""
+"""Table of the sessions at one agent, and the ways in which they end."""
 
 import time
 from typing import Callable
@@ -21,7 +21,7 @@
     'SessionTable',
 ]
 
-# Failures of one stage that leave the state of the others usable.
+# Failures of one stage after which the state of the others is usable.
 _RECOVERABLE = frozenset(
     (
         outcomes.FailCode.LINK_LOST,
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Identity:
-    """Who this agent is in a chain."""
+    """Name, incarnation and layers of this agent as a stage of a chain."""
 
     name: str
     incarnation: int
@@ -43,7 +43,7 @@
     layer_end: int
 
     def matches(self, stage: link_pb2.Stage) -> bool:
-        """Return whether a stage of a chain is this agent, in this life."""
+        """Return whether a stage of a chain names this agent process."""
         return (
             stage.agent == self.name
             and stage.incarnation in (0, self.incarnation)
@@ -57,9 +57,9 @@
 
     :ivar driver: set before the first use
     :ivar fences: epochs that have ended here
-    :ivar kept: what was sent to the next stages
-    :ivar note_prompt: called with a session whose prompt's length has
-        become known; must not block
+    :ivar activation_store: activations sent to the next stages
+    :ivar on_prompt: called with a session once the length of its prompt is
+        known; must not block
     """
 
     def __init__(
@@ -83,7 +83,8 @@
         )
         self.fences = positions.Fences()
         self._sessions: dict[str, sessions.Session] = {}
-        # Of the sessions that this agent heads over several stages.
+        # Number and total chain length of the sessions with several stages
+        # that this agent heads.
         self._heads = 0
         self._head_stages = 0
 
@@ -95,7 +96,7 @@
         return self._sessions.get(request_id)
 
     def is_current(self, session: sessions.Session) -> bool:
-        """Return whether a session has not ended."""
+        """Return whether a session is the current one of its request."""
         return self._sessions.get(session.request_id) is session
 
     def list(self) -> list[sessions.Session]:
@@ -103,10 +104,10 @@
         return list(self._sessions.values())
 
     def limit_batch(self) -> int:
-        """Return how many steps one call to the engine may take.
+        """Return the maximum number of steps in one call to the engine.
 
-        A head whose sessions all ran in one batch would leave the other
-        stages idle meanwhile, so it makes a batch for each stage.
+        If all sessions of a head ran in one batch, the other stages would be
+        idle meanwhile. Its sessions are split into one batch per stage.
         """
         heads, stages = self._heads, self._head_stages
         if not heads:
@@ -127,19 +128,19 @@
         self._count_head(session, 1)
 
     def replace_copy(self, session: sessions.Session) -> None:
-        """Put a changed copy in place; late results of the old are lost."""
+        """Replace a session by a copy, so that late results are dropped."""
         self._sessions[session.request_id] = session
 
     def set_chain(
         self, session: sessions.Session, chain: tuple[link_pb2.Stage, ...]
     ) -> None:
-        """Give a head's session another chain."""
+        """Set the chain of a session."""
         self._count_head(session, -1)
         session.chain = chain
         self._count_head(session, 1)
 
     def submit(self, job: drivers.Job) -> None:
-        """Have the engine run a step."""
+        """Submit a step to the engine."""
         request = job.owner.request
         if request is not None:
             request.steps_under_way += 1
@@ -152,12 +153,12 @@
             session.request.steps_under_way -= dropped
 
     def finish_step(self, session: sessions.Session) -> None:
-        """Take note that the engine is done with a step, however."""
+        """Record that a step is finished, with or without a result."""
         if session.request is not None:
             self.gate.finish_step(session.request)
 
     def release(self, session: sessions.Session) -> None:
-        """Free a session here and in the stages behind."""
+        """End a session here and at the later stages."""
         if not self.is_current(session):
             return
         del self._sessions[session.request_id]
@@ -170,9 +171,9 @@
     def cancel_next(
         self, session: sessions.Session, *, hold: bool = False
     ) -> None:
-        """Tell the next stage that this epoch has ended.
+        """Cancel this epoch at the next stage.
 
-        :param hold: whether the stage keeps its state for a Resume
+        :param hold: whether the stage holds its state for a Resume
         """
         if not session.next_has_setup:
             return
@@ -197,10 +198,10 @@
         agent: str = '',
         ran: bool = True,
     ) -> None:
-        """End a session's epoch, and tell the head unless it is here.
+        """End an epoch of a session and report the failure to the head.
 
         :param agent: agent at fault, this one by default
-        :param ran: False only when nothing ran; counts at the head
+        :param ran: False only when no step ran; used at the head only
         """
         agent = agent or self.identity.name
         lost = code is outcomes.FailCode.LINK_LOST
@@ -213,11 +214,11 @@
             return
         session.later_stages_hold = code in _RECOVERABLE
         if session.is_head:
-            # Ending the work stops the session.
+            # The gate stops the session through ``Request.stop``.
             self.gate.fail(session.request, code, detail, agent, ran)
             return
         if lost:
-            # Its own state is whole; a Resume may ask for it.
+            # The state of this stage is intact and may be resumed.
             session.held_since = self.clock()
         else:
             self.release(session)
