--- a/packages/daemon/src/dunlintide_daemon/agent/caching.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/caching.py
@@ -76,13 +76,15 @@
 
     def record_prompt(self, session: sessions.Session) -> None:
         """Record the prompt of a session that this agent runs a stage of."""
-        sent = session.prefixes
-        if sent is None or not sent.blocks or not session.prompt_tokens:
+        message = session.prefixes
+        if message is None or not message.blocks or not session.prompt_tokens:
             return
-        found = prefixes.Prefixes(tuple(sent.blocks), sent.characters)
+        prompt_prefixes = prefixes.Prefixes(
+            tuple(message.blocks), message.characters
+        )
         with self._lock:
             self._view.add_session(
-                session.request_id, found, session.prompt_tokens
+                session.request_id, prompt_prefixes, session.prompt_tokens
             )
 
     def invalidate(self) -> None:
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -242,9 +242,9 @@
         with self._wake:
             if failed and self._suspects.issuperset(failed):
                 return []
-            found = self._running - self._suspects
-            self._suspects |= found
-            return list(found)
+            suspects = self._running - self._suspects
+            self._suspects |= suspects
+            return list(suspects)
 
     def _wait_for_jobs(self) -> list[Job]:
         with self._wake:
@@ -372,33 +372,33 @@
         call = self._calls_under_way.begin(steps, size_seconds, timeout)
         with self._wake:
             self._jobs[call] = jobs
-        called = self._engine.run_steps(steps, timeout)
+        outcome = self._engine.run_steps(steps, timeout)
         if not self._calls_under_way.settle(call):
             self._first_steps.end_call(
                 call.first_step_sessions,
-                answered=hedging.is_delivery_over(called),
+                answered=hedging.is_delivery_over(outcome),
             )
             return False
         with self._wake:
             del self._jobs[call]
-        self._finish(call, jobs, called)
+        self._finish(call, jobs, outcome)
         return True
 
     def _finish(
         self,
         call: hedging.EngineCall,
         jobs: list[Job],
-        called: result.Result[list[engines.StepResult], engines.EngineError],
+        outcome: result.Result[list[engines.StepResult], engines.EngineError],
     ) -> None:
         self.busy_seconds += time.monotonic() - call.started_at
         self.calls += 1
         self.steps += len(jobs)
         with self._wake:
             self._record_long_span(jobs, call.started_at)
-        if called.is_err():
-            self._handlers.failed(jobs, called.err_value)
+        if outcome.is_err():
+            self._handlers.failed(jobs, outcome.err_value)
         else:
-            self._deliver_results(jobs, called.ok_value)
+            self._deliver_results(jobs, outcome.ok_value)
         self._release(jobs)
 
     def _complete_hedged(
@@ -416,7 +416,9 @@
         self.rescued += 1
         threading.Thread(target=self._run, name='driver', daemon=True).start()
         lost_sessions = {
-            found.session for found in results if hedging.is_answer_lost(found)
+            step_result.session
+            for step_result in results
+            if hedging.is_answer_lost(step_result)
         }
         lost_jobs = [job for job in jobs if job.step.session in lost_sessions]
         if lost_jobs:
@@ -431,21 +433,23 @@
     def _deliver_results(
         self, jobs: list[Job], results: list[engines.StepResult]
     ) -> None:
-        by_session = {found.session: found for found in results}
+        by_session = {
+            step_result.session: step_result for step_result in results
+        }
         pairs = []
-        missing = []
+        unanswered = []
         for job in jobs:
-            found = by_session.get(job.step.session)
-            if found is None or found.epoch != job.step.epoch:
-                missing.append(job)
+            step_result = by_session.get(job.step.session)
+            if step_result is None or step_result.epoch != job.step.epoch:
+                unanswered.append(job)
             else:
-                pairs.append((job, found))
+                pairs.append((job, step_result))
         if pairs:
             self._handlers.results(pairs)
-        if missing:
+        if unanswered:
             detail = 'the engine returned no result for a step'
             error = engines.EngineError(detail)
-            self._handlers.failed(missing, error)
+            self._handlers.failed(unanswered, error)
 
     def _run_frees(self) -> None:
         while True:
--- a/packages/daemon/src/dunlintide_daemon/agent/firststeps.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/firststeps.py
@@ -86,7 +86,7 @@
     def pop_due(self) -> list[str]:
         """Remove and return the deferred sessions that can be freed now."""
         now = self._clock()
-        found = []
+        due_sessions = []
         with self._lock:
             while self._call_ends and self._call_ends[0][0] <= now:
                 for session in heapq.heappop(self._call_ends)[2]:
@@ -96,5 +96,5 @@
                     del self._calls[session]
                     if session in self._deferred:
                         self._deferred.discard(session)
-                        found.append(session)
-        return found
+                        due_sessions.append(session)
+        return due_sessions
--- a/packages/daemon/src/dunlintide_daemon/agent/hedging.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/hedging.py
@@ -63,18 +63,18 @@
         return [step.session for step in self.steps if not step.position]
 
 
-def is_answer_lost(found: engines.StepResult) -> bool:
+def is_answer_lost(step_result: engines.StepResult) -> bool:
     """Return whether the engine ran a step before, so the answer is lost."""
-    return found.error in (_RAN_ERROR, _STALE_EPOCH_ERROR)
+    return step_result.error in (_RAN_ERROR, _STALE_EPOCH_ERROR)
 
 
 def is_delivery_over(
-    called: result.Result[list[engines.StepResult], engines.EngineError],
+    outcome: result.Result[list[engines.StepResult], engines.EngineError],
 ) -> bool:
     """Return whether no step of a call can still reach the engine."""
-    if called.is_ok():
+    if outcome.is_ok():
         return True
-    return bool(called.err_value.status) or not called.err_value.sent
+    return bool(outcome.err_value.status) or not outcome.err_value.sent
 
 
 class CallTracker:
@@ -123,14 +123,14 @@
         """Mark as examined and return the late calls that were not."""
         now = self._clock()
         with self._lock:
-            found = [
-                one
-                for one in self._calls
-                if not one.examined and now > one.late_at
+            late_calls = [
+                call
+                for call in self._calls
+                if not call.examined and now > call.late_at
             ]
-            for one in found:
-                one.examined = True
-            return found
+            for call in late_calls:
+                call.examined = True
+            return late_calls
 
     def postpone(self, call: EngineCall) -> None:
         """Let a call be examined again after the silence time."""
--- a/packages/daemon/src/dunlintide_daemon/agent/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/peers.py
@@ -176,7 +176,7 @@
                 for address, peer in self._peers.items()
             }
 
-    def _find_unreachable(self, now: float) -> list[str]:
+    def _expire_waiting(self, now: float) -> list[str]:
         found = []
         for address, peer in self._peers.items():
             if not peer.waiting:
@@ -193,7 +193,7 @@
         """
         now = self._clock()
         with self._lock:
-            unreachable = self._find_unreachable(now)
+            unreachable = self._expire_waiting(now)
             idle = [
                 address
                 for address, peer in self._peers.items()
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -76,13 +76,13 @@
     def list_addresses(self) -> set[str]:
         """Return the addresses of agents that the sessions depend on."""
         with self._lock:
-            found = set()
+            addresses = set()
             for session in self._table.list():
                 if not session.is_last:
-                    found.add(session.next.address)
+                    addresses.add(session.next.address)
                 if not session.is_head:
-                    found.add(session.head.address)
-            return found
+                    addresses.add(session.head.address)
+            return addresses
 
     def set_holding(self, holding: placement.Holding) -> None:
         """Set the layers for which new sessions are accepted."""
@@ -116,25 +116,25 @@
             [
                 suspicions.Passed(
                     job.owner.terms.fingerprint,
-                    found.position,
-                    found.position + found.count,
+                    step_result.position,
+                    step_result.position + step_result.count,
                 )
-                for job, found in pairs
-                if not found.error
+                for job, step_result in pairs
+                if not step_result.error
             ],
         )
         with self._lock:
-            for job, found in pairs:
+            for job, step_result in pairs:
                 session = job.owner
                 self._table.finish_step(session)
                 if not self._table.is_current(session):
                     self._table.counts.add_drop('late-result')
-                elif found.error == _RETRY_ERROR:
+                elif step_result.error == _RETRY_ERROR:
                     self._table.submit(job)
-                elif found.error:
-                    self._handle_error(session, found.error)
+                elif step_result.error:
+                    self._handle_error(session, step_result.error)
                 else:
-                    self._handle_result(session, found)
+                    self._handle_result(session, step_result)
 
     def _handle_error(self, session: sessions.Session, error: str) -> None:
         code = outcomes.FailCode.ENDPOINT_FAILED
@@ -146,27 +146,27 @@
         self._table.fail(session, code, detail, ran=ran)
 
     def _handle_result(
-        self, session: sessions.Session, found: engines.StepResult
+        self, session: sessions.Session, step_result: engines.StepResult
     ) -> None:
         session.ran = True
-        session.ran_end = found.position + found.count
+        session.ran_end = step_result.position + step_result.count
         if session.is_head and not session.cursor.next_position:
-            session.prompt_tokens = found.count - session.generated
-            session.cursor.accept(session.epoch, 0, found.count)
+            session.prompt_tokens = step_result.count - session.generated
+            session.cursor.accept(session.epoch, 0, step_result.count)
             self._table.on_prompt(session)
         if not session.is_last:
-            self._forward_step(session, found)
-        elif found.token is None:
+            self._forward_step(session, step_result)
+        elif step_result.token is None:
             self._handle_error(session, 'no-token')
         else:
-            end = found.position + found.count
+            end = step_result.position + step_result.count
             index = end - session.prompt_tokens
-            self._forward_token(session, index, found.token)
+            self._forward_token(session, index, step_result.token)
 
     def _forward_step(
-        self, session: sessions.Session, found: engines.StepResult
+        self, session: sessions.Session, step_result: engines.StepResult
     ) -> None:
-        self._recovery.keep_activations(session, found)
+        self._recovery.keep_activations(session, step_result)
         if session.held_since is not None or session.awaits_reply:
             return
         if session.resuming and not session.next_has_setup:
@@ -176,9 +176,9 @@
             request_id=session.request_id,
             epoch=session.epoch,
             stage=session.stage + 1,
-            position=found.position,
-            count=found.count,
-            activations=found.activations,
+            position=step_result.position,
+            count=step_result.count,
+            activations=step_result.activations,
         )
         if not session.next_has_setup:
             setup = sessions.build_setup(session, self._table.clock())
--- a/packages/daemon/src/dunlintide_daemon/agent/recovery.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/recovery.py
@@ -49,10 +49,12 @@
         self._stages = later_stages
 
     def keep_activations(
-        self, session: sessions.Session, found: engines.StepResult
+        self, session: sessions.Session, step_result: engines.StepResult
     ) -> None:
         """Keep a result, to resend if the next stage is replaced."""
-        span = activations.Span(found.position, found.count, found.activations)
+        span = activations.Span(
+            step_result.position, step_result.count, step_result.activations
+        )
         self._table.activation_store.add(session.request_id, span)
 
     def hold(self, session: sessions.Session) -> None:
--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -233,7 +233,7 @@
             self.pipeline.handle_link_loss(link)
 
     def _handle_peer_up(self, address: str) -> None:
-        self._suspicion.welcome(lambda one: self._peers.send(address, one))
+        self._suspicion.welcome(lambda frame: self._peers.send(address, frame))
         if self.pipeline is not None:
             self.pipeline.handle_peer_up(address)
 
--- a/packages/daemon/src/dunlintide_daemon/agent/services.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/services.py
@@ -75,7 +75,7 @@
     return headers
 
 
-def _has_run(error: urllib3.exceptions.HTTPError) -> bool:
+def _may_have_run(error: urllib3.exceptions.HTTPError) -> bool:
     """Return whether the service may have executed a failed call."""
     never_connected = (
         urllib3.exceptions.ConnectTimeoutError,
@@ -229,7 +229,7 @@
         except urllib3.exceptions.HTTPError as error:
             code = outcomes.FailCode.ENDPOINT_FAILED
             detail = type(error).__name__
-            self._gate.fail(request, code, detail, ran=_has_run(error))
+            self._gate.fail(request, code, detail, ran=_may_have_run(error))
         finally:
             with self._lock:
                 self._active.pop(request, None)
