--- a/packages/daemon/src/dunlintide_daemon/agent/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/peers.py
@@ -177,6 +177,7 @@
             }
 
     def _expire_waiting(self, now: float) -> list[str]:
+        """Drop frames that waited too long and return their addresses."""
         found = []
         for address, peer in self._peers.items():
             if not peer.waiting:
--- a/packages/daemon/src/dunlintide_daemon/agent/recovery.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/recovery.py
@@ -102,7 +102,7 @@
     def _cancel_removed(
         self, session: sessions.Session, chain: tuple[link_pb2.Stage, ...]
     ) -> None:
-        """Cancel the session at linked stages that left the chain."""
+        """Cancel this epoch at linked stages that are not in the new chain."""
         if not session.is_head:
             return
         cancel = link_pb2.Cancel(
--- a/packages/daemon/src/dunlintide_daemon/agent/table.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/table.py
@@ -200,6 +200,9 @@
     ) -> None:
         """End an epoch of a session and report the failure to the head.
 
+        If only another stage was lost, the session is held for a Resume
+        instead of being released.
+
         :param agent: agent at fault, this one by default
         :param ran: False only when no step ran; used at the head only
         """
