--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -170,7 +170,7 @@
     )
     context.reader.poll(0.0)
     # The length of a prompt is known behind its first step only.
-    context.reader.begin(context.session)
+    context.reader.record_prompt(context.session)
     context.reader.poll(1.0)
 
 
@@ -178,13 +178,13 @@
     'the reader tells the end of the prompt, and all of it to a new link'
 )
 def check_reader(context):
-    load = context.reader.tell(link_pb2.Load(running=1))
+    load = context.reader.add_update(link_pb2.Load(running=1))
     context.told = list(load.cache.held)
     blocks = list(context.session.prefixes.blocks)
     assert load.running == 1 and len(context.told) == 1
     # The engine's last block ends a little before the prompt does.
     assert context.told[0] in blocks[-2:], (context.told, blocks)
-    again = context.reader.tell_all(link_pb2.Load()).cache
+    again = context.reader.add_snapshot(link_pb2.Load()).cache
     assert again.all and list(again.held) == context.told
 
 
@@ -197,7 +197,7 @@
 
 @behave.then('the reader takes back what it told')
 def check_taken_back(context):
-    news = context.reader.tell(link_pb2.Load()).cache
+    news = context.reader.add_update(link_pb2.Load()).cache
     assert list(news.lost) == context.told and not news.held
     assert context.reader.describe()['sequence'] == 0
 
