--- a/packages/daemon/src/dunlintide_daemon/agent/answers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/answers.py
@@ -1,4 +1,4 @@
-"""Delivery of answers and refusals to whoever takes them."""
+"""Delivery of answers and refusals to the subscribers of requests."""
 
 import time
 from typing import Callable
@@ -7,23 +7,23 @@
 from dunlintide_core import ledger as ledgers
 from dunlintide_core import outcomes
 from dunlintide_daemon.agent import counts as counting
-from dunlintide_daemon.agent import works
+from dunlintide_daemon.agent import requests
 
 __all__ = [
-    'Answers',
+    'AnswerSender',
 ]
 
-# What a claim that may not start is told: code, ran, detail.
+# Refusals of claims that must not start a run: code, ran, detail.
 _CLAIM_REFUSALS = {
     ledgers.Verdict.DROPPED: (
         outcomes.FailCode.ANSWER_GONE,
         True,
-        'it may have run and will not run again; no answer of it is kept',
+        'it may have run and does not run again; its answer is not stored',
     ),
     ledgers.Verdict.SEALED: (
         outcomes.FailCode.CANCELLED,
         False,
-        'this attempt never ran and will not',
+        'this attempt has not run and will never run',
     ),
     ledgers.Verdict.KEY_REUSED: (
         outcomes.FailCode.KEY_REUSED,
@@ -33,23 +33,23 @@
     ledgers.Verdict.EXECUTOR_GONE: (
         outcomes.FailCode.EXECUTOR_GONE,
         True,
-        'the executor has restarted since',
+        'the executor has restarted since the claim was made',
     ),
     ledgers.Verdict.EXPIRED: (
         outcomes.FailCode.KEY_EXPIRED,
         True,
-        'the claim is older than the retention',
+        'the claim is older than the retention time',
     ),
     ledgers.Verdict.FULL: (
         outcomes.FailCode.NO_CAPACITY,
         False,
-        'too many keys are remembered',
+        'the ledger of idempotency keys is full',
     ),
 }
 
 
-def _replay(
-    frames: list[link_pb2.Frame], subscriber: works.Subscriber, skip: int
+def _send_frames(
+    frames: list[link_pb2.Frame], subscriber: requests.Subscriber, skip: int
 ) -> None:
     for frame in frames:
         if frame.WhichOneof('body') == 'token':
@@ -58,8 +58,11 @@
         subscriber.send(frame)
 
 
-class Answers:
-    """Subscribers of the requests at a gate, whose lock guards it."""
+class AnswerSender:
+    """Sends answers to the subscribers of requests.
+
+    The gate's lock guards all methods.
+    """
 
     def __init__(
         self,
@@ -67,19 +70,19 @@
         counts: counting.Counts,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Remember whom failures are blamed on.
+        """Start without attached repeats.
 
-        :param name: name of this agent
+        :param name: name of this agent, the default agent at fault
         """
         self._name = name
         self._counts = counts
         self._clock = clock
-        # Requests by the ids under which repeats have attached.
-        self._aliases: dict[str, works.Work] = {}
+        # Requests by the request ids of attached repeats.
+        self._aliases: dict[str, requests.Request] = {}
 
     def refuse(
         self,
-        subscriber: works.Subscriber,
+        subscriber: requests.Subscriber,
         code: outcomes.FailCode,
         detail: str,
         ran: bool,
@@ -88,16 +91,16 @@
         agent: str = '',
         sealed: bool = False,
     ) -> None:
-        """Tell a subscriber that it gets no answer.
+        """Send a subscriber a failure in place of an answer.
 
-        :param ran: False only when provably nothing of it ran
-        :param retry_after: seconds after which a repeat makes sense
+        :param ran: False only when it is certain that no step ran
+        :param retry_after: seconds to wait before a retry
         :param agent: agent at fault, this one by default
-        :param sealed: whether its claimed attempt will never run
+        :param sealed: whether the claimed attempt can never run
         """
         self._counts.add(f'refused-{code}')
         subscriber.link.send(
-            works.build_fail(
+            requests.build_fail(
                 subscriber.request_id,
                 subscriber.epoch,
                 code,
@@ -110,62 +113,70 @@
         )
 
     def attach(
-        self, work: works.Work, subscriber: works.Subscriber, skip: int
+        self,
+        request: requests.Request,
+        subscriber: requests.Subscriber,
+        skip: int,
     ) -> None:
-        """Give a subscriber the answer of a run from its beginning.
+        """Subscribe to a request and replay the frames sent so far.
 
-        :param skip: generated tokens that it already has
+        :param skip: generated tokens that the subscriber already has
         """
         request_id = subscriber.request_id
-        work.subscribers = [
+        request.subscribers = [
             other
-            for other in work.subscribers
+            for other in request.subscribers
             if other.request_id != request_id
         ]
-        work.subscribers.append(subscriber)
-        work.detached = None
-        if request_id != work.request_id:
-            self._aliases[request_id] = work
-        _replay(work.log, subscriber, skip)
-
-    def detach(self, work: works.Work, subscriber: works.Subscriber) -> None:
-        """Send a subscriber nothing more."""
-        work.subscribers.remove(subscriber)
+        request.subscribers.append(subscriber)
+        request.detached_since = None
+        if request_id != request.request_id:
+            self._aliases[request_id] = request
+        _send_frames(request.log, subscriber, skip)
+
+    def detach(
+        self, request: requests.Request, subscriber: requests.Subscriber
+    ) -> None:
+        """Unsubscribe one subscriber from a request."""
+        request.subscribers.remove(subscriber)
         self._aliases.pop(subscriber.request_id, None)
-        if not work.subscribers:
-            work.detached = self._clock()
+        if not request.subscribers:
+            request.detached_since = self._clock()
 
-    def find_alias(self, request_id: str) -> works.Work | None:
-        """Return the request to which a repeat of that id is attached."""
+    def find_alias(self, request_id: str) -> requests.Request | None:
+        """Return the request that a repeat with that id is attached to."""
         return self._aliases.get(request_id)
 
-    def send(self, work: works.Work, frame: link_pb2.Frame) -> None:
-        """Send a part of an answer to all who take it."""
-        if work.keeps_log:
-            work.log.append(frame)
-            work.log_bytes += frame.ByteSize()
-        for subscriber in list(work.subscribers):
+    def send(self, request: requests.Request, frame: link_pb2.Frame) -> None:
+        """Send one frame of an answer to all subscribers.
+
+        A subscriber whose link does not accept the frame is detached.
+        """
+        if request.keeps_log:
+            request.log.append(frame)
+            request.log_bytes += frame.ByteSize()
+        for subscriber in list(request.subscribers):
             if not subscriber.send(frame):
-                self.detach(work, subscriber)
+                self.detach(request, subscriber)
 
-    def forget(self, work: works.Work) -> None:
-        """Send nothing more of a request."""
-        for subscriber in list(work.subscribers):
-            self.detach(work, subscriber)
+    def detach_all(self, request: requests.Request) -> None:
+        """Unsubscribe all subscribers from a request."""
+        for subscriber in list(request.subscribers):
+            self.detach(request, subscriber)
 
-    def settle_claim(
+    def answer_claim(
         self,
         verdict: ledgers.Verdict,
         entry: ledgers.Record | None,
-        subscriber: works.Subscriber,
+        subscriber: requests.Subscriber,
         skip: int,
     ) -> None:
-        """Answer an attempt that is not to start a run."""
+        """Answer a claimed attempt that does not start a run."""
         self._counts.add(f'claim-{verdict}')
         if verdict is ledgers.Verdict.ATTACH:
             self.attach(entry.work, subscriber, skip)
         elif verdict is ledgers.Verdict.REPLAY:
-            _replay(entry.answer, subscriber, skip)
+            _send_frames(entry.answer, subscriber, skip)
         else:
             code, ran, detail = _CLAIM_REFUSALS[verdict]
             sealed = verdict is ledgers.Verdict.SEALED
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -1,10 +1,10 @@
-"""Feeds the engine: gathers ready steps into calls.
+"""Batching of ready steps into calls to the engine.
 
-Several calls are under way at a time, which the engine merges: it always
-has work, and a call of few steps has its results soon. What becomes ready
-meanwhile gathers for the next call. A session has one step under way at
-most, which keeps its results in order. A step that may crash the
-engine runs while no other does, in turn with the rest.
+Several calls are under way at a time and the engine merges them, so it is
+never idle between calls, and a call with few steps returns early. Steps that
+become ready meanwhile are batched into the next call. A session has at most
+one step under way, which keeps its results in order. A step suspected of
+crashing the engine runs alone; such steps and batches take turns.
 """
 
 import collections
@@ -18,8 +18,8 @@
 
 from dunlintide_adapters import engine as engines
 from dunlintide_core import spans
-from dunlintide_daemon.agent import leftovers
-from dunlintide_daemon.agent import rescue
+from dunlintide_daemon.agent import firststeps
+from dunlintide_daemon.agent import hedging
 
 __all__ = [
     'Driver',
@@ -27,26 +27,29 @@
     'Job',
 ]
 
-CALLS = 4
-# Smaller calls cost more processor time than their results' wait.
-LEAST_STEPS = 16
+MAX_CONCURRENT_CALLS = 4
+# Smaller batches would cost more processor time per step than the lower
+# latency is worth.
+MIN_STEPS = 16
 MAX_STEPS = 256
 MAX_POSITIONS = 16_384
-# A slow batch must not look like a hung engine.
-BASE_SECONDS = 10.0
-SECONDS_PER_POSITION = 0.01
-# Past this a call is looked into; see ``rescue``.
+# The timeout grows with the batch, so that a large one is not mistaken for
+# a hung engine.
+BASE_TIMEOUT_SECONDS = 10.0
+TIMEOUT_SECONDS_PER_POSITION = 0.01
+# A call without an answer for this long may be hedged; see ``hedging``.
 SILENCE_SECONDS = 3.0
 _STOP_SECONDS = 5.0
-# Between looks for sessions whose end was put off.
+# Interval of the checks for deferred frees.
 _SWEEP_SECONDS = 0.5
 
 
 @attrs.frozen(eq=False)
 class Job:
-    """A step and what it is for.
+    """A step and the session that it belongs to.
 
-    :ivar positions: size of the span, for batching
+    :ivar owner: session of the step, as the handlers expect it
+    :ivar positions: number of positions in the span, for batching
     """
 
     step: engines.Step
@@ -58,11 +61,12 @@
 class Handlers:
     """Callbacks of a driver, on its threads.
 
-    :ivar results: gets each finished call, in order for each session
-    :ivar failed: gets the jobs of a call without a usable answer
-    :ivar limit: returns the most steps that the next call may take
-    :ivar runs_alone: tells whether a step must share the engine with none
-    :ivar find_team: returns whom a step is for
+    :ivar results: receives the results of each call; those of one session
+        come in order
+    :ivar failed: receives the jobs of a call without a usable answer
+    :ivar limit: returns the maximum number of steps in the next call
+    :ivar runs_alone: returns whether a step must run while no other does
+    :ivar find_team: returns the team that a step is billed to
     """
 
     results: Callable[[list[tuple[Job, engines.StepResult]]], None]
@@ -73,11 +77,14 @@
 
 
 @attrs.define(eq=False)
-class _Lane:
-    """Steps of one session id.
-
-    :ivar freeing: calls under way that free the session
-    :ivar free_again: whether a running step may bring the state back
+class _SessionState:
+    """Queued and running steps of one session id.
+
+    :ivar queued: whether the session waits for its turn
+    :ivar busy: whether a step of the session is under way
+    :ivar freeing: number of frees queued or under way
+    :ivar free_again: whether to free again after the running step, which
+        may recreate the session on the engine
     """
 
     pending: collections.deque = attrs.field(factory=collections.deque)
@@ -94,7 +101,8 @@
 class Driver:
     """Threads that call one engine.
 
-    :ivar rescued: calls that were given up for a silent connection
+    :ivar rescued: calls completed by a hedge, as their connection was silent
+    :ivar busy_seconds: summed duration of all calls
     """
 
     def __init__(
@@ -102,36 +110,41 @@
         engine: engines.Engine,
         handlers: Handlers,
         silence: float = SILENCE_SECONDS,
-        hold: float = leftovers.HOLD_SECONDS,
+        arrival_seconds: float = firststeps.ARRIVAL_SECONDS,
     ) -> None:
-        """Prepare the threads; ``start`` begins.
+        """Prepare the threads, which ``start`` starts.
 
-        :param silence: seconds after which a call may be late
-        :param hold: seconds for which a step may arrive late
+        :param silence: seconds without an answer before a call can be late
+        :param arrival_seconds: time for which a step of an unanswered call
+            may still reach the engine
         """
         self._engine = engine
         self._handlers = handlers
-        self._lanes: dict[str, _Lane] = {}
+        self._sessions: dict[str, _SessionState] = {}
         self._ready: collections.deque[str] = collections.deque()
-        # Sessions whose next step runs alone, and whether one is next.
-        self._aside: collections.deque[str] = collections.deque()
+        # Sessions whose next step must run alone, and whether the next call
+        # takes one of them.
+        self._alone_sessions: collections.deque[str] = collections.deque()
         self._alone_next = False
-        self._exclusive = False
+        self._alone_running = False
         self._running: set[Job] = set()
         self._spans = spans.SpanPacer()
-        # Seconds until a long span that has to wait may begin.
-        self._pause: float | None = None
-        # Of those running, the ones that a crash was put down to.
-        self._accused: set[Job] = set()
+        # Seconds until the next delayed long span may start.
+        self._long_span_delay: float | None = None
+        # Running jobs that have been reported as suspects of a crash.
+        self._suspects: set[Job] = set()
         self._wake = threading.Condition()
-        self._jobs: dict[rescue.Flight, list[Job]] = {}
+        self._jobs: dict[hedging.EngineCall, list[Job]] = {}
         self._frees: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self._stopped = False
         self._ended = threading.Event()
-        self._flights = rescue.Flights(silence)
-        self._leftovers = leftovers.Leftovers(hold)
-        self._rescuer = rescue.Rescuer(
-            engine, self._flights, self._take_over, self._leftovers
+        self._calls_under_way = hedging.CallTracker(silence)
+        self._first_steps = firststeps.FirstSteps(arrival_seconds)
+        self._hedger = hedging.Hedger(
+            engine,
+            self._calls_under_way,
+            self._complete_hedged,
+            self._first_steps,
         )
         self.calls = 0
         self.rescued = 0
@@ -139,14 +152,16 @@
         self.busy_seconds = 0.0
         self._threads = [
             threading.Thread(target=self._run, name='driver', daemon=True)
-            for _ in range(CALLS)
+            for _ in range(MAX_CONCURRENT_CALLS)
         ]
         self._threads.append(
-            threading.Thread(target=self._reap, name='reaper', daemon=True)
+            threading.Thread(
+                target=self._run_frees, name='reaper', daemon=True
+            )
         )
         self._threads.append(
             threading.Thread(
-                target=self._rescuer.run,
+                target=self._hedger.run,
                 args=(self._ended,),
                 name='rescuer',
                 daemon=True,
@@ -154,12 +169,12 @@
         )
 
     def start(self) -> None:
-        """Begin to call the engine."""
+        """Start to call the engine."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End the threads once their calls have returned."""
+        """Stop the threads after their current calls have returned."""
         with self._wake:
             self._stopped = True
             self._wake.notify_all()
@@ -168,145 +183,146 @@
         for thread in self._threads:
             thread.join(_STOP_SECONDS)
 
-    def _offer(self, session: str, lane: _Lane) -> None:
-        if lane.busy or lane.freeing or lane.queued:
+    def _mark_ready(self, session: str, state: _SessionState) -> None:
+        if state.busy or state.freeing or state.queued:
             return
-        if lane.pending:
-            lane.queued = True
+        if state.pending:
+            state.queued = True
             self._ready.append(session)
             self._wake.notify()
         else:
-            self._lanes.pop(session, None)
+            self._sessions.pop(session, None)
 
     def submit(self, job: Job) -> None:
         """Queue a step; never blocks."""
         session = job.step.session
         with self._wake:
-            self._leftovers.cancel(session)
-            lane = self._lanes.setdefault(session, _Lane())
-            lane.pending.append(job)
-            self._offer(session, lane)
+            self._first_steps.cancel_free(session)
+            state = self._sessions.setdefault(session, _SessionState())
+            state.pending.append(job)
+            self._mark_ready(session, state)
 
     def free(self, session: str) -> int:
-        """Drop what is queued for a session and free its KV cache.
+        """Drop the queued steps of a session and free its KV cache.
 
-        Steps that are submitted later wait until that has been done. While
-        a first step of the session may still arrive, its cache is kept.
+        Steps submitted later wait until the cache is free. The free is
+        deferred while a first step of the session may still reach the
+        engine.
 
-        :returns: steps that were dropped, which no handler hears of
+        :returns: number of dropped steps, for which no handler is called
         """
         with self._wake:
-            lane = self._lanes.setdefault(session, _Lane())
-            dropped = len(lane.pending)
-            lane.pending.clear()
-            if self._leftovers.put_off(session):
-                self._offer(session, lane)
+            state = self._sessions.setdefault(session, _SessionState())
+            dropped = len(state.pending)
+            state.pending.clear()
+            if self._first_steps.defer_free(session):
+                self._mark_ready(session, state)
                 return dropped
-            lane.freeing += 1
-            lane.free_again = lane.busy
+            state.freeing += 1
+            state.free_again = state.busy
         self._frees.put(session)
         return dropped
 
     def is_free(self, session: str) -> bool:
-        """Return whether nothing of a session is queued or under way."""
+        """Return whether no step or free of a session is pending."""
         with self._wake:
-            return session not in self._lanes
+            return session not in self._sessions
 
     @property
-    def kept(self) -> int:
-        """Sessions that the engine keeps against a late first step."""
-        return len(self._leftovers)
+    def unsettled_first_steps(self) -> int:
+        """Number of sessions whose first step may still reach the engine."""
+        return len(self._first_steps)
 
-    def accuse(self, failed: list[Job] | None = None) -> list[Job]:
+    def collect_suspects(self, failed: list[Job] | None = None) -> list[Job]:
         """Return the jobs under way when the engine crashed.
 
-        :param failed: jobs of the call that shows the crash; nothing is
-            returned when an earlier one had shown the same crash
+        :param failed: jobs of the call that revealed the crash; the result
+            is empty if another call has revealed the same crash before
         """
         with self._wake:
-            if failed and self._accused.issuperset(failed):
+            if failed and self._suspects.issuperset(failed):
                 return []
-            found = self._running - self._accused
-            self._accused |= found
-            return list(found)
+            suspects = self._running - self._suspects
+            self._suspects |= suspects
+            return list(suspects)
 
-    def _take(self) -> list[Job]:
+    def _wait_for_jobs(self) -> list[Job]:
         with self._wake:
             while not self._stopped:
-                jobs = [] if self._exclusive else self._gather()
+                jobs = [] if self._alone_running else self._gather()
                 if jobs:
                     self._running.update(jobs)
-                    self._note_short(jobs)
+                    self._record_short_steps(jobs)
                     return jobs
-                self._wake.wait(self._pause)
+                self._wake.wait(self._long_span_delay)
         return []
 
     def _gather(self) -> list[Job]:
-        if self._aside and self._alone_next:
+        if self._alone_sessions and self._alone_next:
             return self._gather_alone()
         jobs = self._gather_batch()
-        self._alone_next = bool(self._aside)
-        if not jobs and self._aside:
+        self._alone_next = bool(self._alone_sessions)
+        if not jobs and self._alone_sessions:
             return self._gather_alone()
         return jobs
 
     def _gather_alone(self) -> list[Job]:
-        """Take the step that runs next by itself, once no other runs."""
+        """Take the next step that must run alone, if no other is running."""
         if self._running:
             return []
         self._alone_next = False
-        session = self._aside.popleft()
-        lane = self._lanes[session]
-        lane.queued = False
-        if not lane.pending or lane.freeing:
-            self._offer(session, lane)
+        session = self._alone_sessions.popleft()
+        state = self._sessions[session]
+        state.queued = False
+        if not state.pending or state.freeing:
+            self._mark_ready(session, state)
             return self._gather()
-        self._exclusive = True
-        lane.busy = True
-        return [lane.pending.popleft()]
+        self._alone_running = True
+        state.busy = True
+        return [state.pending.popleft()]
 
     def _gather_batch(self) -> list[Job]:
         jobs: list[Job] = []
         positions = 0
-        share = -(-len(self._lanes) // CALLS)
-        limit = min(self._handlers.limit(), max(LEAST_STEPS, share))
+        share = -(-len(self._sessions) // MAX_CONCURRENT_CALLS)
+        limit = min(self._handlers.limit(), max(MIN_STEPS, share))
         long = any(map(_is_long, self._running))
         waiting: list[str] = []
-        self._pause = None
+        self._long_span_delay = None
         while self._ready and len(jobs) < limit:
             session = self._ready[0]
-            lane = self._lanes[session]
-            if not lane.pending or lane.freeing:
+            state = self._sessions[session]
+            if not state.pending or state.freeing:
                 self._ready.popleft()
-                lane.queued = False
-                self._offer(session, lane)
+                state.queued = False
+                self._mark_ready(session, state)
                 continue
-            if self._handlers.runs_alone(lane.pending[0]):
-                self._aside.append(self._ready.popleft())
+            if self._handlers.runs_alone(state.pending[0]):
+                self._alone_sessions.append(self._ready.popleft())
                 continue
-            if _is_long(lane.pending[0]):
-                if long or self._must_pause(lane.pending[0]):
+            if _is_long(state.pending[0]):
+                if long or self._must_delay(state.pending[0]):
                     waiting.append(self._ready.popleft())
                     continue
                 long = True
-            positions += lane.pending[0].positions
+            positions += state.pending[0].positions
             if jobs and positions > MAX_POSITIONS:
                 break
             self._ready.popleft()
-            lane.queued = False
-            lane.busy = True
-            jobs.append(lane.pending.popleft())
+            state.queued = False
+            state.busy = True
+            jobs.append(state.pending.popleft())
         self._ready.extendleft(reversed(waiting))
         return jobs
 
-    def _must_pause(self, job: Job) -> bool:
+    def _must_delay(self, job: Job) -> bool:
         team = self._handlers.find_team(job)
-        pause = self._spans.find_delay(team, time.monotonic())
-        if pause:
-            self._pause = min(pause, self._pause or pause)
-        return pause > 0.0
+        delay = self._spans.find_delay(team, time.monotonic())
+        if delay:
+            self._long_span_delay = min(delay, self._long_span_delay or delay)
+        return delay > 0.0
 
-    def _note_short(self, jobs: list[Job]) -> None:
+    def _record_short_steps(self, jobs: list[Job]) -> None:
         now = time.monotonic()
         for job in jobs:
             if not _is_long(job):
@@ -314,108 +330,130 @@
                     self._handlers.find_team(job), now
                 )
 
-    def _note_long(self, jobs: list[Job], began: float) -> None:
+    def _record_long_span(self, jobs: list[Job], started_at: float) -> None:
         if any(map(_is_long, jobs)):
             now = time.monotonic()
-            self._spans.record_long_span(now - began, now)
+            self._spans.record_long_span(now - started_at, now)
 
     def _release(self, jobs: list[Job]) -> None:
         with self._wake:
             self._running.difference_update(jobs)
-            self._accused.difference_update(jobs)
-            if self._exclusive or self._aside or any(map(_is_long, jobs)):
-                self._exclusive = False
+            self._suspects.difference_update(jobs)
+            if (
+                self._alone_running
+                or self._alone_sessions
+                or any(map(_is_long, jobs))
+            ):
+                self._alone_running = False
                 self._wake.notify_all()
             for job in jobs:
                 session = job.step.session
-                lane = self._lanes[session]
-                lane.busy = False
-                if lane.free_again:
-                    lane.free_again = False
-                    lane.freeing += 1
+                state = self._sessions[session]
+                state.busy = False
+                if state.free_again:
+                    state.free_again = False
+                    state.freeing += 1
                     self._frees.put(session)
-                self._offer(session, lane)
+                self._mark_ready(session, state)
 
     def _run(self) -> None:
         while not self._stopped:
-            jobs = self._take()
+            jobs = self._wait_for_jobs()
             if jobs and not self._call(jobs):
                 return
 
     def _call(self, jobs: list[Job]) -> bool:
-        """Make one call; False when another thread has replaced this one."""
-        work = SECONDS_PER_POSITION * sum(job.positions for job in jobs)
-        seconds = BASE_SECONDS + work
+        """Make one call; return False if a hedge has replaced this thread."""
+        size_seconds = TIMEOUT_SECONDS_PER_POSITION * sum(
+            job.positions for job in jobs
+        )
+        timeout = BASE_TIMEOUT_SECONDS + size_seconds
         steps = [job.step for job in jobs]
-        flight = self._flights.begin(steps, work, seconds)
+        call = self._calls_under_way.begin(steps, size_seconds, timeout)
         with self._wake:
-            self._jobs[flight] = jobs
-        called = self._engine.run_steps(steps, seconds)
-        if not self._flights.settle(flight):
-            self._leftovers.end(flight.begun, answered=rescue.is_over(called))
+            self._jobs[call] = jobs
+        outcome = self._engine.run_steps(steps, timeout)
+        if not self._calls_under_way.settle(call):
+            self._first_steps.end_call(
+                call.first_step_sessions,
+                answered=hedging.is_delivery_over(outcome),
+            )
             return False
         with self._wake:
-            del self._jobs[flight]
-        self._finish(flight, jobs, called)
+            del self._jobs[call]
+        self._finish(call, jobs, outcome)
         return True
 
     def _finish(
         self,
-        flight: rescue.Flight,
+        call: hedging.EngineCall,
         jobs: list[Job],
-        called: result.Result[list[engines.StepResult], engines.EngineError],
+        outcome: result.Result[list[engines.StepResult], engines.EngineError],
     ) -> None:
-        self.busy_seconds += time.monotonic() - flight.began
+        self.busy_seconds += time.monotonic() - call.started_at
         self.calls += 1
         self.steps += len(jobs)
         with self._wake:
-            self._note_long(jobs, flight.began)
-        if called.is_err():
-            self._handlers.failed(jobs, called.err_value)
+            self._record_long_span(jobs, call.started_at)
+        if outcome.is_err():
+            self._handlers.failed(jobs, outcome.err_value)
         else:
-            self._hand_on(jobs, called.ok_value)
+            self._deliver_results(jobs, outcome.ok_value)
         self._release(jobs)
 
-    def _take_over(
-        self, flight: rescue.Flight, results: list[engines.StepResult]
+    def _complete_hedged(
+        self, call: hedging.EngineCall, results: list[engines.StepResult]
     ) -> None:
-        """Finish a call whose thread waits on a silent connection."""
+        """Finish a call whose own thread is blocked on a silent connection.
+
+        A new thread replaces the blocked one.
+
+        :param results: results of the hedge; a step that the first call has
+            run fails in it, and its answer is lost
+        """
         with self._wake:
-            jobs = self._jobs.pop(flight)
+            jobs = self._jobs.pop(call)
         self.rescued += 1
         threading.Thread(target=self._run, name='driver', daemon=True).start()
-        lost = {found.session for found in results if rescue.is_lost(found)}
-        gone = [job for job in jobs if job.step.session in lost]
-        if gone:
+        lost_sessions = {
+            step_result.session
+            for step_result in results
+            if hedging.is_answer_lost(step_result)
+        }
+        lost_jobs = [job for job in jobs if job.step.session in lost_sessions]
+        if lost_jobs:
             detail = 'the connection to the engine went silent'
             error = engines.EngineError(detail, lost=True)
-            self._handlers.failed(gone, error)
-            self._release(gone)
-        kept = [job for job in jobs if job.step.session not in lost]
+            self._handlers.failed(lost_jobs, error)
+            self._release(lost_jobs)
+        kept = [job for job in jobs if job.step.session not in lost_sessions]
         if kept:
-            self._finish(flight, kept, result.Ok(results))
+            self._finish(call, kept, result.Ok(results))
 
-    def _hand_on(
+    def _deliver_results(
         self, jobs: list[Job], results: list[engines.StepResult]
     ) -> None:
-        by_session = {found.session: found for found in results}
+        by_session = {
+            step_result.session: step_result for step_result in results
+        }
         pairs = []
-        missing = []
+        unanswered = []
         for job in jobs:
-            found = by_session.get(job.step.session)
-            if found is None or found.epoch != job.step.epoch:
-                missing.append(job)
+            step_result = by_session.get(job.step.session)
+            if step_result is None or step_result.epoch != job.step.epoch:
+                unanswered.append(job)
             else:
-                pairs.append((job, found))
+                pairs.append((job, step_result))
         if pairs:
             self._handlers.results(pairs)
-        if missing:
-            error = engines.EngineError('steps without a result')
-            self._handlers.failed(missing, error)
+        if unanswered:
+            detail = 'the engine returned no result for a step'
+            error = engines.EngineError(detail)
+            self._handlers.failed(unanswered, error)
 
-    def _reap(self) -> None:
+    def _run_frees(self) -> None:
         while True:
-            for session in self._leftovers.take_due():
+            for session in self._first_steps.pop_due():
                 self.free(session)
             try:
                 session = self._frees.get(timeout=_SWEEP_SECONDS)
@@ -425,6 +463,6 @@
                 return
             self._engine.free(session)
             with self._wake:
-                lane = self._lanes[session]
-                lane.freeing -= 1
-                self._offer(session, lane)
+                state = self._sessions[session]
+                state.freeing -= 1
+                self._mark_ready(session, state)
--- a/packages/daemon/src/dunlintide_daemon/agent/peers.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/peers.py
@@ -1,7 +1,7 @@
 """Links that this agent opens to other agents, by address.
 
 They are shared by all requests, opened on first use and closed when idle.
-What is sent before a link is up waits for it, for a bounded time.
+Frames sent before a link is up are queued for a bounded time.
 """
 
 import threading
@@ -30,12 +30,12 @@
 class Handlers:
     """Callbacks of the links, on their reader threads.
 
-    :ivar take: gets frames that come over these links
-    :ivar up: gets the address of a link that is up
-    :ivar lost: gets the address and reason of a lost link
+    :ivar frames: receives the frames of these links
+    :ivar up: receives the address of a link that has come up
+    :ivar lost: receives the address and reason of a lost link
     """
 
-    take: Callable[[links.Link, list[link_pb2.Frame]], None]
+    frames: Callable[[links.Link, list[link_pb2.Frame]], None]
     up: Callable[[str], None]
     lost: Callable[[str, str], None]
 
@@ -46,7 +46,7 @@
     link: links.Link | None = None
     waiting: list[link_pb2.Frame] = attrs.field(factory=list)
     waiting_since: float = 0.0
-    used: float = 0.0
+    used_at: float = 0.0
     leaving: bool = False
 
 
@@ -61,7 +61,7 @@
         clock: Callable[[], float] = time.monotonic,
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Remember whom to tell; links open on demand."""
+        """Set the callbacks; links open on demand."""
         self._hello = hello
         self._handlers = handlers
         self._timing = timing
@@ -71,7 +71,7 @@
         self._peers: dict[str, _Peer] = {}
         self._closed = False
 
-    def _raise(self, address: str, link: links.Link) -> None:
+    def _handle_up(self, address: str, link: links.Link) -> None:
         with self._lock:
             peer = self._peers.get(address)
             if peer is None:
@@ -83,7 +83,9 @@
             peer.link = link
         self._handlers.up(address)
 
-    def _drop(self, address: str, link: links.Link, reason: str) -> None:
+    def _handle_down(
+        self, address: str, link: links.Link, reason: str
+    ) -> None:
         with self._lock:
             peer = self._peers.get(address)
             if peer is not None and peer.link is link:
@@ -91,7 +93,7 @@
         if not self._closed:
             self._handlers.lost(address, reason)
 
-    def _note(
+    def _handle_frames(
         self, address: str, link: links.Link, frames: list[link_pb2.Frame]
     ) -> None:
         for frame in frames:
@@ -99,13 +101,15 @@
                 with self._lock:
                     if address in self._peers:
                         self._peers[address].leaving = True
-        self._handlers.take(link, frames)
+        self._handlers.frames(link, frames)
 
     def _dial(self, address: str) -> _Peer:
         handlers = links.Handlers(
-            up=lambda link: self._raise(address, link),
-            frames=lambda link, frames: self._note(address, link, frames),
-            down=lambda link, reason: self._drop(address, link, reason),
+            up=lambda link: self._handle_up(address, link),
+            frames=lambda link, frames: self._handle_frames(
+                address, link, frames
+            ),
+            down=lambda link, reason: self._handle_down(address, link, reason),
         )
         dialer = links.Dialer(
             address,
@@ -115,39 +119,39 @@
             transport=self._transport,
             role=fleet.Role.AGENT,
         )
-        peer = _Peer(dialer, used=self._clock())
+        peer = _Peer(dialer, used_at=self._clock())
         self._peers[address] = peer
         dialer.start()
         return peer
 
-    def prepare(self, address: str) -> None:
-        """Begin to open a link that will be needed soon."""
+    def connect(self, address: str) -> None:
+        """Start to open a link that will be needed soon."""
         with self._lock:
             if not self._closed and address not in self._peers:
                 self._dial(address)
 
     def is_leaving(self, address: str) -> bool:
-        """Return whether a peer said that it leaves."""
+        """Return whether a peer has announced that it is leaving."""
         peer = self._peers.get(address)
         return peer is not None and peer.leaving
 
     def get_incarnation(self, address: str) -> int | None:
-        """Return which life of a peer is linked, None while none is."""
+        """Return the incarnation of a linked peer, None without a link."""
         peer = self._peers.get(address)
         link = peer.link if peer is not None else None
         return link.peer.incarnation if link is not None else None
 
     def send(self, address: str, frame: link_pb2.Frame) -> bool:
-        """Send a frame, or keep it until the link is up.
+        """Send a frame, or queue it until the link is up.
 
-        :returns: False when the link is backed up or closing
+        :returns: False if a queue is full or the links are closing
         """
         now = self._clock()
         with self._lock:
             if self._closed:
                 return False
             peer = self._peers.get(address) or self._dial(address)
-            peer.used = now
+            peer.used_at = now
             if peer.link is not None:
                 return peer.link.send(frame)
             if len(peer.waiting) >= MAX_WAITING_FRAMES:
@@ -165,14 +169,15 @@
                     peer.link.send(frame)
 
     def list_addresses(self) -> dict[str, bool]:
-        """Return the addresses, and whether each link is up."""
+        """Return the addresses of the peers and whether each link is up."""
         with self._lock:
             return {
                 address: peer.link is not None
                 for address, peer in self._peers.items()
             }
 
-    def _find_unreachable(self, now: float) -> list[str]:
+    def _expire_waiting(self, now: float) -> list[str]:
+        """Drop frames that waited too long and return their addresses."""
         found = []
         for address, peer in self._peers.items():
             if not peer.waiting:
@@ -183,27 +188,31 @@
         return found
 
     def tick(self, needed: set[str]) -> None:
-        """Give up on unreachable peers and close idle links.
+        """Drop frames for unreachable peers and close idle links.
 
-        :param needed: addresses that running requests rely on
+        :param needed: addresses that running requests depend on
         """
         now = self._clock()
         with self._lock:
-            unreachable = self._find_unreachable(now)
+            unreachable = self._expire_waiting(now)
             idle = [
                 address
                 for address, peer in self._peers.items()
-                if address not in needed and now - peer.used > IDLE_SECONDS
+                if address not in needed and now - peer.used_at > IDLE_SECONDS
             ]
             closing = [self._peers.pop(address) for address in idle]
         for address in unreachable:
-            logging.info('agent at %s cannot be reached', address)
+            logging.info(
+                'agent at %s not reachable within %g s',
+                address,
+                CONNECT_SECONDS,
+            )
             self._handlers.lost(address, 'unreachable')
         for peer in closing:
             peer.dialer.stop()
 
     def close(self) -> None:
-        """Close all links and open no more."""
+        """Close all links and refuse to open others."""
         with self._lock:
             self._closed = True
             peers = list(self._peers.values())
--- a/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/supervisor.py
@@ -1,8 +1,8 @@
-"""Slow matters of an agent: engine health, load reports and drain.
+"""Supervision of an agent: engine health, load reports and drain.
 
-One actor holds them, so they keep their order without locks. No token
-and no step passes through its mailbox; the ticker sends it one message
-at a time.
+One actor handles these slow tasks in sequence, without locks. Tokens and
+steps bypass its mailbox. The ticker thread sends a poll only when the mailbox
+is empty.
 """
 
 import time
@@ -25,18 +25,19 @@
 ]
 
 REPORT_SECONDS = 1.0
-AWAY = 'the engine is away'
-# A busy engine may be slow to answer; one that refuses connections is gone.
-MAX_STRIKES = 2
-# Below this the size of the KV cache cannot be told from its usage.
-_LEAST_USAGE = 0.01
+ENGINE_AWAY = 'the engine is unavailable'
+# A busy engine may be slow to answer, so it counts as lost only after this
+# many failed checks. One that refuses connections is lost at once.
+MAX_FAILED_CHECKS = 2
+# Below this usage the KV cache size derived from it would be too inaccurate.
+_MIN_KV_USAGE = 0.01
 
 
 @attrs.frozen
 class EngineFailed:
-    """A call to the engine had no usable answer.
+    """Message that a call to the engine had no usable answer.
 
-    :ivar crashed: whether the engine's process is known to be gone
+    :ivar crashed: whether the engine process is known to be gone
     """
 
     detail: str
@@ -45,42 +46,40 @@
 
 @attrs.frozen
 class Poll:
-    """Read the load and tell the entries."""
+    """Message to check the engine and report the load when due."""
 
 
 @attrs.frozen
 class Drain:
-    """Begin a planned stop."""
+    """Message to start a planned stop."""
 
 
 @attrs.frozen
 class Hooks:
-    """What a supervisor does beyond its own state.
+    """Callbacks into the rest of the agent.
 
-    :ivar lose_engine: takes no new work and ends all sessions, with
-        the reason
+    :ivar handle_engine_loss: refuses new requests and ends all sessions,
+        with a reason
     :ivar report: sends a load report
-    :ivar leave: tells all peers that this agent leaves
-    :ivar is_idle: whether nothing is in flight any more
-    :ivar stop: lets the process end
-    :ivar look: looks at what the engine holds, in the background
-    :ivar crash: lets the process end, since the supervisor has failed
+    :ivar announce_leaving: notifies all peers that this agent is leaving
+    :ivar is_idle: returns whether nothing is in flight
+    :ivar stop: ends the process
+    :ivar refresh_holding: reads which layers the engine holds, in the
+        background
+    :ivar crash: ends the process, since the supervisor has failed
     """
 
-    lose_engine: Callable[[str], None]
+    handle_engine_loss: Callable[[str], None]
     report: Callable[[engines.EngineLoad], None]
-    leave: Callable[[], None]
+    announce_leaving: Callable[[], None]
     is_idle: Callable[[], bool]
     stop: Callable[[], None]
     crash: Callable[[], None]
-    look: Callable[[], None] = lambda: None
+    refresh_holding: Callable[[], None] = lambda: None
 
 
 class Supervisor(pykka.ThreadingActor):
-    """Watches the endpoint and stops the process in order.
-
-    :ivar load: as the engine last reported it
-    """
+    """Monitors the engine and drains the agent before a planned stop."""
 
     use_daemon_thread = True
 
@@ -90,17 +89,17 @@
         engine: engines.Engine | None,
         hooks: Hooks,
     ) -> None:
-        """Remember what to watch.
+        """Set the engine to monitor.
 
-        :param engine: None before a plain service
+        :param engine: None if the endpoint is a plain service
         """
         super().__init__()
         self._gate = gate
         self._engine = engine
         self._hooks = hooks
-        self._down = False
-        self._strikes = 0
-        self._reported = 0.0
+        self._is_down = False
+        self._failed_checks = 0
+        self._reported_at = 0.0
         self._draining = False
 
     def on_receive(self, message) -> None:
@@ -113,71 +112,76 @@
             self._drain()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Stop the process: an actor that raised is silently dead."""
+        """Stop the process, since the actor handles no more messages."""
         logging.error('supervisor failed: %r', exception_value)
         self._hooks.crash()
 
-    def _is_away(self) -> bool:
-        checked = self._engine.check_health()
-        if checked.is_ok():
-            self._strikes = 0
+    def _check_away(self) -> bool:
+        health = self._engine.check_health()
+        if health.is_ok():
+            self._failed_checks = 0
             return False
-        self._strikes += 1
+        self._failed_checks += 1
         self._report_soon()
-        return not checked.err_value.sent or self._strikes >= MAX_STRIKES
+        return (
+            not health.err_value.sent
+            or self._failed_checks >= MAX_FAILED_CHECKS
+        )
 
     def _check_engine(self, detail: str, crashed: bool = False) -> None:
-        if self._down:
+        if self._is_down:
             return
-        if not crashed and not self._is_away():
+        if not crashed and not self._check_away():
             return
-        self._down = True
-        logging.warning('the engine is away: %s', detail)
-        # A process that answers no more has lost its KV cache.
-        self._hooks.lose_engine(AWAY)
+        self._is_down = True
+        logging.warning('engine unavailable: %s', detail)
+        # An engine that does not answer may have lost its KV cache.
+        self._hooks.handle_engine_loss(ENGINE_AWAY)
         self._report_soon()
 
     def _report_soon(self) -> None:
-        """Let the next poll report, for entries to choose by."""
-        self._reported = 0.0
+        """Report at the next poll, so that entries learn the new state."""
+        self._reported_at = 0.0
 
-    def _probe(self) -> None:
+    def _check_recovery(self) -> None:
         if self._engine.check_health().is_ok():
-            # It may hold again what it was started with.
-            self._hooks.look()
-            self._down = False
-            self._strikes = 0
-            logging.info('the engine is back')
+            # A restarted engine may hold its initial layers again.
+            self._hooks.refresh_holding()
+            self._is_down = False
+            self._failed_checks = 0
+            logging.info('engine available again')
             self._gate.set_fault('')
             self._report_soon()
 
     def _poll(self) -> None:
-        if self._down:
-            self._probe()
+        if self._is_down:
+            self._check_recovery()
         if self._draining and self._hooks.is_idle():
             self._hooks.stop()
         now = time.monotonic()
-        if now - self._reported < REPORT_SECONDS:
+        if now - self._reported_at < REPORT_SECONDS:
             return
-        self._reported = now
+        self._reported_at = now
         self._report()
 
     def _observe(self, load: engines.EngineLoad) -> None:
         size = 0
-        if load.kv_usage >= _LEAST_USAGE:
+        if load.kv_usage >= _MIN_KV_USAGE:
             size = int(load.kv_tokens / load.kv_usage)
         usage = caps.Usage(load.kv_usage, size, load.queued)
         with self._gate.lock:
-            self._gate.places.cap.observe(self._gate.places.in_flight, usage)
+            self._gate.capacity.cap.observe(
+                self._gate.capacity.in_flight, usage
+            )
 
     def _report(self) -> None:
         load = engines.EngineLoad()
-        if self._engine is not None and not self._down:
-            self._hooks.look()
+        if self._engine is not None and not self._is_down:
+            self._hooks.refresh_holding()
             read = self._engine.read_load()
             if read.is_ok():
                 load = read.ok_value
-                self._strikes = 0
+                self._failed_checks = 0
                 self._observe(load)
             elif not read.err_value.status:
                 self._check_engine(read.err_value.detail)
@@ -187,6 +191,6 @@
         if self._draining:
             return
         self._draining = True
-        logging.info('leaving: finishing what is in flight')
-        self._gate.leave()
-        self._hooks.leave()
+        logging.info('draining: new requests are refused')
+        self._gate.start_leaving()
+        self._hooks.announce_leaving()
