--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -235,7 +235,9 @@
             self.pipeline.handle_link_loss(link)
 
     def _handle_peer_up(self, address: str) -> None:
-        self._suspicion.send_known(lambda frame: self._peers.send(address, frame))
+        self._suspicion.send_known(
+            lambda frame: self._peers.send(address, frame)
+        )
         if self.pipeline is not None:
             self.pipeline.handle_peer_up(address)
 
