--- a/packages/daemon/src/dunlintide_daemon/agent/counts.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/counts.py
@@ -49,7 +49,7 @@
         yield drops
         events = metrics_core.CounterMetricFamily(
             'dunlintide_agent_events',
-            'Events of the agent, by kind',
+            'What the agent did, by kind',
             labels=['event'],
         )
         for event, number in self.get_events().items():
--- a/packages/daemon/src/dunlintide_daemon/gateway/counters.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/counters.py
@@ -85,50 +85,48 @@
             request_seconds=make(
                 histogram,
                 'edge_request_seconds',
-                'Time from arrival to end',
+                'Arrival to end',
                 ('kind',),
                 buckets=_SECONDS,
             ),
             first_event_seconds=make(
                 histogram,
                 'edge_first_event_seconds',
-                'Time from arrival to first event',
+                'Arrival to first event',
                 buckets=_SECONDS,
             ),
             gap_seconds=make(
                 histogram,
                 'edge_gap_seconds',
-                'Gaps between events',
+                'Pauses between events',
                 buckets=_GAP_SECONDS,
             ),
             loop_lag_seconds=make(
                 histogram,
                 'edge_loop_lag_seconds',
-                'Lag of the event loop',
+                'Lateness of the event loop',
                 buckets=_GAP_SECONDS,
             ),
             resends=make(
                 counter, 'edge_resends', 'Sends beyond the first', ('reason',)
             ),
-            ejections=make(
-                counter, 'edge_accusations', 'Ejections of endpoints'
-            ),
-            waiting=make(gauge, 'edge_waiting', 'Requests that wait for room'),
+            ejections=make(counter, 'edge_accusations', 'Endpoints left out'),
+            waiting=make(gauge, 'edge_waiting', 'Requests that wait'),
             orders=make(
                 counter, 'edge_orders', 'Orders to engines', ('reception',)
             ),
             pace_questions=make(
-                counter, 'edge_pace_questions', 'Probes of the pace of engines'
+                counter, 'edge_pace_questions', 'Engines asked for their pace'
             ),
             limited_endpoints=make(
                 prometheus_client.Gauge,
                 'edge_limited_endpoints',
-                'Endpoints with a rate limit',
+                'Endpoints that name a rate limit',
             ),
             permits=make(
                 counter,
                 'edge_permits',
-                'Permits requested under rate limits',
+                'Permits asked for under rate limits',
                 ('verdict',),
             ),
             store_faults=make(
@@ -137,7 +135,7 @@
             refused_items=make(
                 counter,
                 'edge_refused_items',
-                'Malformed store items and messages',
+                'Entries and messages that can not be read',
                 ('kind',),
             ),
             version=make(
