--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -152,7 +152,7 @@
     )
     client = engines.Engine(f'http://127.0.0.1:{engine.port}')
     context.stack.callback(client.close)
-    return engine, cacheevents.Source(client)
+    return engine, cacheevents.EventReader(client)
 
 
 @behave.given("an agent's reader of a stand-in engine's cache events")
@@ -207,7 +207,7 @@
     client = engines.Engine('http://127.0.0.1:1')
     context.stack.callback(client.close)
     before = context.reader.describe()
-    context.reader._source = cacheevents.Source(client)
+    context.reader._source = cacheevents.EventReader(client)
     context.reader.poll(3.0)
     assert context.reader.describe() == before
 
--- a/features/steps/callerhttp.py
+++ b/features/steps/callerhttp.py
@@ -23,7 +23,7 @@
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever)
         self.thread.start()
-        bounds = callermessages.Bounds(2000, 5000, 0.3, 2.0)
+        bounds = callermessages.RequestLimits(2000, 5000, 0.3, 2.0)
         self.server = callerhttp.CallerServer(
             self.handle, bounds, lambda what, error: None
         )
--- a/features/steps/configstore.py
+++ b/features/steps/configstore.py
@@ -24,7 +24,7 @@
 TIMING = store.StoreTiming(
     connect=1.0,
     read=1.0,
-    breaker=circuit.CircuitTiming(first_pause=0.05, longest_pause=0.1),
+    breaker=circuit.CircuitTiming(initial_pause=0.05, max_pause=0.1),
     watch=storewatch.WatchTiming(silence=1.0, reconnect=0.1),
 )
 
--- a/features/steps/driver.py
+++ b/features/steps/driver.py
@@ -23,7 +23,7 @@
         self.most_long = 0
         self.begun = []
 
-    def run_steps(self, steps, seconds, *, anew=False):
+    def run_steps(self, steps, seconds, *, new_connection=False):
         answered = threading.Event()
         self.begun += [(step.session, time.monotonic()) for step in steps]
         with self.lock:
--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -6,8 +6,8 @@
 import threading
 
 import behave
-from dunlintide_adapters import httpgate
 from dunlintide_adapters import httpserver
+from dunlintide_adapters import requestlimiter
 from dunlintide_core import queueing
 from dunlintide_core import slots
 from dunlintide_standins.engine import messages
@@ -29,7 +29,7 @@
         self.running = threading.Semaphore(0)
 
     def __call__(self, environ, start_response):
-        if not environ[httpgate.JOIN](environ['PATH_INFO']):
+        if not environ[requestlimiter.JOIN_GROUP](environ['PATH_INFO']):
             start_response('429 Too Many Requests', [])
             return [b'']
         start_response('200 OK', [])
--- a/features/steps/httpserver.py
+++ b/features/steps/httpserver.py
@@ -57,7 +57,7 @@
         if path.startswith('/big/'):
             return self._produce(int(path.rpartition('/')[2]))
         if path == '/late':
-            environ[httpchannel.END_BY](time.monotonic() + 0.5)
+            environ[httpchannel.SET_SEND_DEADLINE](time.monotonic() + 0.5)
             return self._produce(64)
         if path == '/at-once':
             return self._send_at_once(environ[httpchannel.SEND_NOW])
@@ -83,7 +83,7 @@
     context.server.start()
     context.add_cleanup(context.server.stop, 0)
     context.add_cleanup(context.application.release.set)
-    scheme = 'https' if 'secure' in options else 'http'
+    scheme = 'https' if 'tls_wrapper' in options else 'http'
     context.url = f'{scheme}://127.0.0.1:{context.server.port}'
     context.http = urllib3.PoolManager(
         maxsize=8, ssl_context=getattr(context, 'client_tls', None)
@@ -120,7 +120,7 @@
         cadata=context.issuer.certificate.decode()
     )
     context.secure = secure
-    serve(context, threads, max_body=size, secure=secure)
+    serve(context, threads, max_body=size, tls_wrapper=secure)
 
 
 def renew_certificate(context):
--- a/features/steps/leftovers.py
+++ b/features/steps/leftovers.py
@@ -28,9 +28,11 @@
         super().__init__(url)
         self.ended = []
 
-    def run_steps(self, steps, seconds, *, anew=False):
-        called = super().run_steps(steps, seconds, anew=anew)
-        if not anew:
+    def run_steps(self, steps, seconds, *, new_connection=False):
+        called = super().run_steps(
+            steps, seconds, new_connection=new_connection
+        )
+        if not new_connection:
             self.ended += [step.session for step in steps]
         return called
 
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -20,7 +20,7 @@
 TIMING = store.StoreTiming(
     connect=1.0,
     read=0.5,
-    breaker=circuit.CircuitTiming(first_pause=0.05, longest_pause=0.1),
+    breaker=circuit.CircuitTiming(initial_pause=0.05, max_pause=0.1),
     watch=storewatch.WatchTiming(silence=0.3, reconnect=0.1),
 )
 
--- a/features/steps/storemodel.py
+++ b/features/steps/storemodel.py
@@ -62,8 +62,8 @@
             async with asyncio.timeout_at(deadline):
                 status, body, era = await work
         except TimeoutError as error:
-            raise endpointhttp.Broken(
-                endpointhttp.Fault.TIMEOUT, True, 'no answer'
+            raise endpointhttp.CallError(
+                endpointhttp.FailureKind.TIMEOUT, True, 'no answer'
             ) from error
         self._answer = json.dumps(body).encode()
         headers = [('store-era', str(era))]
@@ -89,9 +89,11 @@
         self.cut = False
         self.late = 0
 
-    async def acquire(self, address, timeout, newest=None):
+    async def acquire(self, address, timeout, max_idle_seconds=None):
         if self.cut or self._store.faults.away:
-            raise endpointhttp.Broken(endpointhttp.Fault.CONNECT, False, '')
+            raise endpointhttp.CallError(
+                endpointhttp.FailureKind.CONNECT, False, ''
+            )
         return _Connection(self)
 
     def release(self, address, connection):
@@ -111,7 +113,9 @@
         era = self._store.era
         status, body = await self._store._run(request)
         if self.cut or self._store.faults.away or era != self._store.era:
-            raise endpointhttp.Broken(endpointhttp.Fault.RESET, True, '')
+            raise endpointhttp.CallError(
+                endpointhttp.FailureKind.RESET, True, ''
+            )
         return status, body, era
 
 
--- a/features/steps/tls.py
+++ b/features/steps/tls.py
@@ -131,11 +131,11 @@
     expired = fault == ', with an expired certificate'
     written = issuer.write(context.folder, role, name)
     found = {field: pathlib.Path(path) for field, path in written.items()}
-    check = transports.make_check(
+    check = transports.make_identity_check(
         identities.Identity(role, name), authority.DOMAIN
     )
     paths = certificates.Paths(**found)
-    files = certificates.Files.open(paths, check, seconds=0.0)
+    files = certificates.Files.open(paths, check, check_seconds=0.0)
     if expired:
         # A process that keeps on after the end of its certificate.
         certificate, key = issuer.issue(role, name, EXPIRED)
@@ -148,7 +148,7 @@
             lambda bundle: '',
             WAIT_SECONDS * 10,
         )
-    return transports.Mutual(files, authority.DOMAIN)
+    return transports.MutualTls(files, authority.DOMAIN)
 
 
 def serve(context, role, name, transport):
@@ -417,7 +417,7 @@
     paths = {field: pathlib.Path(path) for field, path in written.items()}
     paths['authorities'].write_bytes(bundle(context))
     files = certificates.Files.open(certificates.Paths(**paths))
-    transport = transports.Mutual(files, authority.DOMAIN)
+    transport = transports.MutualTls(files, authority.DOMAIN)
     dial(context, 'entry', name, transport)
 
 
--- a/packages/adapters/src/dunlintide_adapters/admin.py
+++ b/packages/adapters/src/dunlintide_adapters/admin.py
@@ -23,7 +23,7 @@
 _THREADS = 2
 _MAX_BODY_BYTES = 64 << 10
 _MAX_CONNECTIONS = 64
-_STOP_SECONDS = 2.0
+_STOP_TIMEOUT_SECONDS = 2.0
 _JSON_TYPE = 'application/json'
 
 
@@ -56,16 +56,16 @@
     return _Page(status, body.encode() + b'\n')
 
 
-def _refuse(status: http.HTTPStatus) -> _Page:
+def _build_error(status: http.HTTPStatus) -> _Page:
     page = httppages.render_error(status, status.description)
     return _Page(status, page.body, dict(page.headers)['Content-Type'])
 
 
 def _show_readiness(readiness: Callable[[], Readiness]) -> _Page:
-    found = readiness()
-    body = {'ready': found.ready, 'reasons': list(found.reasons)}
+    state = readiness()
+    body = {'ready': state.ready, 'reasons': list(state.reasons)}
     status = http.HTTPStatus.OK
-    if not found.ready:
+    if not state.ready:
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
     return _build_json(body, status)
 
@@ -77,19 +77,19 @@
         self,
         routes: dict[tuple[str, str], Callable[[], _Page]],
         listen: str,
-        drainer: futures.Executor,
-        secure: tlssockets.Wrapper | None = None,
+        drain_executor: futures.Executor,
+        tls_wrapper: tlssockets.Wrapper | None = None,
     ) -> None:
         """Bind the address; use ``from_config`` instead."""
         self._routes = routes
-        self._drainer = drainer
+        self._drain_executor = drain_executor
         self._server = httpserver.HttpServer.from_config(
             self._answer,
             listen,
             _THREADS,
             _MAX_BODY_BYTES,
             max_connections=_MAX_CONNECTIONS,
-            secure=secure,
+            tls_wrapper=tls_wrapper,
         )
 
     @classmethod
@@ -100,7 +100,7 @@
         readiness: Callable[[], Readiness],
         drain: Callable[[], None],
         registry: registries.CollectorRegistry,
-        secure: tlssockets.Wrapper | None = None,
+        tls_wrapper: tlssockets.Wrapper | None = None,
     ) -> 'AdminServer':
         """Bind the address; ``start`` begins to serve.
 
@@ -113,7 +113,9 @@
         :param secure: puts TLS on connections; None for plain ones
         :raises OSError: when the port is taken
         """
-        drainer = futures.ThreadPoolExecutor(1, thread_name_prefix='drain')
+        drain_executor = futures.ThreadPoolExecutor(
+            1, thread_name_prefix='drain'
+        )
 
         def show_metrics() -> _Page:
             body = prometheus_client.generate_latest(registry)
@@ -128,7 +130,7 @@
                 raise
 
         def begin_drain() -> _Page:
-            drainer.submit(run_drain)
+            drain_executor.submit(run_drain)
             return _build_json({'draining': True}, http.HTTPStatus.ACCEPTED)
 
         routes = {
@@ -138,7 +140,7 @@
             ('GET', '/debug/state'): lambda: _build_json(dump()),
             ('POST', '/drain'): begin_drain,
         }
-        return cls(routes, listen, drainer, secure)
+        return cls(routes, listen, drain_executor, tls_wrapper)
 
     @property
     def port(self) -> int:
@@ -151,16 +153,16 @@
 
     def stop(self) -> None:
         """Close the port; what is being answered gets a short while."""
-        self._server.stop(_STOP_SECONDS)
-        self._drainer.shutdown(wait=False)
+        self._server.stop(_STOP_TIMEOUT_SECONDS)
+        self._drain_executor.shutdown(wait=False)
 
     def _route(self, method: str, path: str) -> _Page:
         route = self._routes.get((method, path))
         if route is not None:
             return route()
         if any(path == known for _, known in self._routes):
-            return _refuse(http.HTTPStatus.METHOD_NOT_ALLOWED)
-        return _refuse(http.HTTPStatus.NOT_FOUND)
+            return _build_error(http.HTTPStatus.METHOD_NOT_ALLOWED)
+        return _build_error(http.HTTPStatus.NOT_FOUND)
 
     def _answer(self, environ: dict, start_response: Callable) -> list[bytes]:
         page = self._route(environ['REQUEST_METHOD'], environ['PATH_INFO'])
--- a/packages/adapters/src/dunlintide_adapters/cacheevents.py
+++ b/packages/adapters/src/dunlintide_adapters/cacheevents.py
@@ -9,17 +9,19 @@
 from dunlintide_core import prefixes
 
 __all__ = [
-    'Source',
+    'EventReader',
 ]
 
 # More than an engine publishes in a second; the rest comes next time.
 MAX_EVENTS = 5_000
 MAX_BLOCKS = 20_000
-_EVENTS = '/v1/cache_events'
-_HELD = '/v1/cache'
+_EVENTS_PATH = '/v1/cache_events'
+_BLOCKS_PATH = '/v1/cache'
 _STORED = 'stored'
 
-_Read = result.Result[tuple[int, list[prefixes.Event]], engines.EngineError]
+_ReadResult = result.Result[
+    tuple[int, list[prefixes.Event]], engines.EngineError
+]
 
 
 class _Event(msgspec.Struct):
@@ -49,33 +51,39 @@
     )
 
 
-class Source:
+class EventReader:
     """Reads one engine's events and what it holds."""
 
     def __init__(self, engine: engines.Engine) -> None:
         """Remember the engine; its owner closes it."""
         self._engine = engine
 
-    def read_events(self, since: int) -> _Read:
+    def read_events(self, since: int) -> _ReadResult:
         """Read some events behind a sequence number, oldest first.
 
         :returns: the number of the last event that the engine has
             published or lost, and the events
         """
         query = {'since': since, 'limit': MAX_EVENTS}
-        read = self._read(_EVENTS, query)
+        read = self._read(_EVENTS_PATH, query)
         return read.map(
-            lambda told: (told.sequence, [_convert(e) for e in told.events])
+            lambda answer: (
+                answer.sequence,
+                [_convert(e) for e in answer.events],
+            )
         )
 
-    def read_held(self) -> _Read:
+    def read_blocks(self) -> _ReadResult:
         """Read the blocks that the engine holds, the newest if too many.
 
         :returns: the number of the last event, and the blocks
         """
-        read = self._read(_HELD, {'limit': MAX_BLOCKS})
+        read = self._read(_BLOCKS_PATH, {'limit': MAX_BLOCKS})
         return read.map(
-            lambda told: (told.sequence, [_convert(e) for e in told.blocks])
+            lambda answer: (
+                answer.sequence,
+                [_convert(e) for e in answer.blocks],
+            )
         )
 
     def _read(
--- a/packages/adapters/src/dunlintide_adapters/callerhttp.py
+++ b/packages/adapters/src/dunlintide_adapters/callerhttp.py
@@ -18,9 +18,9 @@
 __all__ = ['CallerServer']
 
 # Unsent bytes of an answer above which its source is paused, in bytes.
-_WRITE_HIGH = 256 << 10
+_WRITE_HIGH_WATER_BYTES = 256 << 10
 # Requests that a caller may send ahead before it is refused.
-_MAX_AHEAD = 16
+_MAX_PIPELINED = 16
 # How long a refused caller may go on sending so that it reads why, in
 # seconds; a close with unread bytes would reset the connection.
 _LINGER_SECONDS = 1.0
@@ -40,7 +40,7 @@
     def __init__(
         self,
         handle: Handler,
-        bounds: callermessages.Bounds,
+        limits: callermessages.RequestLimits,
         report: Callable[[str, BaseException | None], None],
     ) -> None:
         """Make a server that does not listen yet.
@@ -49,7 +49,7 @@
         :param report: told of each connection or request that failed
         """
         self.handle = handle
-        self.bounds = bounds
+        self.limits = limits
         self.report = report
         self.connections: set[_Connection] = set()
         self.closing = False
@@ -66,18 +66,18 @@
         )
         return self._server.sockets[0].getsockname()[1]
 
-    async def listen_on(self, listener: socket.socket) -> None:
+    async def listen_on_socket(self, listener: socket.socket) -> None:
         """Begin to take connections from a socket that listens already."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), sock=listener
         )
 
-    def end_reuse(self) -> None:
+    def stop_keepalive(self) -> None:
         """Close connections that rest, and others behind their answer."""
         self.closing = True
         for connection in list(self.connections):
-            connection.end_reuse()
+            connection.stop_keepalive()
 
     def count_busy(self) -> int:
         """Count the connections with a request that is not answered."""
@@ -99,7 +99,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._ready: collections.deque[callermessages.Request] = (
+        self._pending: collections.deque[callermessages.Request] = (
             collections.deque()
         )
         self._reply: callermessages.Reply | None = None
@@ -108,9 +108,9 @@
         self._writable: asyncio.Future | None = None
         self._paused = False
         self._reading = False
-        self._failed = False
-        self._first: float | None = None
-        self._size = 0
+        self._has_refused = False
+        self._received_at: float | None = None
+        self._head_bytes = 0
         self.closing = server.closing
 
     @property
@@ -120,37 +120,37 @@
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self._transport = transport
-        transport.set_write_buffer_limits(high=_WRITE_HIGH)
+        transport.set_write_buffer_limits(high=_WRITE_HIGH_WATER_BYTES)
         self._server.connections.add(self)
-        self._watch(self._server.bounds.idle_seconds)
+        self._start_timer(self._server.limits.idle_seconds)
 
     def connection_lost(self, error: Exception | None) -> None:
         self._server.connections.discard(self)
         self._stop_timer()
         self._set_writable()
-        self._leave()
+        self._cancel_requests()
 
     def eof_received(self) -> bool:
-        self._leave()
+        self._cancel_requests()
         return False
 
-    def _leave(self) -> None:
+    def _cancel_requests(self) -> None:
         """Give up what runs for a caller that has closed its side."""
-        self._ready.clear()
+        self._pending.clear()
         if self._reply is not None:
-            self._reply.gone = True
+            self._reply.is_disconnected = True
             self._task.cancel()
 
-    def _watch(self, seconds: float) -> None:
+    def _start_timer(self, seconds: float) -> None:
         self._stop_timer()
-        self._timer = self._loop.call_later(seconds, self._expire)
+        self._timer = self._loop.call_later(seconds, self._handle_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _expire(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
         if self._reading:
             self._refuse(408)
@@ -158,41 +158,43 @@
             self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        if self._failed:
+        if self._has_refused:
             return
         if not self._reading and self._reply is None:
-            self._watch(self._server.bounds.header_seconds)
-        self._first = self._loop.time()
+            self._start_timer(self._server.limits.header_seconds)
+        self._received_at = self._loop.time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self._refuse(400)
         except httptools.HttpParserError as error:
-            if not self._failed:
+            if not self._has_refused:
                 self._server.report('bad request', error)
                 self._refuse(400)
         self._start_next()
 
     def on_message_begin(self) -> None:
         self._reading = True
-        self._size = 0
-        self._request = callermessages.Request('', '', [], b'', self._first)
+        self._head_bytes = 0
+        self._request = callermessages.Request(
+            '', '', [], b'', self._received_at
+        )
         self._target: list[bytes] = []
         self._body: list[bytes] = []
         self._body_size = 0
 
     def on_url(self, url: bytes) -> None:
-        self._grow(len(url))
+        self._count_head_bytes(len(url))
         self._target.append(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
         pair = name.decode('latin-1').lower(), value.decode('latin-1')
         self._request.headers.append(pair)
 
-    def _grow(self, size: int) -> None:
-        self._size += size
-        if self._size > self._server.bounds.header_bytes:
+    def _count_head_bytes(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > self._server.limits.header_bytes:
             self._refuse(431)
             raise ValueError('the head is too large')
 
@@ -203,16 +205,16 @@
         request.keep_alive = self._parser.should_keep_alive()
         request.version = self._parser.get_http_version()
         length = request.get('content-length')
-        if length and int(length) > self._server.bounds.body_bytes:
+        if length and int(length) > self._server.limits.body_bytes:
             self._refuse(413)
             raise ValueError('the body is too large')
         if (request.get('expect') or '').lower() == '100-continue':
-            if not self._ready and self._reply is None:
+            if not self._pending and self._reply is None:
                 self.write(_CONTINUE)
 
     def on_body(self, data: bytes) -> None:
         self._body_size += len(data)
-        if self._body_size > self._server.bounds.body_bytes:
+        if self._body_size > self._server.limits.body_bytes:
             self._refuse(413)
             raise ValueError('the body is too large')
         self._body.append(data)
@@ -222,18 +224,18 @@
         self._request.body = b''.join(self._body)
         if self._reply is None:
             self._stop_timer()
-        self._ready.append(self._request)
-        if len(self._ready) > _MAX_AHEAD:
+        self._pending.append(self._request)
+        if len(self._pending) > _MAX_PIPELINED:
             self._refuse(400)
             raise ValueError('too many requests were sent ahead')
 
     def _refuse(self, status: int) -> None:
         """Answer what can't be read, and read nothing more."""
-        if self._failed:
+        if self._has_refused:
             return
-        self._failed = True
+        self._has_refused = True
         self._reading = False
-        self._ready.clear()
+        self._pending.clear()
         self._stop_timer()
         if self._reply is not None:
             # An answer is under way: it ends whole, then the connection.
@@ -250,9 +252,9 @@
         self._loop.call_later(_LINGER_SECONDS, self.abort)
 
     def _start_next(self) -> None:
-        if self._reply is not None or not self._ready:
+        if self._reply is not None or not self._pending:
             return
-        request = self._ready.popleft()
+        request = self._pending.popleft()
         self._stop_timer()
         reply = callermessages.Reply(self, request)
         self._reply = reply
@@ -260,9 +262,9 @@
         self._task = self._loop.create_task(
             self._server.handle(request, reply)
         )
-        self._task.add_done_callback(self._end)
+        self._task.add_done_callback(self._finish_request)
 
-    def _end(self, task: asyncio.Task) -> None:
+    def _finish_request(self, task: asyncio.Task) -> None:
         reply, self._reply = self._reply, None
         error = None if task.cancelled() else task.exception()
         if error is not None:
@@ -270,22 +272,22 @@
         if self._transport is None or self._transport.is_closing():
             return
         if not reply.ended:
-            if not reply.started and not reply.gone:
+            if not reply.started and not reply.is_disconnected:
                 reply.send(callermessages.Head(500))
             else:
                 self.abort()
                 return
-        if self.closing or self._server.closing or self._failed:
+        if self.closing or self._server.closing or self._has_refused:
             self._transport.close()
             return
-        if self._ready:
+        if self._pending:
             self._start_next()
         elif self._reading:
-            self._watch(self._server.bounds.header_seconds)
+            self._start_timer(self._server.limits.header_seconds)
         else:
-            self._watch(self._server.bounds.idle_seconds)
+            self._start_timer(self._server.limits.idle_seconds)
 
-    def end_reuse(self) -> None:
+    def stop_keepalive(self) -> None:
         """Take no further request; close now if none is under way."""
         self.closing = True
         if not self.is_busy and self._transport is not None:
--- a/packages/adapters/src/dunlintide_adapters/callermessages.py
+++ b/packages/adapters/src/dunlintide_adapters/callermessages.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     'REASONS',
-    'Bounds',
+    'RequestLimits',
     'Head',
     'Reply',
     'Request',
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Bounds:
+class RequestLimits:
     """Bounds on what a caller sends.
 
     :ivar header_seconds: time for the whole head
@@ -57,7 +57,7 @@
     target: str
     headers: list[tuple[str, str]]
     body: bytes
-    arrived: float
+    received_at: float
     keep_alive: bool = True
     version: str = '1.1'
 
@@ -116,12 +116,12 @@
         self._chunked = False
         self.started = False
         self.ended = False
-        self.gone = False
+        self.is_disconnected = False
 
     @property
     def is_open(self) -> bool:
         """Whether the caller can still be answered."""
-        return not self.gone and not self.ended
+        return not self.is_disconnected and not self.ended
 
     def start(self, head: Head) -> None:
         """Send the head of the answer."""
@@ -169,7 +169,7 @@
         self.start(attrs.evolve(head, length=len(body)))
         self.finish(body)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection, so that the answer looks cut."""
         self.ended = True
         self._connection.abort()
--- a/packages/adapters/src/dunlintide_adapters/certificates.py
+++ b/packages/adapters/src/dunlintide_adapters/certificates.py
@@ -75,7 +75,7 @@
     return importlib.import_module(_READER).read(paths)
 
 
-def _sign(paths: Paths) -> Signature | None:
+def _get_signature(paths: Paths) -> Signature | None:
     """Tell files apart from former ones; None while one is missing."""
     listed = (paths.certificate, paths.key, paths.authorities)
     try:
@@ -95,20 +95,20 @@
     def __init__(
         self,
         paths: Paths,
-        first: Bundle,
+        bundle: Bundle,
         signature: Signature | None,
         check: Callable[[Bundle], str],
-        seconds: float,
+        check_seconds: float,
     ) -> None:
         """Hold what was read; use ``open`` instead."""
         self.reloads = 0
         self.failures = 0
         self._paths = paths
-        self._bundle = first
+        self._bundle = bundle
         self._signature = signature
         self._check = check
-        self._seconds = seconds
-        self._looked = time.monotonic()
+        self._check_seconds = check_seconds
+        self._checked_at = time.monotonic()
         self._lock = threading.Lock()
 
     @classmethod
@@ -116,7 +116,7 @@
         cls,
         paths: Paths,
         check: Callable[[Bundle], str] = lambda bundle: '',
-        seconds: float = 1.0,
+        check_seconds: float = 1.0,
     ) -> 'Files':
         """Read the files.
 
@@ -124,7 +124,7 @@
         :param seconds: shortest time between two looks at the files
         :raises ValueError: when they cannot be used
         """
-        signature = _sign(paths)
+        signature = _get_signature(paths)
         found = read(paths)
         if isinstance(found, result.Err):
             fault = found.err_value
@@ -132,36 +132,36 @@
         fault = check(found.ok_value)
         if fault:
             raise ValueError(f'tls: certificate: {fault}')
-        return cls(paths, found.ok_value, signature, check, seconds)
+        return cls(paths, found.ok_value, signature, check, check_seconds)
 
     def get(self) -> Bundle:
         """Return the newest usable contents; may read the files."""
         with self._lock:
             now = time.monotonic()
-            if now - self._looked >= self._seconds:
-                self._looked = now
-                self._look()
+            if now - self._checked_at >= self._check_seconds:
+                self._checked_at = now
+                self._reload_if_changed()
             return self._bundle
 
-    def _look(self) -> None:
-        signature = _sign(self._paths)
+    def _reload_if_changed(self) -> None:
+        signature = _get_signature(self._paths)
         if signature == self._signature:
             return
         self._signature = signature
         found = read(self._paths)
         if isinstance(found, result.Err):
-            self._keep(found.err_value)
+            self._reject(found.err_value)
             return
         fault = self._check(found.ok_value)
         if fault:
-            self._keep(Fault('certificate', fault))
+            self._reject(Fault('certificate', fault))
             return
         if found.ok_value != self._bundle:
             self._bundle = found.ok_value
             self.reloads += 1
             logging.info('tls: renewed, valid to %s', self._bundle.expires)
 
-    def _keep(self, fault: Fault) -> None:
+    def _reject(self, fault: Fault) -> None:
         self.failures += 1
         logging.error(
             'tls: new files refused, the former kept: %s: %s',
--- a/packages/adapters/src/dunlintide_adapters/circuit.py
+++ b/packages/adapters/src/dunlintide_adapters/circuit.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-__all__ = ['Circuit', 'CircuitTiming']
+__all__ = ['CircuitBreaker', 'CircuitTiming']
 
 
 @attrs.frozen
@@ -17,11 +17,11 @@
     """
 
     failures: int = 3
-    first_pause: float = 0.2
-    longest_pause: float = 2.0
+    initial_pause: float = 0.2
+    max_pause: float = 2.0
 
 
-class Circuit:
+class CircuitBreaker:
     """Admits all calls while closed, and one probe at a time while open.
 
     It holds no lock; the caller keeps calls apart.
@@ -38,7 +38,7 @@
         self._rng = rng or random.Random()
         self._failures = 0
         self._retry_at = 0.0
-        self._pause = timing.first_pause
+        self._pause = timing.initial_pause
         self._probing = False
 
     @property
@@ -65,7 +65,7 @@
     def succeed(self) -> None:
         """Settle a call that was answered; closes the circuit."""
         self._failures = 0
-        self._pause = self._timing.first_pause
+        self._pause = self._timing.initial_pause
         self._probing = False
 
     def fail(self, now: float) -> None:
@@ -79,5 +79,5 @@
         if not self.is_open:
             return
         if was_open:
-            self._pause = min(self._pause * 2, self._timing.longest_pause)
+            self._pause = min(self._pause * 2, self._timing.max_pause)
         self._retry_at = now + self._pause * self._rng.uniform(0.5, 1.0)
--- a/packages/adapters/src/dunlintide_adapters/claimroutes.py
+++ b/packages/adapters/src/dunlintide_adapters/claimroutes.py
@@ -84,7 +84,7 @@
         self._transport = transport
 
     def Bind(self, request, context):
-        fault = self._transport.find_fault(context, fleet.Role.ENTRY)
+        fault = self._transport.check_caller(context, fleet.Role.ENTRY)
         if fault:
             context.abort(grpc.StatusCode.PERMISSION_DENIED, fault)
         timeout = request.timeout_ms / 1000
--- a/packages/adapters/src/dunlintide_adapters/endpointhttp.py
+++ b/packages/adapters/src/dunlintide_adapters/endpointhttp.py
@@ -16,9 +16,9 @@
 
 __all__ = [
     'AnswerHead',
-    'Broken',
+    'CallError',
     'Connection',
-    'Fault',
+    'FailureKind',
     'Pool',
 ]
 
@@ -26,15 +26,15 @@
 
 # Rest after which a kept connection is not used again where the endpoint
 # names no time of its own, in seconds.
-DEFAULT_KEEP_SECONDS = 1.0
+DEFAULT_KEEPALIVE_SECONDS = 1.0
 # Part of a named keep-alive time that is used: the endpoint counts from
 # when it sent, and the last request still has to arrive.
-KEEP_PART = 0.7
+KEEPALIVE_FRACTION = 0.7
 # Bytes of an answer that may wait unread before the endpoint is paused.
-_READ_HIGH = 256 << 10
+_READ_HIGH_WATER_BYTES = 256 << 10
 
 
-class Fault(enum.StrEnum):
+class FailureKind(enum.StrEnum):
     """How a call failed."""
 
     CONNECT = 'connect'
@@ -45,15 +45,15 @@
     ABANDONED = 'abandoned'
 
 
-class Broken(Exception):
+class CallError(Exception):
     """A call that got no whole answer; callers turn it into an outcome.
 
     :ivar sent: whether the request may have been read
     """
 
-    def __init__(self, fault: Fault, sent: bool, text: str = '') -> None:
-        super().__init__(f'{fault}: {text}' if text else str(fault))
-        self.fault = fault
+    def __init__(self, kind: FailureKind, sent: bool, text: str = '') -> None:
+        super().__init__(f'{kind}: {text}' if text else str(kind))
+        self.kind = kind
         self.sent = sent
 
 
@@ -91,12 +91,12 @@
         self._headers: list[tuple[str, str]] = []
         self._complete = False
         self._framed = False
-        self._fault: Fault | None = None
-        self._excess = False
+        self._failure: FailureKind | None = None
+        self._has_excess = False
         self._bodiless = False
         self.in_call = False
-        self.rests_since = 0.0
-        self.keep_seconds = DEFAULT_KEEP_SECONDS
+        self.idle_since = 0.0
+        self.keepalive_seconds = DEFAULT_KEEPALIVE_SECONDS
 
     # What the transport calls.
 
@@ -104,8 +104,10 @@
         self._transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        if not self._complete and self._fault is None:
-            self._fault = Fault.CLOSED if error is None else Fault.RESET
+        if not self._complete and self._failure is None:
+            self._failure = (
+                FailureKind.CLOSED if error is None else FailureKind.RESET
+            )
         self._wake()
 
     def eof_received(self) -> bool:
@@ -113,14 +115,14 @@
         if self.in_call and self._head is not None and not self._framed:
             self._complete = True
         elif not self._complete:
-            self._fault = Fault.CLOSED
-        self._excess = True
+            self._failure = FailureKind.CLOSED
+        self._has_excess = True
         self._wake()
         return False
 
     def data_received(self, data: bytes) -> None:
         if not self.in_call or self._complete:
-            self._excess = True
+            self._has_excess = True
             if not self.in_call:
                 self.close()
             return
@@ -128,8 +130,8 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._complete:
-                self._fault = Fault.GARBLED
-            self._excess = True
+                self._failure = FailureKind.GARBLED
+            self._has_excess = True
         self._wake()
 
     # What the parser calls.
@@ -139,14 +141,14 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._complete:
-            self._excess = True
+            self._has_excess = True
             return
         pair = name.decode('latin-1').lower(), value.decode('latin-1')
         self._headers.append(pair)
 
     def on_headers_complete(self) -> None:
         if self._complete:
-            self._excess = True
+            self._has_excess = True
             return
         status = self._parser.get_status_code()
         if 100 <= status < 200:
@@ -164,16 +166,16 @@
 
     def on_body(self, data: bytes) -> None:
         if self._complete:
-            self._excess = True
+            self._has_excess = True
             return
         self._chunks.append(data)
         self._buffered += len(data)
-        if self._buffered > _READ_HIGH:
+        if self._buffered > _READ_HIGH_WATER_BYTES:
             self._transport.pause_reading()
 
     def on_message_begin(self) -> None:
         if self._complete:
-            self._excess = True
+            self._has_excess = True
 
     def on_message_complete(self) -> None:
         if self._head is not None:
@@ -188,19 +190,19 @@
         return (
             transport is not None
             and not transport.is_closing()
-            and not self._excess
-            and self._fault is None
+            and not self._has_excess
+            and self._failure is None
         )
 
     @property
-    def can_be_kept(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the last call left nothing in doubt."""
         if not (self.is_open and self._complete and self._framed):
             return False
         if self._transport.get_write_buffer_size():
             return False
-        asked = (self._head.get('connection') or '').lower()
-        return 'close' not in asked
+        connection_header = (self._head.get('connection') or '').lower()
+        return 'close' not in connection_header
 
     def send(self, data: bytes, bodiless: bool = False) -> None:
         """Begin a call with the bytes of a whole request.
@@ -244,7 +246,10 @@
         else:
             data = b''.join(self._chunks)
             self._chunks.clear()
-        if self._buffered > _READ_HIGH and not self._transport.is_closing():
+        if (
+            self._buffered > _READ_HIGH_WATER_BYTES
+            and not self._transport.is_closing()
+        ):
             self._transport.resume_reading()
         self._buffered = 0
         return data
@@ -261,13 +266,13 @@
         return b''.join(parts)
 
     def _check(self) -> None:
-        if self._fault is not None:
-            raise Broken(self._fault, True)
+        if self._failure is not None:
+            raise CallError(self._failure, True)
 
     async def _wait(self, deadline: float) -> None:
         left = deadline - self._loop.time()
         if left <= 0:
-            raise Broken(Fault.TIMEOUT, True)
+            raise CallError(FailureKind.TIMEOUT, True)
         self._waiter = self._loop.create_future()
         timer = self._loop.call_later(left, self._wake)
         try:
@@ -282,23 +287,23 @@
 
     def abandon(self) -> None:
         """Fail the call under way, whose answer is known to be lost."""
-        if not self._complete and self._fault is None:
-            self._fault = Fault.ABANDONED
+        if not self._complete and self._failure is None:
+            self._failure = FailureKind.ABANDONED
         self._wake()
 
-    def finish(self, now: float) -> None:
+    def mark_idle(self, now: float) -> None:
         """Note that the call is over and how long it may rest.
 
         :param now: loop time in seconds
         """
         self.in_call = False
-        self.rests_since = now
-        named = self._head.get('keep-alive') if self._head else None
-        self.keep_seconds = _read_keep_alive(named)
+        self.idle_since = now
+        keepalive_header = self._head.get('keep-alive') if self._head else None
+        self.keepalive_seconds = _read_keep_alive(keepalive_header)
 
     def is_fresh(self, now: float) -> bool:
         """Tell whether a resting connection may be used again."""
-        return self.is_open and now - self.rests_since < self.keep_seconds
+        return self.is_open and now - self.idle_since < self.keepalive_seconds
 
     def close(self) -> None:
         """Break the connection; an endpoint drops the request with it."""
@@ -310,18 +315,21 @@
     for part in (value or '').split(','):
         name, _, text = part.strip().partition('=')
         if name.lower() == 'timeout' and text.strip().isdecimal():
-            return int(text) * KEEP_PART
-    return DEFAULT_KEEP_SECONDS
+            return int(text) * KEEPALIVE_FRACTION
+    return DEFAULT_KEEPALIVE_SECONDS
 
 
 class Pool:
     """Connections to many addresses, kept while they rest."""
 
     def __init__(self) -> None:
-        self._resting: dict[str, list[Connection]] = {}
+        self._idle: dict[str, list[Connection]] = {}
 
     async def acquire(
-        self, address: str, timeout: float, newest: float | None = None
+        self,
+        address: str,
+        timeout: float,
+        max_idle_seconds: float | None = None,
     ) -> Connection:
         """Take a kept connection or open one.
 
@@ -332,13 +340,15 @@
         :raises Broken: when no connection can be had
         """
         loop = asyncio.get_running_loop()
-        resting = self._resting.get(address)
-        while resting:
-            connection = resting.pop()
+        idle_connections = self._idle.get(address)
+        while idle_connections:
+            connection = idle_connections.pop()
             now = loop.time()
-            rest = now - connection.rests_since
-            young = newest is None or rest < newest
-            if connection.is_fresh(now) and young:
+            idle_seconds = now - connection.idle_since
+            is_recent = (
+                max_idle_seconds is None or idle_seconds < max_idle_seconds
+            )
+            if connection.is_fresh(now) and is_recent:
                 return connection
             connection.close()
         return await self.open(address, timeout)
@@ -356,41 +366,43 @@
                     Connection, host, int(port)
                 )
         except TimeoutError as error:
-            raise Broken(Fault.TIMEOUT, False, 'to connect') from error
+            raise CallError(
+                FailureKind.TIMEOUT, False, 'to connect'
+            ) from error
         except OSError as error:
-            raise Broken(Fault.CONNECT, False, str(error)) from error
+            raise CallError(FailureKind.CONNECT, False, str(error)) from error
         return connection
 
     def release(self, address: str, connection: Connection) -> None:
         """Keep a connection whose call is over, or close it."""
         now = asyncio.get_running_loop().time()
-        if not connection.can_be_kept:
+        if not connection.is_reusable:
             connection.close()
             return
-        connection.finish(now)
-        self._resting.setdefault(address, []).append(connection)
+        connection.mark_idle(now)
+        self._idle.setdefault(address, []).append(connection)
 
     def sweep(self) -> None:
         """Close connections that have rested for too long."""
         now = asyncio.get_running_loop().time()
-        for address, resting in list(self._resting.items()):
+        for address, idle_connections in list(self._idle.items()):
             fresh = []
-            for connection in resting:
+            for connection in idle_connections:
                 if connection.is_fresh(now):
                     fresh.append(connection)
                 else:
                     connection.close()
             if fresh:
-                self._resting[address] = fresh
+                self._idle[address] = fresh
             else:
-                del self._resting[address]
+                del self._idle[address]
 
     def drop(self, address: str) -> None:
         """Close the connections that rest to an address."""
-        for connection in self._resting.pop(address, ()):
+        for connection in self._idle.pop(address, ()):
             connection.close()
 
     def close(self) -> None:
         """Close all connections that rest."""
-        for address in list(self._resting):
+        for address in list(self._idle):
             self.drop(address)
--- a/packages/adapters/src/dunlintide_adapters/engine.py
+++ b/packages/adapters/src/dunlintide_adapters/engine.py
@@ -25,12 +25,12 @@
 ]
 
 MAX_CONNECTIONS = 8
-QUICK_SECONDS = 2.0
-TRANSFER_SECONDS = 30.0
-OLD_FENCE_STATUS = 409
+SHORT_TIMEOUT_SECONDS = 2.0
+TRANSFER_TIMEOUT_SECONDS = 30.0
+STALE_FENCE_STATUS = 409
 _HTTP_OK = 200
-_JSON = {'Content-Type': 'application/json'}
-_JSON_ONCE = _JSON | {'Connection': 'close'}
+_JSON_HEADERS = {'Content-Type': 'application/json'}
+_JSON_CLOSE_HEADERS = _JSON_HEADERS | {'Connection': 'close'}
 _quote = functools.partial(parse.quote, safe='')
 
 
@@ -47,8 +47,8 @@
     detail: str
     sent: bool = True
     status: int = 0
-    lost: bool = False
-    ended: bool = False
+    connection_lost: bool = False
+    closed: bool = False
 
 
 @attrs.frozen
@@ -139,7 +139,7 @@
     loading: bool = False
 
 
-def _write_step(step: Step) -> dict[str, Any]:
+def _encode_step(step: Step) -> dict[str, Any]:
     fields = {
         'session': step.session,
         'epoch': step.epoch,
@@ -165,7 +165,7 @@
     return fields
 
 
-def _read_result(fields: dict[str, Any]) -> StepResult:
+def _decode_result(fields: dict[str, Any]) -> StepResult:
     token = fields.get('token')
     error = fields.get('error') or ''
     if isinstance(error, dict):
@@ -181,27 +181,29 @@
     )
 
 
-def _read_results(body: bytes) -> list[StepResult]:
-    return [_read_result(fields) for fields in json.loads(body)['results']]
+def _decode_results(body: bytes) -> list[StepResult]:
+    return [_decode_result(fields) for fields in json.loads(body)['results']]
 
 
-def _read_known(body: bytes, kind: type) -> Any:
+def _decode_known_fields(body: bytes, kind: type) -> Any:
     fields = json.loads(body)
-    known = attrs.fields(kind)
-    return kind(**{f.name: fields.get(f.name, f.default) for f in known})
+    declared = attrs.fields(kind)
+    return kind(**{f.name: fields.get(f.name, f.default) for f in declared})
 
 
 class Engine:
     """Connections to one engine."""
 
-    def __init__(self, url: str, quick: float = QUICK_SECONDS) -> None:
+    def __init__(
+        self, url: str, short_timeout: float = SHORT_TIMEOUT_SECONDS
+    ) -> None:
         """Remember where the engine is; connections open on demand.
 
         :param url: base address, such as ``http://127.0.0.1:8000``
         :param quick: seconds for connecting and for short answers
         """
         self._url = url.rstrip('/')
-        self._quick = quick
+        self._short_timeout = short_timeout
         self._pool = self._make_pool(MAX_CONNECTIONS)
 
     def _make_pool(self, size: int) -> urllib3.HTTPConnectionPool:
@@ -209,7 +211,7 @@
             self._url, maxsize=size, retries=False
         )
 
-    def renew(self) -> None:
+    def reset_connections(self) -> None:
         """Use none of the idle connections again."""
         old, self._pool = self._pool, self._make_pool(MAX_CONNECTIONS)
         old.close()
@@ -225,19 +227,23 @@
         body: Any,
         seconds: float,
         *,
-        anew: bool = False,
+        new_connection: bool = False,
     ) -> result.Result[bytes, EngineError]:
         """Call the engine.
 
         :param anew: over a new connection, as an idle one may be silent
         """
-        if not anew:
-            return self._ask(self._pool, method, path, body, seconds, _JSON)
+        if not new_connection:
+            return self._request(
+                self._pool, method, path, body, seconds, _JSON_HEADERS
+            )
         # One that the engine is about to end must not be taken again.
         with self._make_pool(1) as pool:
-            return self._ask(pool, method, path, body, seconds, _JSON_ONCE)
+            return self._request(
+                pool, method, path, body, seconds, _JSON_CLOSE_HEADERS
+            )
 
-    def _ask(
+    def _request(
         self,
         pool: urllib3.HTTPConnectionPool,
         method: str,
@@ -253,7 +259,9 @@
                 path,
                 body=data,
                 headers=headers,
-                timeout=urllib3.Timeout(connect=self._quick, read=seconds),
+                timeout=urllib3.Timeout(
+                    connect=self._short_timeout, read=seconds
+                ),
                 redirect=False,
             )
         except urllib3.exceptions.ConnectTimeoutError as error:
@@ -261,7 +269,7 @@
         except urllib3.exceptions.NewConnectionError as error:
             return result.Err(EngineError(type(error).__name__, sent=False))
         except urllib3.exceptions.ProtocolError as error:
-            return result.Err(EngineError(type(error).__name__, ended=True))
+            return result.Err(EngineError(type(error).__name__, closed=True))
         except urllib3.exceptions.HTTPError as error:
             return result.Err(EngineError(type(error).__name__))
         if answer.status != _HTTP_OK:
@@ -270,19 +278,25 @@
         return result.Ok(answer.data)
 
     def run_steps(
-        self, steps: list[Step], seconds: float, *, anew: bool = False
+        self,
+        steps: list[Step],
+        seconds: float,
+        *,
+        new_connection: bool = False,
     ) -> result.Result[list[StepResult], EngineError]:
         """Run steps as one call; it returns once all have run.
 
         :param seconds: how long the whole call may take
         :param anew: over a new connection
         """
-        body = {'steps': [_write_step(step) for step in steps]}
-        called = self._call('POST', '/v1/steps', body, seconds, anew=anew)
+        body = {'steps': [_encode_step(step) for step in steps]}
+        called = self._call(
+            'POST', '/v1/steps', body, seconds, new_connection=new_connection
+        )
         if called.is_err():
             return called
         try:
-            return result.Ok(_read_results(called.ok_value))
+            return result.Ok(_decode_results(called.ok_value))
         except (ValueError, KeyError, TypeError) as error:
             detail = f'unusable answer: {type(error).__name__}'
             return result.Err(EngineError(detail))
@@ -294,36 +308,44 @@
         when an idle one has failed.
         """
         path = f'/v1/sessions/{_quote(session)}'
-        called = self._call('DELETE', path, None, self._quick)
+        called = self._call('DELETE', path, None, self._short_timeout)
         if called.is_err() and called.err_value.sent:
-            called = self._call('DELETE', path, None, self._quick, anew=True)
+            called = self._call(
+                'DELETE', path, None, self._short_timeout, new_connection=True
+            )
         return called.map(lambda _: None)
 
     def read_load(self) -> result.Result[EngineLoad, EngineError]:
         """Read the load that the engine publishes."""
-        return self._read('/v1/load', EngineLoad)
+        return self._read_fields('/v1/load', EngineLoad)
 
     def read_holding(self) -> result.Result[EngineHolding, EngineError]:
         """Read what the engine holds; status 404 where it doesn't tell."""
-        return self._read('/v1/holding', EngineHolding)
+        return self._read_fields('/v1/holding', EngineHolding)
 
     def read(self, path: str) -> result.Result[bytes, EngineError]:
         """Read what the engine publishes, over a new connection."""
-        return self._call('GET', path, None, self._quick, anew=True)
+        return self._call(
+            'GET', path, None, self._short_timeout, new_connection=True
+        )
 
-    def _read(self, path: str, kind: type) -> result.Result[Any, EngineError]:
+    def _read_fields(
+        self, path: str, kind: type
+    ) -> result.Result[Any, EngineError]:
         called = self.read(path)
         if called.is_err():
             return called
         try:
-            return result.Ok(_read_known(called.ok_value, kind))
+            return result.Ok(_decode_known_fields(called.ok_value, kind))
         except (ValueError, TypeError, AttributeError) as error:
             detail = f'unusable answer: {type(error).__name__}'
             return result.Err(EngineError(detail))
 
     def check_health(self) -> result.Result[None, EngineError]:
         """Ask the engine for its health check."""
-        called = self._call('GET', '/healthz', None, self._quick, anew=True)
+        called = self._call(
+            'GET', '/healthz', None, self._short_timeout, new_connection=True
+        )
         return called.map(lambda _: None)
 
     def export_session(
@@ -331,7 +353,7 @@
     ) -> result.Result[bytes, EngineError]:
         """Read a session's KV cache."""
         path = f'/v1/sessions/{_quote(session)}/export'
-        called = self._call('POST', path, {}, TRANSFER_SECONDS)
+        called = self._call('POST', path, {}, TRANSFER_TIMEOUT_SECONDS)
         if called.is_err():
             return called
         try:
@@ -347,11 +369,11 @@
         """Give a session a KV cache that another engine exported."""
         path = f'/v1/sessions/{_quote(session)}/import'
         body = {'state': base64.b64encode(state).decode()}
-        return self._call('POST', path, body, TRANSFER_SECONDS).map(
+        return self._call('POST', path, body, TRANSFER_TIMEOUT_SECONDS).map(
             lambda _: None
         )
 
-    def give_order(
+    def send_order(
         self, fence: int, holding: EngineHolding, seconds: float
     ) -> result.Result[None, EngineError]:
         """Tell the engine what to hold; it answers once that is loaded.
@@ -368,5 +390,7 @@
             'layer_end': holding.layer_end,
             'layer_count': holding.layer_count,
         }
-        called = self._call('POST', '/v1/orders', body, seconds, anew=True)
+        called = self._call(
+            'POST', '/v1/orders', body, seconds, new_connection=True
+        )
         return called.map(lambda _: None)
--- a/packages/adapters/src/dunlintide_adapters/guards.py
+++ b/packages/adapters/src/dunlintide_adapters/guards.py
@@ -44,43 +44,43 @@
 
     def __init__(
         self,
-        find_fault: Callable[[str, str], str] | None = None,
+        find_mismatch: Callable[[str, str], str] | None = None,
         refusals: Refusals | None = None,
-        answers: bool = False,
+        waits_for_hello: bool = False,
     ) -> None:
         """Begin before the far side has said who it is.
 
         :param find_fault: says what is wrong with a role and a name; None
             allows everything
         """
-        self.answers = answers
-        self._find_fault = find_fault
+        self.waits_for_hello = waits_for_hello
+        self._find_mismatch = find_mismatch
         self._refusals = refusals
-        self._permitted: frozenset[str] | None = None
-        self._dropped = False
-        if find_fault is not None:
-            self._permitted = frozenset(('hello',))
+        self._allowed_kinds: frozenset[str] | None = None
+        self._has_logged_drop = False
+        if find_mismatch is not None:
+            self._allowed_kinds = frozenset(('hello',))
 
-    def admit(self, role: str, name: str, receiver: str) -> str:
+    def check_hello(self, role: str, name: str, receiver: str) -> str:
         """Say why a peer is refused; empty when it may go on.
 
         :param role: what it says that it is
         :param receiver: this side's role
         """
-        if self._find_fault is None:
+        if self._find_mismatch is None:
             return ''
-        fault = self._find_fault(role, name)
+        fault = self._find_mismatch(role, name)
         if fault:
             self._refusals.add('identity', f'a link: {fault}')
             return fault
-        self._permitted = identities.list_permitted_bodies(role, receiver)
+        self._allowed_kinds = identities.list_permitted_bodies(role, receiver)
         return ''
 
-    def permits(self, body: str | None) -> bool:
+    def allows(self, body: str | None) -> bool:
         """Tell whether a frame may come from the far side."""
-        if self._permitted is None or body in self._permitted:
+        if self._allowed_kinds is None or body in self._allowed_kinds:
             return True
-        if not self._dropped:
-            self._dropped = True
+        if not self._has_logged_drop:
+            self._has_logged_drop = True
             self._refusals.add('role', f'frames of kind {body!r}')
         return False
--- a/packages/adapters/src/dunlintide_adapters/httpchannel.py
+++ b/packages/adapters/src/dunlintide_adapters/httpchannel.py
@@ -15,7 +15,7 @@
 from dunlintide_adapters import tlssockets
 
 __all__ = [
-    'END_BY',
+    'SET_SEND_DEADLINE',
     'SEND_NOW',
     'Channel',
     'make_channel_class',
@@ -24,7 +24,7 @@
 # Key of a function in the environment of a request: it takes the moment
 # (monotonic, in seconds) after which a caller that holds up the answer by
 # not reading is cut off.
-END_BY = 'dunlintide.end_by'
+SET_SEND_DEADLINE = 'dunlintide.end_by'
 # Key in the environment of a function that takes a piece of the body from
 # any thread while the application's own makes none. It never waits: it
 # returns False, having sent nothing, while anything waits before the
@@ -49,7 +49,7 @@
         self.set_close_on_finish()
         self.content_length = len(page.body)
         self.write(page.body)
-        self.channel.lingers = True
+        self.channel.should_linger = True
 
 
 class _Task(waitress.task.WSGITask):
@@ -57,14 +57,14 @@
 
     def get_environment(self) -> dict:
         if self.environ is None:
-            self.channel.end_by = None
+            self.channel.send_deadline = None
             environ = super().get_environment()
-            environ[END_BY] = self._end_by
+            environ[SET_SEND_DEADLINE] = self._set_send_deadline
             environ[SEND_NOW] = self._send_now
         return self.environ
 
-    def _end_by(self, moment: float) -> None:
-        self.channel.end_by = moment
+    def _set_send_deadline(self, moment: float) -> None:
+        self.channel.send_deadline = moment
 
     def _send_now(self, data: bytes) -> bool:
         if not self.wrote_header or self.content_length is not None:
@@ -83,14 +83,14 @@
 
     error_task_class = _ErrorTask
     task_class = _Task
-    end_by: float | None = None
+    send_deadline: float | None = None
     # Whether to read on when it should be closed, and until when it does.
-    lingers = False
+    should_linger = False
     linger_end: float | None = None
 
     def handle_close(self) -> None:
-        if self.lingers and self.connected:
-            self.lingers = False
+        if self.should_linger and self.connected:
+            self.should_linger = False
             self._linger()
         else:
             super().handle_close()
@@ -110,7 +110,7 @@
         self.close_when_flushed = False
         self.linger_end = time.time() + _LINGER_SECONDS
 
-    def _discard(self) -> None:
+    def _discard_input(self) -> None:
         try:
             if time.time() < self.linger_end and self.recv(_DISCARD_BYTES):
                 return
@@ -122,13 +122,13 @@
         if self.connected:
             self.handle_close()
 
-    def has_lingered(self, now: float) -> bool:
+    def is_linger_over(self, now: float) -> bool:
         """Tell whether enough time was spent on a refused caller."""
         return self.linger_end is not None and now > self.linger_end
 
     def handle_read(self) -> None:
         if self.linger_end is not None:
-            self._discard()
+            self._discard_input()
             return
         # In place of waitress's, to which each failure is the end.
         try:
@@ -162,15 +162,15 @@
         with self.outbuf_lock:
             _, failed = self._flush_exception(self._flush_some, do_close=False)
             while self.connected and (failed or self._is_full()):
-                self._check_end()
+                self._check_send_deadline()
                 self.server.pull_trigger()
                 self.outbuf_lock.wait(_STALL_CHECK_SECONDS)
 
     def _is_full(self) -> bool:
         return self.total_outbufs_len > self.adj.outbuf_high_watermark
 
-    def _check_end(self) -> None:
-        if self.end_by is None or time.monotonic() < self.end_by:
+    def _check_send_deadline(self) -> None:
+        if self.send_deadline is None or time.monotonic() < self.send_deadline:
             return
         self.will_close = True
         self.server.pull_trigger()
@@ -217,21 +217,23 @@
         return sent
 
 
-def make_channel_class(secure: tlssockets.Wrapper | None) -> Callable:
+def make_channel_class(tls_wrapper: tlssockets.Wrapper | None) -> Callable:
     """Make what waitress calls with each accepted connection.
 
     :param secure: puts TLS on it; None for a plain one
     """
-    if secure is None:
+    if tls_wrapper is None:
         return Channel
 
-    def make(server, accepted: socket.socket, *rest, **options) -> None:
+    def make_channel(
+        server, accepted: socket.socket, *rest, **options
+    ) -> None:
         try:
-            wrapped = secure.wrap(accepted)
+            wrapped = tls_wrapper.wrap(accepted)
         except OSError:
             # The client has gone already.
             accepted.close()
             return
         Channel(server, wrapped, *rest, **options)
 
-    return make
+    return make_channel
--- a/packages/adapters/src/dunlintide_adapters/httpserver.py
+++ b/packages/adapters/src/dunlintide_adapters/httpserver.py
@@ -17,8 +17,8 @@
 import waitress.server
 
 from dunlintide_adapters import httpchannel
-from dunlintide_adapters import httpgate
 from dunlintide_adapters import httppages
+from dunlintide_adapters import requestlimiter
 from dunlintide_adapters import tlssockets
 
 __all__ = [
@@ -38,14 +38,14 @@
 _SPARE_THREADS = 4
 _BACKLOG = 256
 _HIGH_WATERMARK_BYTES = 256 << 10
-_LOOKAHEAD = 1
-_LOOP_SECONDS = 1.0
-_STOP_LOOP_SECONDS = 0.05
+_MAX_PIPELINED = 1
+_POLL_SECONDS = 1.0
+_STOP_POLL_SECONDS = 0.05
 _CLEANUP_SECONDS = 5
 # A connection this long without a byte holds no request on its way.
-_QUIET_SECONDS = 0.25
+_DRAIN_IDLE_SECONDS = 0.25
 # A request that is only partly received may take this long to go on.
-_RECEIVE_SECONDS = 5.0
+_DRAIN_RECEIVE_SECONDS = 5.0
 _SHUTDOWN_SECONDS = 5.0
 _KEEPALIVE_SECONDS = 10
 _KEEPALIVE_PROBES = 3
@@ -63,7 +63,7 @@
     ]
 
 
-def _quiet_library() -> None:
+def _limit_waitress_logs() -> None:
     # At info level waitress logs the paths of requests; its queue warns
     # of each request that waits, even for a spare thread.
     standard_logging.getLogger('waitress').setLevel('WARNING')
@@ -80,21 +80,21 @@
     def __init__(
         self,
         server: waitress.server.TcpWSGIServer,
-        gate: httpgate.Gate,
+        limiter: requestlimiter.RequestLimiter,
         stall_seconds: float,
     ) -> None:
         """Wrap a bound server; use ``from_config`` instead."""
         self._server = server
         self._stall_seconds = stall_seconds
-        self._looked = 0.0
-        self._gate = gate
+        self._stalls_checked_at = 0.0
+        self._limiter = limiter
         self._stopping = threading.Event()
         self._deadline: float | None = None
-        self._clean = True
+        self._finished_all = True
         self._thread = threading.Thread(
             target=self._run, name=f'http-{self.port}', daemon=True
         )
-        self._waking = threading.Lock()
+        self._trigger_lock = threading.Lock()
 
     @classmethod
     def from_config(
@@ -111,7 +111,7 @@
         render_error: Callable[[int, str], httppages.ErrorPage] = (
             httppages.render_error
         ),
-        secure: tlssockets.Wrapper | None = None,
+        tls_wrapper: tlssockets.Wrapper | None = None,
     ) -> 'HttpServer':
         """Bind the address; ``start`` begins to serve.
 
@@ -129,10 +129,10 @@
         :param secure: puts TLS on connections; None for plain ones
         :raises OSError: when the port is taken
         """
-        _quiet_library()
-        gate = httpgate.Gate(app, threads, render_error)
+        _limit_waitress_logs()
+        limiter = requestlimiter.RequestLimiter(app, threads, render_error)
         server = waitress.server.create_server(
-            gate,
+            limiter,
             listen=listen,
             threads=threads + min(threads, _SPARE_THREADS),
             # waitress refuses a body that reaches its limit.
@@ -141,7 +141,7 @@
             inbuf_overflow=sys.maxsize,
             outbuf_overflow=sys.maxsize,
             outbuf_high_watermark=_HIGH_WATERMARK_BYTES,
-            channel_request_lookahead=_LOOKAHEAD,
+            channel_request_lookahead=_MAX_PIPELINED,
             connection_limit=max_connections,
             channel_timeout=max(1, int(idle_seconds)),
             cleanup_interval=_CLEANUP_SECONDS,
@@ -149,13 +149,13 @@
             log_socket_errors=False,
             asyncore_use_poll=True,
             recv_bytes=tlssockets.RECORD_BYTES,
-            url_scheme='http' if secure is None else 'https',
+            url_scheme='http' if tls_wrapper is None else 'https',
             ident=None,
         )
         server.adj.socket_options = _list_socket_options(stall_seconds)
-        server.channel_class = httpchannel.make_channel_class(secure)
+        server.channel_class = httpchannel.make_channel_class(tls_wrapper)
         server.render_error = render_error
-        return cls(server, gate, stall_seconds)
+        return cls(server, limiter, stall_seconds)
 
     @property
     def port(self) -> int:
@@ -165,7 +165,7 @@
     @property
     def in_flight(self) -> int:
         """Requests that the application is running."""
-        return self._gate.in_flight
+        return self._limiter.in_flight
 
     def start(self) -> None:
         """Serve in the background."""
@@ -180,16 +180,16 @@
         """
         if grace is not None:
             self._deadline = time.monotonic() + grace
-        with self._waking:
+        with self._trigger_lock:
             self._stopping.set()
-            serves = self._thread.is_alive()
-            if serves:
+            is_serving = self._thread.is_alive()
+            if is_serving:
                 self._server.pull_trigger()
-        if not serves:
+        if not is_serving:
             self._close()
             return True
         self._thread.join()
-        return self._clean
+        return self._finished_all
 
     def _poll(self, timeout: float) -> None:
         self._server.asyncore.loop(
@@ -198,31 +198,31 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            self._poll(_LOOP_SECONDS)
-            self._close_silent(time.time())
+            self._poll(_POLL_SECONDS)
+            self._close_stalled(time.time())
         self._stop_accepting()
         while self._is_busy():
-            self._poll(_STOP_LOOP_SECONDS)
+            self._poll(_STOP_POLL_SECONDS)
             self._close_idle()
         # The loop may see the stop before the trigger is pulled, which must
         # not be closed until then.
-        with self._waking:
+        with self._trigger_lock:
             self._close()
 
-    def _close_silent(self, now: float) -> None:
+    def _close_stalled(self, now: float) -> None:
         """Close connections whose caller stopped within a request.
 
         waitress closes them only with the idle ones. What a caller does
         not take of an answer is the kernel's matter.
         """
-        if now - self._looked < _LOOP_SECONDS:
+        if now - self._stalls_checked_at < _POLL_SECONDS:
             return
-        self._looked = now
+        self._stalls_checked_at = now
         for channel in self._server.active_channels.values():
-            quiet = now - channel.last_activity
-            if channel.request is not None and quiet > self._stall_seconds:
+            idle = now - channel.last_activity
+            if channel.request is not None and idle > self._stall_seconds:
                 channel.will_close = True
-            if channel.has_lingered(now):
+            if channel.is_linger_over(now):
                 channel.will_close = True
 
     def _stop_accepting(self) -> None:
@@ -237,13 +237,13 @@
         server.socket.close()
 
     def _is_busy(self) -> bool:
-        if not self._server.active_channels and not self._gate.in_flight:
+        if not self._server.active_channels and not self._limiter.in_flight:
             return False
         deadline = self._deadline
         if deadline is None or time.monotonic() < deadline:
             return True
-        self._clean = False
-        logging.warning('stop cut off %d requests', self._gate.in_flight)
+        self._finished_all = False
+        logging.warning('stop cut off %d requests', self._limiter.in_flight)
         return False
 
     def _close_idle(self) -> None:
@@ -252,10 +252,10 @@
         for channel in list(self._server.active_channels.values()):
             if channel.requests or channel.total_outbufs_len:
                 continue
-            patience = _QUIET_SECONDS
+            max_idle = _DRAIN_IDLE_SECONDS
             if channel.request is not None:
-                patience = _RECEIVE_SECONDS
-            if now - channel.last_activity > patience:
+                max_idle = _DRAIN_RECEIVE_SECONDS
+            if now - channel.last_activity > max_idle:
                 channel.will_close = True
 
     def _close(self) -> None:
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -44,7 +44,7 @@
 MAX_MESSAGE_BYTES = packing.MAX_FRAME_BYTES
 _HANDSHAKE = 'handshake'
 # gRPC tells only in words that the far side's certificate was refused.
-_HANDSHAKE_MARKS = ('handshake failed', 'verification check failed')
+_HANDSHAKE_ERRORS = ('handshake failed', 'verification check failed')
 
 _CHANNEL_OPTIONS = (
     # The router retries in one layer only, so gRPC must not.
@@ -109,7 +109,7 @@
 def _describe(error: grpc.RpcError) -> str:
     if isinstance(error, grpc.aio.AioRpcError):
         details = error.details() or ''
-        if any(mark in details.lower() for mark in _HANDSHAKE_MARKS):
+        if any(mark in details.lower() for mark in _HANDSHAKE_ERRORS):
             return f'{_HANDSHAKE}: {details}'
         return str(error.code())
     return type(error).__name__
@@ -138,8 +138,8 @@
         self._outbox = outboxes.Outbox(batch_bytes)
         self._hello = hello
         self._guard = guard or guards.Guard()
-        if not self._guard.answers:
-            self._greet()
+        if not self._guard.waits_for_hello:
+            self._send_hello()
         self._sequence = 0
 
     def send(self, frame: link_pb2.Frame) -> bool:
@@ -152,35 +152,39 @@
         """Stop sending; the stream ends after what is queued."""
         self._outbox.close()
 
-    def _take_control(self, frame: link_pb2.Frame) -> bool:
+    def _handle_control(self, frame: link_pb2.Frame) -> bool:
         body = frame.WhichOneof('body')
-        if not self._guard.permits(body):
+        if not self._guard.allows(body):
             return True
         if body not in _IDLE_KINDS:
             self._pulse.use(time.monotonic())
         if body == 'hello':
-            return self._take_hello(frame.hello)
+            return self._handle_hello(frame.hello)
         return body == 'ping'
 
-    def _greet(self) -> None:
+    def _send_hello(self) -> None:
         self._outbox.put(link_pb2.Frame(hello=self._hello))
 
-    def _take_hello(self, hello: link_pb2.Hello) -> bool:
-        fault = self._guard.admit(hello.role, hello.name, self._hello.role)
+    def _handle_hello(self, hello: link_pb2.Hello) -> bool:
+        fault = self._guard.check_hello(
+            hello.role, hello.name, self._hello.role
+        )
         if fault:
             raise _Refused(fault)
-        first = self.peer is None
+        is_first = self.peer is None
         self.peer = hello
-        if first:
-            if self._guard.answers:
-                self._greet()
+        if is_first:
+            if self._guard.waits_for_hello:
+                self._send_hello()
             self._handlers.up(self)
-        return first
+        return is_first
 
-    def _take(self, frames: Iterable[link_pb2.Frame]) -> None:
-        rest = [frame for frame in frames if not self._take_control(frame)]
-        if rest:
-            self._handlers.frames(self, rest)
+    def _handle_frames(self, frames: Iterable[link_pb2.Frame]) -> None:
+        request_frames = [
+            frame for frame in frames if not self._handle_control(frame)
+        ]
+        if request_frames:
+            self._handlers.frames(self, request_frames)
 
     async def _read(self, stream: AsyncIterable[link_pb2.Envelope]) -> str:
         unpacker = packing.Unpacker()
@@ -192,7 +196,7 @@
                 # Whoever sent it is not one of ours, or is broken.
                 return str(error)
             try:
-                self._take(frames)
+                self._handle_frames(frames)
             except _Refused as refused:
                 return f'refused: {refused}'
             except Exception:
@@ -206,7 +210,7 @@
             await stream.write(envelope)
         return 'closed'
 
-    async def _watch(self) -> str:
+    async def _ping_until_silent(self) -> str:
         """Ping while nothing else is sent; return when it is silent.
 
         Each side tells the other that it lives, by whatever it sends, so
@@ -229,7 +233,7 @@
             for work in (
                 self._read(stream.read),
                 self._write(stream),
-                self._watch(),
+                self._ping_until_silent(),
             )
         ]
         try:
@@ -242,7 +246,7 @@
                 task.cancel()
             self._outbox.close()
 
-    def end(self, reason: str) -> None:
+    def notify_down(self, reason: str) -> None:
         """Tell the handlers that the link is lost, if it was up."""
         if self.peer is not None:
             self._handlers.down(self, reason)
@@ -292,11 +296,11 @@
         self._batch_bytes = batch_bytes
         self._stopped = False
         self._link: Link | None = None
-        self._work: futures.Future | None = None
+        self._task: futures.Future | None = None
 
     def start(self) -> None:
         """Begin dialling in the background."""
-        self._work = eventloop.spawn(self._run())
+        self._task = eventloop.spawn(self._run())
 
     @property
     def link(self) -> Link | None:
@@ -310,8 +314,8 @@
         link = self._link
         if link is not None:
             link.close()
-        elif self._work is not None:
-            self._work.cancel()
+        elif self._task is not None:
+            self._task.cancel()
 
     async def _connect(self) -> str:
         link = Link(
@@ -319,7 +323,7 @@
             self._hello(),
             self._timing,
             self._batch_bytes,
-            self._transport.guard_dialled(self._role),
+            self._transport.make_dialled_guard(self._role),
         )
         async with self._transport.dial_async(
             self.address, self._role, _CHANNEL_OPTIONS
@@ -331,25 +335,25 @@
             finally:
                 call.cancel()
                 self._link = None
-        link.end(reason)
+        link.notify_down(reason)
         return reason
 
-    def _note(self, reason: str, former: str) -> None:
+    def _log_loss(self, reason: str, previous: str) -> None:
         logging.debug('link to %s lost: %s', self.address, reason)
-        if reason.startswith(_HANDSHAKE) and reason != former:
+        if reason.startswith(_HANDSHAKE) and reason != previous:
             detail = f'a link to {self.address}: {reason}'
             self._transport.refusals.add(_HANDSHAKE, detail)
 
     async def _run(self) -> None:
         reason = ''
         while not self._stopped:
-            former = reason
+            previous = reason
             try:
                 reason = await self._connect()
             except grpc.RpcError as error:
                 reason = _describe(error)
             if self._stopped:
                 return
-            self._note(reason, former)
+            self._log_loss(reason, previous)
             pause = self._timing.redial * random.uniform(0.1, 1.0)
             await asyncio.sleep(pause)
--- a/packages/adapters/src/dunlintide_adapters/linkserver.py
+++ b/packages/adapters/src/dunlintide_adapters/linkserver.py
@@ -39,7 +39,7 @@
             server.handlers,
             server.hello(),
             server.timing,
-            guard=server.transport.guard_accepted(context),
+            guard=server.transport.make_accepted_guard(context),
         )
         server.add(link)
         reason = 'cancelled'
@@ -49,7 +49,7 @@
             )
         finally:
             server.discard(link)
-            link.end(reason)
+            link.notify_down(reason)
 
 
 class LinkServer:
--- a/packages/adapters/src/dunlintide_adapters/peers.py
+++ b/packages/adapters/src/dunlintide_adapters/peers.py
@@ -21,7 +21,7 @@
 
 __all__ = ['Answer', 'Client', 'add_service']
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_CHANNELS = 24
 CHUNK_BYTES_PER_SECOND = 256 << 10
@@ -42,29 +42,29 @@
 )
 
 
-class _Allowance:
+class _TokenBucket:
     """Token bucket of bytes."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self._rate = rate
         self._burst = burst
-        self._left = burst
-        self._filled = time.monotonic()
+        self._available = burst
+        self._refilled_at = time.monotonic()
         self._lock = threading.Lock()
 
-    def left(self) -> int:
+    def get_available(self) -> int:
         """Return bytes that may be sent now."""
         with self._lock:
             now = time.monotonic()
-            gained = (now - self._filled) * self._rate
-            self._left = min(self._burst, self._left + gained)
-            self._filled = now
-            return max(0, int(self._left))
+            refill = (now - self._refilled_at) * self._rate
+            self._available = min(self._burst, self._available + refill)
+            self._refilled_at = now
+            return max(0, int(self._available))
 
-    def spend(self, amount: int) -> None:
+    def consume(self, amount: int) -> None:
         """Take bytes out; it may go below zero once."""
         with self._lock:
-            self._left -= amount
+            self._available -= amount
 
 
 class _Servicer(link_pb2_grpc.PeerServicer):
@@ -73,7 +73,9 @@
     ) -> None:
         self._answer = answer
         self._transport = transport
-        self._allowance = _Allowance(CHUNK_BYTES_PER_SECOND, CHUNK_BURST_BYTES)
+        self._chunk_bucket = _TokenBucket(
+            CHUNK_BYTES_PER_SECOND, CHUNK_BURST_BYTES
+        )
 
     def Exchange(self, request, context):
         if request.ByteSize() > MAX_MESSAGE_BYTES:
@@ -84,12 +86,12 @@
             context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         sender = request.sender
         # What a peer says of others is hearsay; of itself it must be true.
-        fault = self._transport.find_fault(context, sender.role, sender.name)
+        fault = self._transport.check_caller(context, sender.role, sender.name)
         if fault:
             context.abort(grpc.StatusCode.PERMISSION_DENIED, fault)
-        limit = min(_MAX_CHUNKS_BYTES, self._allowance.left())
+        limit = min(_MAX_CHUNKS_BYTES, self._chunk_bucket.get_available())
         reply = self._answer(decoded, limit)
-        self._allowance.spend(sum(map(len, reply.chunks)))
+        self._chunk_bucket.consume(sum(map(len, reply.chunks)))
         return peercodec.encode_reply(reply)
 
 
@@ -115,7 +117,7 @@
 
     def __init__(
         self,
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
         """Begin without channels.
@@ -143,7 +145,7 @@
             )
             return result.Ok(peercodec.decode_reply(reply))
         except (grpc.RpcError, ValueError) as error:
-            self._drop(address)
+            self._discard(address)
             reason = type(error).__name__
             if isinstance(error, grpc.Call):
                 reason = str(error.code())
@@ -160,7 +162,7 @@
             oldest.close()
         return channel
 
-    def _drop(self, address: str) -> None:
+    def _discard(self, address: str) -> None:
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
--- a/packages/adapters/src/dunlintide_adapters/pem.py
+++ b/packages/adapters/src/dunlintide_adapters/pem.py
@@ -12,7 +12,7 @@
 
 __all__ = ['read']
 
-_UNREADABLE = (
+_PARSE_ERRORS = (
     ValueError,
     TypeError,
     exceptions.UnsupportedAlgorithm,
@@ -20,7 +20,7 @@
 )
 
 
-class _Unusable(Exception):
+class _InvalidFile(Exception):
     """Carries the fault of a file."""
 
     def __init__(self, field: str, detail: str) -> None:
@@ -29,7 +29,7 @@
 
 
 def _load(
-    paths: certificates.Paths, field: str, what: str, parse: Callable
+    paths: certificates.Paths, field: str, expected: str, parse: Callable
 ) -> tuple:
     """Return the content of a file and what it means."""
     path = getattr(paths, field)
@@ -37,20 +37,20 @@
         data = path.read_bytes()
     except OSError as error:
         detail = f'cannot read {str(path)!r}: {error.strerror}'
-        raise _Unusable(field, detail) from None
+        raise _InvalidFile(field, detail) from None
     try:
         return data, parse(data)
-    except _UNREADABLE:
+    except _PARSE_ERRORS:
         # The library's words may quote what it read, a key among it.
-        detail = f'expected {what} in PEM in {str(path)!r}'
-        raise _Unusable(field, detail) from None
+        detail = f'expected {expected} in PEM in {str(path)!r}'
+        raise _InvalidFile(field, detail) from None
 
 
 def _load_key(data: bytes):
     return serialization.load_pem_private_key(data, password=None)
 
 
-def _encode(public_key) -> bytes:
+def _encode_public_key(public_key) -> bytes:
     return public_key.public_bytes(
         serialization.Encoding.DER,
         serialization.PublicFormat.SubjectPublicKeyInfo,
@@ -76,7 +76,7 @@
     elif now < begin:
         detail = f'expected a valid one, got one valid from {begin}'
     if detail:
-        raise _Unusable('certificate', detail)
+        raise _InvalidFile('certificate', detail)
 
 
 def _read(paths: certificates.Paths) -> certificates.Bundle:
@@ -84,11 +84,13 @@
     chain, found = _load(paths, 'certificate', 'a certificate', parse)
     leaf = found[0]
     _check_dates(leaf)
-    what = 'a private key without password'
-    key, private = _load(paths, 'key', what, _load_key)
-    if _encode(private.public_key()) != _encode(leaf.public_key()):
+    expected = 'a private key without password'
+    key, private = _load(paths, 'key', expected, _load_key)
+    if _encode_public_key(private.public_key()) != _encode_public_key(
+        leaf.public_key()
+    ):
         detail = f'{str(paths.key)!r} is not the certificate\'s key'
-        raise _Unusable('key', detail)
+        raise _InvalidFile('key', detail)
     authorities = b''
     if paths.authorities is not None:
         authorities, _ = _load(paths, 'authorities', 'certificates', parse)
@@ -107,5 +109,5 @@
     """Read the files and check that they can be used together."""
     try:
         return result.Ok(_read(paths))
-    except _Unusable as error:
+    except _InvalidFile as error:
         return result.Err(error.fault)
--- a/packages/adapters/src/dunlintide_adapters/httpgate.py
+++ b/packages/adapters/src/dunlintide_adapters/requestlimiter.py
@@ -12,15 +12,15 @@
 from dunlintide_core import thresholds
 
 __all__ = [
-    'JOIN',
-    'Gate',
+    'JOIN_GROUP',
+    'RequestLimiter',
 ]
 
 # Key of a function in the environment of a request: it counts the request
 # to a group and tells whether the group may run another one now.
-JOIN = 'dunlintide.join'
+JOIN_GROUP = 'dunlintide.join'
 
-_PIECE_BYTES = 64 << 10
+_MAX_CHUNK_BYTES = 64 << 10
 
 
 class _Body:
@@ -37,18 +37,18 @@
 
     def __iter__(self):
         for chunk in self._chunks:
-            if len(chunk) <= _PIECE_BYTES:
+            if len(chunk) <= _MAX_CHUNK_BYTES:
                 yield chunk
                 continue
-            for start in range(0, len(chunk), _PIECE_BYTES):
-                yield chunk[start : start + _PIECE_BYTES]
+            for start in range(0, len(chunk), _MAX_CHUNK_BYTES):
+                yield chunk[start : start + _MAX_CHUNK_BYTES]
 
     def __len__(self) -> int:
         # waitress takes the length of the first piece for that of the
         # answer when this is 1; any other value tells it nothing.
         chunks = self._chunks
         if isinstance(chunks, (list, tuple)) and len(chunks) == 1:
-            return 1 if len(chunks[0]) <= _PIECE_BYTES else 0
+            return 1 if len(chunks[0]) <= _MAX_CHUNK_BYTES else 0
         return 0
 
     def close(self) -> None:
@@ -61,13 +61,13 @@
 
 
 @attrs.define(eq=False)
-class _Seat:
+class _RunningRequest:
     """One running request and the group that it counts to."""
 
     group: str = ''
 
 
-class Gate:
+class RequestLimiter:
     """Runs at most so many requests at once and refuses the others.
 
     A group of requests may hold a multiple of what is free, so that none
@@ -87,31 +87,31 @@
         self._lock = threading.Lock()
         self._groups: collections.Counter[str] = collections.Counter()
 
-    def _enter(self) -> bool:
+    def _acquire(self) -> bool:
         with self._lock:
             if self.in_flight >= self._limit:
                 return False
             self.in_flight += 1
             return True
 
-    def _join(self, seat: _Seat, group: str) -> bool:
+    def _join_group(self, running: _RunningRequest, group: str) -> bool:
         with self._lock:
             free = self._limit - self.in_flight
             # Its own place may be the last one.
             if not thresholds.admits(self._groups[group], free + 1):
                 return False
-            seat.group = group
+            running.group = group
             self._groups[group] += 1
             return True
 
-    def _leave(self, seat: _Seat) -> None:
+    def _release_slot(self, running: _RunningRequest) -> None:
         with self._lock:
             self.in_flight -= 1
-            if not seat.group:
+            if not running.group:
                 return
-            self._groups[seat.group] -= 1
-            if not self._groups[seat.group]:
-                del self._groups[seat.group]
+            self._groups[running.group] -= 1
+            if not self._groups[running.group]:
+                del self._groups[running.group]
 
     def _refuse(self, start_response: Callable) -> list[bytes]:
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
@@ -122,13 +122,13 @@
         return [page.body]
 
     def __call__(self, environ: dict, start_response: Callable):
-        if not self._enter():
+        if not self._acquire():
             return self._refuse(start_response)
-        seat = _Seat()
-        environ[JOIN] = functools.partial(self._join, seat)
+        running = _RunningRequest()
+        environ[JOIN_GROUP] = functools.partial(self._join_group, running)
         try:
             chunks = self._app(environ, start_response)
         except BaseException:
-            self._leave(seat)
+            self._release_slot(running)
             raise
-        return _Body(chunks, functools.partial(self._leave, seat))
+        return _Body(chunks, functools.partial(self._release_slot, running))
--- a/packages/adapters/src/dunlintide_adapters/store.py
+++ b/packages/adapters/src/dunlintide_adapters/store.py
@@ -105,7 +105,7 @@
         self._url = url
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._circuit = circuit.Circuit(timing.breaker)
+        self._circuit = circuit.CircuitBreaker(timing.breaker)
         self._pool = self._build_pool(MAX_CONNECTIONS)
         self._watch_pool = self._build_pool(MAX_WATCHES)
         self._watcher = storewatch.Watcher(
--- a/packages/adapters/src/dunlintide_adapters/tlschecks.py
+++ b/packages/adapters/src/dunlintide_adapters/tlschecks.py
@@ -10,7 +10,7 @@
 from dunlintide_core import settings as settings_module
 
 __all__ = [
-    'build_server',
+    'build_server_wrapper',
     'find_faults',
 ]
 
@@ -25,7 +25,7 @@
     )
 
 
-def build_server(
+def build_server_wrapper(
     tls: settings_module.ServerTls | None,
 ) -> tlssockets.Wrapper | None:
     """Build what puts TLS on a port's connections, None for plain ones.
@@ -37,12 +37,12 @@
     return tlssockets.Wrapper.from_paths(_list_server_paths(tls), tls.reload)
 
 
-def _list_own_faults(settings: settings_module.Settings) -> _Faults:
+def _list_fleet_faults(settings: settings_module.Settings) -> _Faults:
     found = certificates.read(transports.list_paths(settings.tls))
     if isinstance(found, result.Err):
         fault = found.err_value
         return [(('tls', fault.field), fault.detail)]
-    fault = transports.make_own_check(settings)(found.ok_value)
+    fault = transports.make_settings_check(settings)(found.ok_value)
     return [(('tls', 'certificate'), fault)] if fault else []
 
 
@@ -50,7 +50,7 @@
     """List what is wrong with the files that settings name, by field."""
     faults = []
     if settings.tls is not None:
-        faults += _list_own_faults(settings)
+        faults += _list_fleet_faults(settings)
     for section in ('listen_tls', 'admin_tls'):
         tls = getattr(settings, section)
         if tls is None:
--- a/packages/adapters/src/dunlintide_adapters/tlssockets.py
+++ b/packages/adapters/src/dunlintide_adapters/tlssockets.py
@@ -28,47 +28,47 @@
 RECORD_BYTES = 16384
 
 _WOULD_BLOCK = BlockingIOError(errno.EWOULDBLOCK, os.strerror(errno.EAGAIN))
-_WAITS = (ssl.SSLWantReadError, ssl.SSLWantWriteError)
+_WANT_IO_ERRORS = (ssl.SSLWantReadError, ssl.SSLWantWriteError)
 
 
 class _Socket(ssl.SSLSocket):
     """Server side of one connection; safe for several threads."""
 
-    guard: threading.Lock
-    ended = False
+    lock: threading.Lock
+    close_notified = False
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        if self.ended:
+        if self.close_notified:
             # Only taken to be thrown away, so it need not be deciphered.
             return socket.socket.recv(self, size, flags)
-        with self.guard:
+        with self.lock:
             try:
                 return super().recv(size, flags)
-            except _WAITS:
+            except _WANT_IO_ERRORS:
                 raise _WOULD_BLOCK from None
 
     def send(self, data: bytes, flags: int = 0) -> int:
-        with self.guard:
+        with self.lock:
             try:
                 return super().send(data[:RECORD_BYTES], flags)
-            except _WAITS:
+            except _WANT_IO_ERRORS:
                 raise _WOULD_BLOCK from None
 
-    def _end(self) -> None:
+    def _send_close_notify(self) -> None:
         """Tell the client that the end is meant; it need not answer."""
-        if not self.ended:
-            self.ended = True
+        if not self.close_notified:
+            self.close_notified = True
             with contextlib.suppress(OSError, ValueError):
                 self.unwrap()
 
     def shutdown(self, how: int) -> None:
-        with self.guard:
-            self._end()
+        with self.lock:
+            self._send_close_notify()
             socket.socket.shutdown(self, how)
 
     def close(self) -> None:
-        with self.guard:
-            self._end()
+        with self.lock:
+            self._send_close_notify()
             super().close()
 
 
@@ -89,14 +89,16 @@
 
     @classmethod
     def from_paths(
-        cls, paths: certificates.Paths, seconds: float
+        cls, paths: certificates.Paths, check_seconds: float
     ) -> 'Wrapper':
         """Read the files.
 
         :param seconds: shortest time between two looks at them
         :raises ValueError: when they cannot be used
         """
-        return cls(certificates.Files.open(paths, seconds=seconds), paths)
+        return cls(
+            certificates.Files.open(paths, check_seconds=check_seconds), paths
+        )
 
     def _load(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -106,7 +108,7 @@
         context.sslsocket_class = _Socket
         return context
 
-    def _renew(self) -> None:
+    def _reload_if_changed(self) -> None:
         bundle = self._files.get()
         if bundle is self._bundle:
             return
@@ -122,9 +124,9 @@
 
         :raises OSError: when the client has gone
         """
-        self._renew()
+        self._reload_if_changed()
         wrapped = self._context.wrap_socket(
             accepted, server_side=True, do_handshake_on_connect=False
         )
-        wrapped.guard = threading.Lock()
+        wrapped.lock = threading.Lock()
         return wrapped
--- a/packages/adapters/src/dunlintide_adapters/transports.py
+++ b/packages/adapters/src/dunlintide_adapters/transports.py
@@ -23,13 +23,13 @@
     'PLAIN',
     'Collector',
     'FilesState',
-    'Mutual',
+    'MutualTls',
     'Plain',
     'Transport',
     'build',
     'list_paths',
-    'make_check',
-    'make_own_check',
+    'make_identity_check',
+    'make_settings_check',
 ]
 
 Options = Iterable[tuple[str, Any]]
@@ -68,13 +68,15 @@
     ) -> grpc.aio.Channel:
         """Open a channel to a process of a role, on the event loop."""
 
-    def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
+    def make_accepted_guard(
+        self, context: grpc.ServicerContext
+    ) -> guards.Guard:
         """Make the guard of a link that was accepted."""
 
-    def guard_dialled(self, role: str) -> guards.Guard:
+    def make_dialled_guard(self, role: str) -> guards.Guard:
         """Make the guard of a link to a process of a role."""
 
-    def find_fault(
+    def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
         """Say why a call is refused; empty when it may go on.
@@ -110,15 +112,17 @@
         """Open a channel on the event loop."""
         return grpc.aio.insecure_channel(address, options=options)
 
-    def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
+    def make_accepted_guard(
+        self, context: grpc.ServicerContext
+    ) -> guards.Guard:
         """Make a guard that allows everything."""
         return guards.Guard()
 
-    def guard_dialled(self, role: str) -> guards.Guard:
+    def make_dialled_guard(self, role: str) -> guards.Guard:
         """Make a guard that allows everything."""
         return guards.Guard()
 
-    def find_fault(
+    def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
         """Allow any call."""
@@ -141,7 +145,7 @@
     return f'dialled as {expected}, it says {role} {name!r}'
 
 
-class Mutual:
+class MutualTls:
     """Mutual TLS by certificates of the fleet's own authorities."""
 
     def __init__(self, files: certificates.Files, domain: str) -> None:
@@ -149,27 +153,31 @@
         self.refusals = guards.Refusals()
         self._files = files
         self._domain = domain
-        self._served: certificates.Bundle | None = None
+        self._server_bundle: certificates.Bundle | None = None
 
     def _configure(
         self, bundle: certificates.Bundle
     ) -> grpc.ServerCertificateConfiguration:
-        self._served = bundle
+        self._server_bundle = bundle
         return grpc.ssl_server_certificate_configuration(
             [(bundle.key, bundle.certificate)],
             root_certificates=bundle.authorities,
         )
 
-    def _renew(self) -> grpc.ServerCertificateConfiguration | None:
+    def _get_changed_configuration(
+        self,
+    ) -> grpc.ServerCertificateConfiguration | None:
         # Called by gRPC at each handshake; None keeps what it has.
         bundle = self._files.get()
-        return None if bundle is self._served else self._configure(bundle)
+        return (
+            None if bundle is self._server_bundle else self._configure(bundle)
+        )
 
     def listen(self, server: grpc.aio.Server, address: str) -> int:
         """Bind an address and return the port."""
         credentials = grpc.dynamic_ssl_server_credentials(
             self._configure(self._files.get()),
-            self._renew,
+            self._get_changed_configuration,
             require_client_authentication=True,
         )
         return server.add_secure_port(address, credentials)
@@ -182,9 +190,9 @@
 
     def dial(self, address: str, options: Options) -> grpc.Channel:
         """Open a channel to a process of any role."""
-        named = (*options, (_TARGET, self._domain))
+        all_options = (*options, (_TARGET, self._domain))
         return grpc.secure_channel(
-            address, self._make_credentials(), options=named
+            address, self._make_credentials(), options=all_options
         )
 
     def dial_async(
@@ -201,23 +209,25 @@
     def _identify(
         self, context: grpc.ServicerContext
     ) -> identities.Identity | None:
-        shown = context.auth_context().get(_NAMES, ())
-        names = [name.decode('ascii', 'replace') for name in shown]
+        dns_names = context.auth_context().get(_NAMES, ())
+        names = [name.decode('ascii', 'replace') for name in dns_names]
         return identities.read_identity(names, self._domain)
 
-    def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
+    def make_accepted_guard(
+        self, context: grpc.ServicerContext
+    ) -> guards.Guard:
         """Make the guard of a link that was accepted."""
-        find = functools.partial(
+        find_mismatch = functools.partial(
             identities.find_mismatch, self._identify(context)
         )
-        return guards.Guard(find, self.refusals, answers=True)
+        return guards.Guard(find_mismatch, self.refusals, waits_for_hello=True)
 
-    def guard_dialled(self, role: str) -> guards.Guard:
+    def make_dialled_guard(self, role: str) -> guards.Guard:
         """Make the guard of a link to a process of a role."""
-        find = functools.partial(_find_role_fault, role)
-        return guards.Guard(find, self.refusals)
+        find_mismatch = functools.partial(_find_role_fault, role)
+        return guards.Guard(find_mismatch, self.refusals)
 
-    def find_fault(
+    def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
         """Say why a call is refused; empty when it may go on."""
@@ -290,28 +300,28 @@
     )
 
 
-def make_check(
-    own: identities.Identity, domain: str
+def make_identity_check(
+    identity: identities.Identity, domain: str
 ) -> Callable[[certificates.Bundle], str]:
     """Make a function that says why a certificate is not a process's."""
 
     def check(bundle: certificates.Bundle) -> str:
-        needed = identities.list_names(own, domain)
+        needed = identities.list_names(identity, domain)
         missing = [name for name in needed if name not in bundle.names]
         if missing:
             return f'expected the DNS names {missing} in it'
-        shown = identities.read_identity(bundle.names, domain)
-        return identities.find_mismatch(shown, own.role, own.name)
+        found = identities.read_identity(bundle.names, domain)
+        return identities.find_mismatch(found, identity.role, identity.name)
 
     return check
 
 
-def make_own_check(
+def make_settings_check(
     settings: settings_module.Settings,
 ) -> Callable[[certificates.Bundle], str]:
     """Make that function for the process that has these settings."""
-    own = identities.Identity(settings.role, settings.name)
-    return make_check(own, settings.tls.domain)
+    identity = identities.Identity(settings.role, settings.name)
+    return make_identity_check(identity, settings.tls.domain)
 
 
 def build(settings: settings_module.Settings) -> Transport:
@@ -323,6 +333,6 @@
     if tls is None:
         return PLAIN
     files = certificates.Files.open(
-        list_paths(tls), make_own_check(settings), tls.reload
+        list_paths(tls), make_settings_check(settings), tls.reload
     )
-    return Mutual(files, tls.domain)
+    return MutualTls(files, tls.domain)
--- a/packages/daemon/src/dunlintide_daemon/agent/caching.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/caching.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        source: cacheevents.Source,
+        source: cacheevents.EventReader,
         counts: counting.Counts,
         limit: int,
     ) -> None:
@@ -121,7 +121,7 @@
             self._read_anew()
 
     def _read_anew(self) -> None:
-        read = self._source.read_held()
+        read = self._source.read_blocks()
         if read.is_err():
             return
         last, blocks = read.ok_value
--- a/packages/daemon/src/dunlintide_daemon/agent/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/crashes.py
@@ -29,7 +29,7 @@
             return False
         if not checked.err_value.sent:
             return True
-        ended = ended + 1 if checked.err_value.ended else 0
+        ended = ended + 1 if checked.err_value.closed else 0
         if ended >= CRASH_ENDS:
             return True
         # Its connections end a little before its port is free.
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -388,7 +388,7 @@
         gone = [job for job in jobs if job.step.session in lost]
         if gone:
             detail = 'the connection to the engine went silent'
-            error = engines.EngineError(detail, lost=True)
+            error = engines.EngineError(detail, connection_lost=True)
             self._handlers.failed(gone, error)
             self._release(gone)
         kept = [job for job in jobs if job.step.session not in lost]
--- a/packages/daemon/src/dunlintide_daemon/agent/engineside.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/engineside.py
@@ -80,7 +80,7 @@
         news = None
         if settings.limits.cache_news:
             news = caching.Caching(
-                cacheevents.Source(engine),
+                cacheevents.EventReader(engine),
                 parts.counts,
                 settings.limits.cache_news,
             )
--- a/packages/daemon/src/dunlintide_daemon/agent/orders.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/orders.py
@@ -185,7 +185,7 @@
             order.layer_end,
             order.layer_count,
         )
-        given = self._engine.give_order(order.fence, wanted, LOAD_SECONDS)
+        given = self._engine.send_order(order.fence, wanted, LOAD_SECONDS)
         failure = given.err_value if given.is_err() else None
         if failure is None:
             self._hooks.adopt(_make_holding(order), order.layer_count)
@@ -194,7 +194,7 @@
         if _make_holding(order) == self._hooks.get_holding():
             return
         refusal = placement.Refusal.LOAD_FAILED
-        if failure and failure.status == engines.OLD_FENCE_STATUS:
+        if failure and failure.status == engines.STALE_FENCE_STATUS:
             refusal = placement.Refusal.OLD_FENCE
         logging.warning('order not carried out: %s', refusal)
         self._reply(link, order, refusal)
--- a/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/pipeline.py
@@ -234,7 +234,7 @@
     ) -> None:
         """End the sessions of a call that the engine did not answer."""
         code = outcomes.FailCode.ENDPOINT_FAILED
-        if error.lost:
+        if error.connection_lost:
             code = outcomes.FailCode.LINK_LOST
         with self._lock:
             for job in jobs:
--- a/packages/daemon/src/dunlintide_daemon/agent/rescue.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/rescue.py
@@ -180,7 +180,7 @@
         if not left:
             return  # The call ends by itself now.
         self._kept.begin(flight.begun)
-        asked = self._engine.run_steps(flight.steps, left, anew=True)
+        asked = self._engine.run_steps(flight.steps, left, new_connection=True)
         if asked.is_ok():
             flight.settled.wait(GRACE_SECONDS)
         if asked.is_err() or not self._flights.settle(flight):
@@ -189,5 +189,5 @@
             return
         # From now on it is the first call that may be late; see ``Driver``.
         # Idle connections may have gone silent with this one.
-        self._engine.renew()
+        self._engine.reset_connections()
         self._take_over(flight, asked.ok_value)
--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -239,13 +239,13 @@
             'a call of %d steps failed: %s', len(jobs), error.detail
         )
         # Whoever hears that an attempt failed must know of the crash.
-        answered = error.status or error.lost or not error.sent
+        answered = error.status or error.connection_lost or not error.sent
         crashed = not answered and crashes.has_crashed(self._engine)
         if crashed:
             self.pipeline.accuse(jobs)
             self._go_away(supervisor.AWAY)
         self.pipeline.fail_jobs(jobs, error)
-        if not error.lost:
+        if not error.connection_lost:
             self._tell(supervisor.EngineFailed(error.detail, crashed))
 
     def _tell(self, message: Any) -> None:
@@ -468,7 +468,7 @@
                 self._check_readiness,
                 self.drain,
                 self._register_metrics(),
-                tlschecks.build_server(self.settings.admin_tls),
+                tlschecks.build_server_wrapper(self.settings.admin_tls),
             )
             self._admin.start()
             stack.callback(self._admin.stop)
--- a/packages/daemon/src/dunlintide_daemon/entry/application.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/application.py
@@ -9,7 +9,7 @@
 import uuid_utils
 
 from dunlintide_adapters import httpchannel
-from dunlintide_adapters import httpgate
+from dunlintide_adapters import requestlimiter
 from dunlintide_core import outcomes
 from dunlintide_daemon.entry import answers
 from dunlintide_daemon.entry import configuration as holders
@@ -96,7 +96,7 @@
 
     :param deadline: monotonic time of the request's deadline, in seconds
     """
-    end_by = environ.get(httpchannel.END_BY)
+    end_by = environ.get(httpchannel.SET_SEND_DEADLINE)
     if end_by is not None:
         end_by(deadline + SEND_GRACE_SECONDS)
 
@@ -108,7 +108,7 @@
 
     :returns: None when the team may run another request
     """
-    join = environ.get(httpgate.JOIN)
+    join = environ.get(requestlimiter.JOIN_GROUP)
     if join is None or join(team):
         return None
     return outcomes.refuse(
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -150,7 +150,7 @@
             self.check_readiness,
             self.done.set,
             self._registry,
-            tlschecks.build_server(settings.admin_tls),
+            tlschecks.build_server_wrapper(settings.admin_tls),
         )
         self._state = states.build(
             settings,
@@ -226,7 +226,7 @@
             render_error=functools.partial(
                 problems.render_server_error, self._rng
             ),
-            secure=tlschecks.build_server(settings.listen_tls),
+            tls_wrapper=tlschecks.build_server_wrapper(settings.listen_tls),
         )
 
     def describe(self) -> dict[str, Any]:
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -249,15 +249,15 @@
             connection = await state.pool.acquire(
                 endpoint.address, CONNECT_SECONDS, newest
             )
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             state.accuse([endpoint.name], str(broken), exchange.ask.name)
             return _Answer(endpoint, False, f'no connection: {broken}')
         exchange.sends += 1
         exchange.runs += 1
         try:
             return await self._exchange(exchange, endpoint, connection)
-        except endpointhttp.Broken as broken:
-            if broken.fault is not endpointhttp.Fault.TIMEOUT:
+        except endpointhttp.CallError as broken:
+            if broken.kind is not endpointhttp.FailureKind.TIMEOUT:
                 state.crashers.report(
                     exchange.fingerprint, endpoint.name, state.now
                 )
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -217,7 +217,7 @@
         """Tell where a stream waits, at most until its deadline."""
         terms = exchange.terms
         place = waits.choose_place(
-            exchange.request.arrived,
+            exchange.request.received_at,
             self._state.now,
             terms.target_seconds or USUAL_TARGET,
             terms.gap_seconds or 0.0,
--- a/packages/daemon/src/dunlintide_daemon/gateway/front.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/front.py
@@ -61,7 +61,7 @@
         try:
             outcome = await self._serve(exchange)
         except asyncio.CancelledError:
-            if not reply.gone:
+            if not reply.is_disconnected:
                 raise
         finally:
             self._note_end(exchange, kind, outcome)
@@ -83,7 +83,7 @@
         outcome: Outcome,
     ) -> None:
         state = self._state
-        seconds = state.now - exchange.request.arrived
+        seconds = state.now - exchange.request.received_at
         state.counters.requests.labels(kind, outcome).inc()
         state.counters.request_seconds.labels(kind).observe(seconds)
         state.log.write(
@@ -210,7 +210,7 @@
             ask=ask,
             rule=rule,
             service=self._draw_service(rule),
-            deadline=request.arrived + limit,
+            deadline=request.received_at + limit,
             version=deployment.version,
             priority=priority,
             fingerprint=fingerprint,
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -58,8 +58,10 @@
     return host, int(port)
 
 
-def _make_bounds(limits: deployments.CallerLimits) -> callermessages.Bounds:
-    return callermessages.Bounds(
+def _make_bounds(
+    limits: deployments.CallerLimits,
+) -> callermessages.RequestLimits:
+    return callermessages.RequestLimits(
         limits.header_bytes,
         limits.body_bytes,
         limits.header_seconds,
@@ -202,7 +204,7 @@
         """Take the socket that is open already if it is the right one."""
         listener, self._listener = self._listener, None
         if listener is not None and listener.getsockname() == _split(address):
-            await self._callers.listen_on(listener)
+            await self._callers.listen_on_socket(listener)
             return
         if listener is not None:
             listener.close()
@@ -232,7 +234,7 @@
     def _update_bounds(self) -> None:
         deployment = self._state.deployment
         if deployment is not None:
-            self._callers.bounds = _make_bounds(deployment.limits)
+            self._callers.limits = _make_bounds(deployment.limits)
 
     async def _keep_house(self) -> None:
         state = self._state
@@ -274,7 +276,7 @@
         text = f'GET {path} HTTP/1.1\r\nHost: {entry.admin}\r\n\r\n'
         try:
             connection = await state.pool.acquire(entry.admin, FETCH_SECONDS)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             self._report('configuration not fetched', broken)
             return
         try:
@@ -282,7 +284,7 @@
             connection.send(text.encode('latin-1'))
             await connection.read_head(deadline)
             value = await connection.read_all(deadline)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             self._report('configuration not fetched', broken)
             return
         finally:
@@ -353,7 +355,7 @@
                 await self._leadership.leave()
                 await self._registrar.leave()
         await asyncio.sleep(max(0.0, began + REUSE_SECONDS - state.now))
-        self._callers.end_reuse()
+        self._callers.stop_keepalive()
         while state.now < last and self._callers.connections:
             await asyncio.sleep(FLUSH_SECONDS)
         state.log.write_always(
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -41,8 +41,8 @@
 PACE_SECONDS = 0.25
 # Breaks that say nothing of the endpoint that received the run.
 _NO_FAULT_OF_FIRST = (
-    endpointhttp.Fault.TIMEOUT,
-    endpointhttp.Fault.ABANDONED,
+    endpointhttp.FailureKind.TIMEOUT,
+    endpointhttp.FailureKind.ABANDONED,
 )
 
 
@@ -159,7 +159,7 @@
         state = self._state
         try:
             return await state.pool.acquire(run.first.address, CONNECT_SECONDS)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             exchange.tried.append(run.first.name)
             state.accuse([run.first.name], str(broken), exchange.ask.name)
             raise runends.RunEnded(
@@ -218,7 +218,7 @@
             if not verdict.signed:
                 raise runends.RunEnded(True, 'answer without a signature')
             await self._pass_events(stream, run, connection, head)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             self._note_break(exchange, run, broken)
             raise runends.RunEnded(True, f'run broke: {broken}') from broken
         return Outcome.COMPLETE
@@ -248,10 +248,10 @@
         self,
         exchange: exchange_module.Exchange,
         run: _Run,
-        broken: endpointhttp.Broken,
+        broken: endpointhttp.CallError,
     ) -> None:
         state = self._state
-        if broken.fault in _NO_FAULT_OF_FIRST:
+        if broken.kind in _NO_FAULT_OF_FIRST:
             return
         exchange.tried.append(run.first.name)
         count = state.crashers.report(
@@ -261,7 +261,7 @@
             'run broken',
             request=exchange.ask.name,
             endpoint=run.first.name,
-            fault=broken.fault,
+            fault=broken.kind,
             broken_runs=count,
         )
 
@@ -298,8 +298,8 @@
             due = min(run.moved + limit, stream.exchange.deadline)
             try:
                 return await read(due)
-            except endpointhttp.Broken as broken:
-                if broken.fault is not endpointhttp.Fault.TIMEOUT:
+            except endpointhttp.CallError as broken:
+                if broken.kind is not endpointhttp.FailureKind.TIMEOUT:
                     raise
                 silence = silences.Silence(
                     run.names, run.moved, run.events > 0
@@ -363,7 +363,7 @@
     ) -> None:
         counters = self._state.counters
         if exchange.first_event is None:
-            exchange.first_event = now - exchange.request.arrived
+            exchange.first_event = now - exchange.request.received_at
             counters.first_event_seconds.observe(exchange.first_event)
         else:
             gap = now - exchange.last_event
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -153,7 +153,7 @@
                 sends=exchange.sends,
             )
         if reply.started:
-            reply.cut()
+            reply.abort()
             return Outcome.CUT
         if ran:
             late = state.now >= exchange.deadline
--- a/packages/trials/src/dunlintide_trials/cases/tls.py
+++ b/packages/trials/src/dunlintide_trials/cases/tls.py
@@ -198,7 +198,7 @@
         )
         secure = tlssockets.Wrapper.from_paths(paths, _SETTLE_SECONDS)
     server = httpserver.HttpServer.from_config(
-        stream, f'{_HOST}:0', _THREADS, secure=secure
+        stream, f'{_HOST}:0', _THREADS, tls_wrapper=secure
     )
     server.start()
     pipe.send(server.port)
--- a/packages/trials/src/dunlintide_trials/pairs.py
+++ b/packages/trials/src/dunlintide_trials/pairs.py
@@ -83,4 +83,4 @@
         for field in ('certificate', 'key', 'authorities')
     }
     files = certificates.Files.open(certificates.Paths(**paths))
-    return transports.Mutual(files, authority.DOMAIN)
+    return transports.MutualTls(files, authority.DOMAIN)
