--- a/packages/adapters/src/dunlintide_adapters/admin.py
+++ b/packages/adapters/src/dunlintide_adapters/admin.py
@@ -1,4 +1,4 @@
-"""The operators' port: metrics, health, state dump and drain."""
+"""HTTP server for operators: metrics, health, state dump and drain."""
 
 from concurrent import futures
 import http
@@ -29,16 +29,16 @@
 
 @attrs.frozen
 class Readiness:
-    """Whether a process should be sent work.
+    """Result of a readiness check.
 
-    :ivar reasons: why it should not; ready when there is none
+    :ivar reasons: why the process is not ready; empty when it is
     """
 
     reasons: tuple[str, ...] = ()
 
     @property
     def ready(self) -> bool:
-        """Whether nothing stands against it."""
+        """Whether the process can be sent work."""
         return not self.reasons
 
 
@@ -71,7 +71,7 @@
 
 
 class AdminServer:
-    """Serves operators on a port of its own."""
+    """Serves operators on a port separate from callers' requests."""
 
     def __init__(
         self,
@@ -105,13 +105,13 @@
         """Bind the address; ``start`` begins to serve.
 
         :param listen: ``host:port``; port 0 takes a free one
-        :param dump: gives the state of the process, fit for JSON and
-            without keys or request content
-        :param readiness: tells whether to send the process work
-        :param drain: begins a graceful stop; runs on a thread of its own
-        :param registry: metrics to show
-        :param secure: puts TLS on connections; None for plain ones
-        :raises OSError: when the port is taken
+        :param dump: returns the state of the process as JSON-serializable
+            data without keys or request content
+        :param readiness: returns whether the process can be sent work
+        :param drain: begins a graceful stop; runs on a separate thread
+        :param registry: metrics to serve
+        :param tls_wrapper: adds TLS to connections; None for plain TCP
+        :raises OSError: when the port is in use
         """
         drain_executor = futures.ThreadPoolExecutor(
             1, thread_name_prefix='drain'
@@ -144,7 +144,7 @@
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port that the server listens on."""
         return self._server.port
 
     def start(self) -> None:
@@ -152,7 +152,7 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Close the port; what is being answered gets a short while."""
+        """Close the port, giving requests in flight 2 s to finish."""
         self._server.stop(_STOP_TIMEOUT_SECONDS)
         self._drain_executor.shutdown(wait=False)
 
--- a/packages/adapters/src/dunlintide_adapters/cacheevents.py
+++ b/packages/adapters/src/dunlintide_adapters/cacheevents.py
@@ -1,4 +1,4 @@
-"""Cache events of a model engine, read over its HTTP interface."""
+"""Client of the cache events that a model engine publishes over HTTP."""
 
 from urllib import parse
 
@@ -12,7 +12,7 @@
     'EventReader',
 ]
 
-# More than an engine publishes in a second; the rest comes next time.
+# Above what an engine publishes in a second; the next read gets the rest.
 MAX_EVENTS = 5_000
 MAX_BLOCKS = 20_000
 _EVENTS_PATH = '/v1/cache_events'
@@ -52,17 +52,17 @@
 
 
 class EventReader:
-    """Reads one engine's events and what it holds."""
+    """Reads the cache events and the cached blocks of one engine."""
 
     def __init__(self, engine: engines.Engine) -> None:
-        """Remember the engine; its owner closes it."""
+        """Create a reader; the caller keeps ownership of the engine."""
         self._engine = engine
 
     def read_events(self, since: int) -> _ReadResult:
-        """Read some events behind a sequence number, oldest first.
+        """Read a bounded number of events after a sequence number.
 
-        :returns: the number of the last event that the engine has
-            published or lost, and the events
+        :returns: the sequence number of the last event that the engine has
+            published or lost, and the events, oldest first
         """
         query = {'since': since, 'limit': MAX_EVENTS}
         read = self._read(_EVENTS_PATH, query)
@@ -74,9 +74,9 @@
         )
 
     def read_blocks(self) -> _ReadResult:
-        """Read the blocks that the engine holds, the newest if too many.
+        """Read the cached blocks, at most the newest ``MAX_BLOCKS``.
 
-        :returns: the number of the last event, and the blocks
+        :returns: the sequence number of the last event, and the blocks
         """
         read = self._read(_BLOCKS_PATH, {'limit': MAX_BLOCKS})
         return read.map(
@@ -95,5 +95,5 @@
         try:
             return result.Ok(_decoder.decode(called.ok_value))
         except msgspec.MsgspecError as error:
-            detail = f'unusable answer: {type(error).__name__}'
+            detail = f'invalid answer: {type(error).__name__}'
             return result.Err(engines.EngineError(detail))
--- a/packages/adapters/src/dunlintide_adapters/callerhttp.py
+++ b/packages/adapters/src/dunlintide_adapters/callerhttp.py
@@ -1,9 +1,8 @@
-"""HTTP/1.1 towards callers on an event loop.
+"""HTTP/1.1 server for callers, on an event loop.
 
-A request is handed over once it has been read whole. Requests that a
-caller sends ahead on one connection wait their turn, so answers keep
-their order. Parsing is llhttp's, in its strict mode: what could be read
-in two ways is refused and ends the connection.
+The handler gets a request once its body is complete. Pipelined requests are
+handled one after another, so answers keep their order. llhttp parses in
+strict mode: an ambiguous request is refused and its connection closed.
 """
 
 import asyncio
@@ -17,12 +16,12 @@
 
 __all__ = ['CallerServer']
 
-# Unsent bytes of an answer above which its source is paused, in bytes.
+# Unsent bytes of an answer above which its producer is paused.
 _WRITE_HIGH_WATER_BYTES = 256 << 10
-# Requests that a caller may send ahead before it is refused.
+# Pipelined requests that may wait on one connection; more get status 400.
 _MAX_PIPELINED = 16
-# How long a refused caller may go on sending so that it reads why, in
-# seconds; a close with unread bytes would reset the connection.
+# Time for which input of a refused caller is still read, so that it gets the
+# status; closing with unread bytes would reset the connection.
 _LINGER_SECONDS = 1.0
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
@@ -32,9 +31,9 @@
 
 
 class CallerServer:
-    """Connections of callers to one address.
+    """Accepts connections of callers on one address.
 
-    :ivar bounds: bounds on requests, replaced when they change
+    :ivar limits: limits on requests, replaced when the configuration changes
     """
 
     def __init__(
@@ -43,10 +42,11 @@
         limits: callermessages.RequestLimits,
         report: Callable[[str, BaseException | None], None],
     ) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
         :param handle: answers one request
-        :param report: told of each connection or request that failed
+        :param report: called with a text and the error of each failed
+            connection or request
         """
         self.handle = handle
         self.limits = limits
@@ -56,9 +56,9 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int, backlog: int = 512) -> int:
-        """Begin to listen.
+        """Start listening.
 
-        :returns: the port
+        :returns: the port that was bound
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -67,24 +67,24 @@
         return self._server.sockets[0].getsockname()[1]
 
     async def listen_on_socket(self, listener: socket.socket) -> None:
-        """Begin to take connections from a socket that listens already."""
+        """Start accepting connections from a socket that already listens."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), sock=listener
         )
 
     def stop_keepalive(self) -> None:
-        """Close connections that rest, and others behind their answer."""
+        """Close idle connections, and the others after their answer."""
         self.closing = True
         for connection in list(self.connections):
             connection.stop_keepalive()
 
     def count_busy(self) -> int:
-        """Count the connections with a request that is not answered."""
+        """Count the connections with an unanswered request."""
         return sum(1 for each in self.connections if each.is_busy)
 
     def close(self) -> None:
-        """Stop to listen and break all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -92,7 +92,10 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a caller."""
+    """One connection of a caller.
+
+    :ivar closing: whether it closes after the answer in progress
+    """
 
     def __init__(self, server: CallerServer) -> None:
         self._server = server
@@ -135,7 +138,7 @@
         return False
 
     def _cancel_requests(self) -> None:
-        """Give up what runs for a caller that has closed its side."""
+        """Cancel the requests of a caller that has closed its side."""
         self._pending.clear()
         if self._reply is not None:
             self._reply.is_disconnected = True
@@ -196,7 +199,7 @@
         self._head_bytes += size
         if self._head_bytes > self._server.limits.header_bytes:
             self._refuse(431)
-            raise ValueError('the head is too large')
+            raise ValueError('request head exceeds the size limit')
 
     def on_headers_complete(self) -> None:
         request = self._request
@@ -207,7 +210,7 @@
         length = request.get('content-length')
         if length and int(length) > self._server.limits.body_bytes:
             self._refuse(413)
-            raise ValueError('the body is too large')
+            raise ValueError('request body exceeds the size limit')
         if (request.get('expect') or '').lower() == '100-continue':
             if not self._pending and self._reply is None:
                 self.write(_CONTINUE)
@@ -216,7 +219,7 @@
         self._body_size += len(data)
         if self._body_size > self._server.limits.body_bytes:
             self._refuse(413)
-            raise ValueError('the body is too large')
+            raise ValueError('request body exceeds the size limit')
         self._body.append(data)
 
     def on_message_complete(self) -> None:
@@ -227,10 +230,10 @@
         self._pending.append(self._request)
         if len(self._pending) > _MAX_PIPELINED:
             self._refuse(400)
-            raise ValueError('too many requests were sent ahead')
+            raise ValueError('too many pipelined requests')
 
     def _refuse(self, status: int) -> None:
-        """Answer what can't be read, and read nothing more."""
+        """Answer an invalid request with an error and stop reading."""
         if self._has_refused:
             return
         self._has_refused = True
@@ -238,7 +241,8 @@
         self._pending.clear()
         self._stop_timer()
         if self._reply is not None:
-            # An answer is under way: it ends whole, then the connection.
+            # The answer in progress is completed before the connection is
+            # closed.
             self.closing = True
             return
         reason = callermessages.REASONS[status]
@@ -258,7 +262,8 @@
         self._stop_timer()
         reply = callermessages.Reply(self, request)
         self._reply = reply
-        # A caller that leaves cancels it, which frees the endpoint.
+        # The task is cancelled when the caller disconnects, which frees the
+        # endpoint.
         self._task = self._loop.create_task(
             self._server.handle(request, reply)
         )
@@ -288,18 +293,18 @@
             self._start_timer(self._server.limits.idle_seconds)
 
     def stop_keepalive(self) -> None:
-        """Take no further request; close now if none is under way."""
+        """Accept no further request; close now if none is in progress."""
         self.closing = True
         if not self.is_busy and self._transport is not None:
             self._transport.close()
 
     def write(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -316,7 +321,7 @@
             self._writable.set_result(None)
 
     async def drain(self) -> None:
-        """Wait until the transport takes more."""
+        """Wait until the transport accepts more data."""
         if self._paused:
             self._writable = self._loop.create_future()
             await self._writable
--- a/packages/adapters/src/dunlintide_adapters/callermessages.py
+++ b/packages/adapters/src/dunlintide_adapters/callermessages.py
@@ -1,4 +1,4 @@
-"""Requests of callers and the answers that they get, apart from I/O."""
+"""Requests of callers and the answers to them, without I/O."""
 
 from typing import Protocol, Sequence
 
@@ -32,10 +32,12 @@
 
 @attrs.frozen
 class RequestLimits:
-    """Bounds on what a caller sends.
+    """Limits on the requests of a caller.
 
-    :ivar header_seconds: time for the whole head
-    :ivar idle_seconds: rest allowed between requests
+    :ivar header_bytes: maximum size of a request head
+    :ivar body_bytes: maximum size of a request body
+    :ivar header_seconds: maximum time to receive a request, head and body
+    :ivar idle_seconds: maximum idle time between requests
     """
 
     header_bytes: int
@@ -46,11 +48,11 @@
 
 @attrs.define
 class Request:
-    """One request, whole.
+    """A complete request.
 
-    :ivar target: path and query as they were sent
+    :ivar target: path and query as sent
     :ivar headers: names in lower case, values as sent
-    :ivar arrived: loop time at which its first byte was read, in seconds
+    :ivar received_at: loop time at which its first byte was read, in seconds
     """
 
     method: str
@@ -62,9 +64,9 @@
     version: str = '1.1'
 
     def get(self, name: str) -> str | None:
-        """Give the value of a header, None if it is missing.
+        """Return the value of a header, None if it is missing.
 
-        :param name: in lower case
+        :param name: header name in lower case
         """
         for key, value in self.headers:
             if key == name:
@@ -76,8 +78,8 @@
 class Head:
     """Status line and headers of an answer.
 
-    :ivar length: size of the body, None for one sent in chunks
-    :ivar reason: reason phrase, empty for the usual one
+    :ivar length: size of the body in bytes, None for a chunked body
+    :ivar reason: reason phrase, empty for the standard one
     """
 
     status: int
@@ -87,27 +89,29 @@
 
 
 class Channel(Protocol):
-    """What carries the answer.
+    """Connection that an answer is written to.
 
-    :ivar closing: whether it ends behind the answer under way
+    :ivar closing: whether it closes after the answer in progress
     """
 
     closing: bool
 
     def write(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
 
     def abort(self) -> None:
-        """Break it."""
+        """Abort the connection."""
 
     async def drain(self) -> None:
-        """Wait until it takes more."""
+        """Wait until the connection accepts more data."""
 
 
 class Reply:
-    """The answer to one request, as it is written.
+    """Writes the answer to one request.
 
-    :ivar gone: whether the caller has closed its side
+    :ivar started: whether the head was sent
+    :ivar ended: whether the answer was completed or aborted
+    :ivar is_disconnected: whether the caller has closed its side
     """
 
     def __init__(self, connection: Channel, request: Request) -> None:
@@ -120,7 +124,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the caller can still be answered."""
+        """Whether more of the answer can be sent."""
         return not self.is_disconnected and not self.ended
 
     def start(self, head: Head) -> None:
@@ -156,7 +160,7 @@
         self._connection.write(data)
 
     def finish(self, data: bytes = b'') -> None:
-        """Send the last part; the answer is whole then."""
+        """Send the last part of the body and complete the answer."""
         if not self.is_open:
             return
         self.write(data)
@@ -165,15 +169,15 @@
         self.ended = True
 
     def send(self, head: Head, body: bytes = b'') -> None:
-        """Send a whole answer at once."""
+        """Send a complete answer."""
         self.start(attrs.evolve(head, length=len(body)))
         self.finish(body)
 
     def abort(self) -> None:
-        """Break the connection, so that the answer looks cut."""
+        """Abort the connection, so that the answer arrives truncated."""
         self.ended = True
         self._connection.abort()
 
     async def drain(self) -> None:
-        """Wait until the caller has taken most of what was written."""
+        """Wait until the output buffer has space for more data."""
         await self._connection.drain()
--- a/packages/adapters/src/dunlintide_adapters/certificates.py
+++ b/packages/adapters/src/dunlintide_adapters/certificates.py
@@ -1,8 +1,8 @@
-"""Certificate, key and authorities of a process, read again when changed.
+"""Certificate, key and authorities of a process, reloaded on change.
 
-They are looked at when a connection is made, not watched: only then are
-they needed. Files that do not fit together, as in the midst of a
-replacement, are logged and the former ones kept.
+The files are checked when a connection is made, the only time at which they
+are needed, instead of being watched. Files that do not match each other, for
+example during a replacement, are logged and the previous contents kept.
 """
 
 import datetime
@@ -31,11 +31,11 @@
 
 @attrs.frozen
 class Paths:
-    """Where the files in PEM are.
+    """Paths of the PEM files.
 
-    :ivar certificate: the process's, with what lies between it and a root
-    :ivar authorities: roots that other processes' certificates go back to;
-        None where nobody else's are asked for
+    :ivar certificate: certificate of the process, with its intermediates
+    :ivar authorities: root certificates to verify other processes with;
+        None if no peer certificates are requested
     """
 
     certificate: pathlib.Path
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Bundle:
-    """Contents of the files, which fit together.
+    """Contents of the files, checked to match each other.
 
     :ivar names: DNS names of the certificate
     """
@@ -59,9 +59,9 @@
 
 @attrs.frozen
 class Fault:
-    """Why files cannot be used.
+    """Why the files cannot be used.
 
-    :ivar field: the field of ``Paths`` at fault
+    :ivar field: field of ``Paths`` that names the invalid file
     """
 
     field: str
@@ -70,13 +70,13 @@
 
 def read(paths: Paths) -> result.Result[Bundle, Fault]:
     """Read the files and check that they can be used together."""
-    # Loaded by name: the library behind it takes 8 MB, which a process
-    # without TLS need not carry.
+    # Imported on first use: the cryptography library takes 8 MB, which a
+    # process without TLS does not need.
     return importlib.import_module(_READER).read(paths)
 
 
 def _get_signature(paths: Paths) -> Signature | None:
-    """Tell files apart from former ones; None while one is missing."""
+    """Return a value that changes with the files; None if one is missing."""
     listed = (paths.certificate, paths.key, paths.authorities)
     try:
         found = [path.stat() for path in listed if path is not None]
@@ -86,10 +86,10 @@
 
 
 class Files:
-    """The newest usable contents of the files; thread-safe.
+    """Keeps the newest valid contents of the files; thread-safe.
 
-    :ivar reloads: times that new contents were taken up
-    :ivar failures: times that new contents were refused
+    :ivar reloads: number of successful reloads
+    :ivar failures: number of reloads with invalid files
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         check: Callable[[Bundle], str],
         check_seconds: float,
     ) -> None:
-        """Hold what was read; use ``open`` instead."""
+        """Store contents already read; use ``open`` instead."""
         self.reloads = 0
         self.failures = 0
         self._paths = paths
@@ -120,8 +120,8 @@
     ) -> 'Files':
         """Read the files.
 
-        :param check: says why contents are not fit for use, else nothing
-        :param seconds: shortest time between two looks at the files
+        :param check: returns why contents are unusable, empty if usable
+        :param check_seconds: minimum time between checks for new files
         :raises ValueError: when they cannot be used
         """
         signature = _get_signature(paths)
@@ -135,7 +135,7 @@
         return cls(paths, found.ok_value, signature, check, check_seconds)
 
     def get(self) -> Bundle:
-        """Return the newest usable contents; may read the files."""
+        """Return the newest valid contents; may read the files."""
         with self._lock:
             now = time.monotonic()
             if now - self._checked_at >= self._check_seconds:
@@ -159,12 +159,15 @@
         if found.ok_value != self._bundle:
             self._bundle = found.ok_value
             self.reloads += 1
-            logging.info('tls: renewed, valid to %s', self._bundle.expires)
+            logging.info(
+                'tls: certificate reloaded, valid until %s',
+                self._bundle.expires,
+            )
 
     def _reject(self, fault: Fault) -> None:
         self.failures += 1
         logging.error(
-            'tls: new files refused, the former kept: %s: %s',
+            'tls: new files refused, keeping the previous ones: %s: %s',
             fault.field,
             fault.detail,
         )
--- a/packages/adapters/src/dunlintide_adapters/circuit.py
+++ b/packages/adapters/src/dunlintide_adapters/circuit.py
@@ -1,4 +1,4 @@
-"""Circuit breaker: fails calls fast while their target is down."""
+"""Circuit breaker: fails calls immediately while their target is down."""
 
 import random
 
@@ -9,11 +9,12 @@
 
 @attrs.frozen
 class CircuitTiming:
-    """When a circuit opens, and how it probes.
+    """When a circuit breaker opens and how it probes.
 
-    :ivar failures: failures in a row that open it
-    :ivar first_pause: seconds before the first probe
-    :ivar longest_pause: seconds between probes at most; the pause doubles
+    :ivar failures: consecutive failures that open it
+    :ivar initial_pause: seconds before the first probe
+    :ivar max_pause: maximum seconds between probes; the pause doubles after
+        each failed probe
     """
 
     failures: int = 3
@@ -24,7 +25,7 @@
 class CircuitBreaker:
     """Admits all calls while closed, and one probe at a time while open.
 
-    It holds no lock; the caller keeps calls apart.
+    Not thread-safe; the caller serializes access.
     """
 
     def __init__(
@@ -32,7 +33,8 @@
     ) -> None:
         """Start closed.
 
-        :param rng: source of the jitter that keeps processes apart
+        :param rng: source of the jitter that keeps processes from probing
+            at the same time
         """
         self._timing = timing
         self._rng = rng or random.Random()
@@ -43,11 +45,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether calls are being failed."""
+        """Whether calls are refused, except for probes."""
         return self._failures >= self._timing.failures
 
     def admit(self, now: float) -> bool:
-        """Tell whether a call may go out; each must be settled after.
+        """Return whether a call is allowed.
+
+        Each allowed call must end in ``succeed``, ``fail`` or ``release``.
 
         :param now: monotonic time in seconds
         """
@@ -59,17 +63,17 @@
         return True
 
     def release(self) -> None:
-        """Settle a call that says nothing about the target."""
+        """Record a call whose result says nothing about the target."""
         self._probing = False
 
     def succeed(self) -> None:
-        """Settle a call that was answered; closes the circuit."""
+        """Record an answered call; closes the circuit."""
         self._failures = 0
         self._pause = self._timing.initial_pause
         self._probing = False
 
     def fail(self, now: float) -> None:
-        """Settle a call that was not answered.
+        """Record a call that was not answered.
 
         :param now: monotonic time in seconds
         """
--- a/packages/adapters/src/dunlintide_adapters/endpointhttp.py
+++ b/packages/adapters/src/dunlintide_adapters/endpointhttp.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 towards endpoints and the platform's store, on an event loop.
+"""HTTP/1.1 client for endpoints and the platform's store, on an event loop.
 
-A connection carries one request at a time and is kept only when nothing
-about it is in doubt: the answer was whole, framed and the only bytes that
-came. A failure tells whether the request can have been read, since that
-decides whether it may be sent again.
+A connection carries one request at a time and is reused only after an answer
+that was complete, had explicit framing and was followed by no further bytes.
+An error says whether the request may have been read, since that decides
+whether it can be sent again.
 """
 
 import asyncio
@@ -24,13 +24,14 @@
 
 Headers = Sequence[tuple[str, str]]
 
-# Rest after which a kept connection is not used again where the endpoint
-# names no time of its own, in seconds.
+# Idle time after which a connection is not reused, for endpoints that send
+# no Keep-Alive header.
 DEFAULT_KEEPALIVE_SECONDS = 1.0
-# Part of a named keep-alive time that is used: the endpoint counts from
-# when it sent, and the last request still has to arrive.
+# Fraction of the keep-alive time of an endpoint that is used: the endpoint
+# counts from when it sent the answer, and the next request still has to
+# arrive.
 KEEPALIVE_FRACTION = 0.7
-# Bytes of an answer that may wait unread before the endpoint is paused.
+# Unread bytes of an answer above which reading from the endpoint pauses.
 _READ_HIGH_WATER_BYTES = 256 << 10
 
 
@@ -46,9 +47,9 @@
 
 
 class CallError(Exception):
-    """A call that got no whole answer; callers turn it into an outcome.
+    """A call without a complete answer; callers turn it into an outcome.
 
-    :ivar sent: whether the request may have been read
+    :ivar sent: whether the endpoint may have read the request
     """
 
     def __init__(self, kind: FailureKind, sent: bool, text: str = '') -> None:
@@ -69,7 +70,7 @@
     headers: list[tuple[str, str]]
 
     def get(self, name: str) -> str | None:
-        """Give the value of a header, None if it is missing."""
+        """Return the value of a header, None if it is missing."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -77,7 +78,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, with at most one call on it."""
+    """One connection, with at most one call in progress.
+
+    :ivar in_call: whether a call is in progress
+    :ivar idle_since: loop time at which the last call ended, in seconds
+    :ivar keepalive_seconds: idle time after which it is not reused
+    """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -98,7 +104,7 @@
         self.idle_since = 0.0
         self.keepalive_seconds = DEFAULT_KEEPALIVE_SECONDS
 
-    # What the transport calls.
+    # Callbacks of the asyncio transport.
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self._transport = transport
@@ -111,7 +117,7 @@
         self._wake()
 
     def eof_received(self) -> bool:
-        # An answer without a length ends with its connection.
+        # An answer without a length ends when its connection is closed.
         if self.in_call and self._head is not None and not self._framed:
             self._complete = True
         elif not self._complete:
@@ -134,7 +140,7 @@
             self._has_excess = True
         self._wake()
 
-    # What the parser calls.
+    # Callbacks of the HTTP parser.
 
     def on_status(self, status: bytes) -> None:
         self._reason.append(status)
@@ -181,7 +187,7 @@
         if self._head is not None:
             self._complete = True
 
-    # What callers use.
+    # Interface for callers.
 
     @property
     def is_open(self) -> bool:
@@ -196,7 +202,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the last call left nothing in doubt."""
+        """Whether the connection can carry another call after the last one."""
         if not (self.is_open and self._complete and self._framed):
             return False
         if self._transport.get_write_buffer_size():
@@ -205,9 +211,9 @@
         return 'close' not in connection_header
 
     def send(self, data: bytes, bodiless: bool = False) -> None:
-        """Begin a call with the bytes of a whole request.
+        """Start a call with the bytes of a complete request.
 
-        :param bodiless: whether the answer has no body, as to HEAD
+        :param bodiless: whether the answer has no body, as for HEAD
         """
         self._parser = httptools.HttpResponseParser(self)
         self._chunks.clear()
@@ -223,7 +229,7 @@
         """Wait for the head of the answer.
 
         :param deadline: loop time in seconds
-        :raises Broken: when none comes
+        :raises CallError: when no head arrives in time
         """
         while self._head is None:
             self._check()
@@ -231,10 +237,11 @@
         return self._head
 
     async def read(self, deadline: float) -> bytes:
-        """Wait for more of the body, empty bytes at its whole end.
+        """Wait for more of the body; empty bytes mark its end.
 
         :param deadline: loop time in seconds
-        :raises Broken: when the body is cut or nothing comes in time
+        :raises CallError: when the body is truncated or nothing arrives in
+            time
         """
         while not self._chunks:
             if self._complete:
@@ -258,7 +265,8 @@
         """Wait for the rest of the body.
 
         :param deadline: loop time in seconds
-        :raises Broken: when the body is cut or does not end in time
+        :raises CallError: when the body is truncated or does not end in
+            time
         """
         parts = []
         while part := await self.read(deadline):
@@ -286,13 +294,13 @@
             self._waiter.set_result(None)
 
     def abandon(self) -> None:
-        """Fail the call under way, whose answer is known to be lost."""
+        """Fail the call in progress, whose answer is known to be lost."""
         if not self._complete and self._failure is None:
             self._failure = FailureKind.ABANDONED
         self._wake()
 
     def mark_idle(self, now: float) -> None:
-        """Note that the call is over and how long it may rest.
+        """End the call and set how long the connection may stay idle.
 
         :param now: loop time in seconds
         """
@@ -302,11 +310,11 @@
         self.keepalive_seconds = _read_keep_alive(keepalive_header)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether a resting connection may be used again."""
+        """Return whether an idle connection can be reused."""
         return self.is_open and now - self.idle_since < self.keepalive_seconds
 
     def close(self) -> None:
-        """Break the connection; an endpoint drops the request with it."""
+        """Abort the connection, upon which the endpoint drops the request."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -320,7 +328,7 @@
 
 
 class Pool:
-    """Connections to many addresses, kept while they rest."""
+    """Pool of idle connections by address."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[Connection]] = {}
@@ -331,13 +339,13 @@
         timeout: float,
         max_idle_seconds: float | None = None,
     ) -> Connection:
-        """Take a kept connection or open one.
+        """Return a pooled connection or open a new one.
 
         :param address: ``host:port``
-        :param timeout: longest time to connect, in seconds
-        :param newest: longest rest of a kept connection that will do, in
-            seconds; 0 for a new connection, None for what it allows
-        :raises Broken: when no connection can be had
+        :param timeout: maximum time to connect, in seconds
+        :param max_idle_seconds: maximum idle time of a pooled connection;
+            0 for a new connection, None for its keep-alive time
+        :raises CallError: when no connection can be opened
         """
         loop = asyncio.get_running_loop()
         idle_connections = self._idle.get(address)
@@ -356,7 +364,7 @@
     async def open(self, address: str, timeout: float) -> Connection:
         """Open a connection.
 
-        :raises Broken: when that fails or takes too long
+        :raises CallError: when connecting fails or times out
         """
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(':')
@@ -374,7 +382,7 @@
         return connection
 
     def release(self, address: str, connection: Connection) -> None:
-        """Keep a connection whose call is over, or close it."""
+        """Return a connection after its call; close it if not reusable."""
         now = asyncio.get_running_loop().time()
         if not connection.is_reusable:
             connection.close()
@@ -383,7 +391,7 @@
         self._idle.setdefault(address, []).append(connection)
 
     def sweep(self) -> None:
-        """Close connections that have rested for too long."""
+        """Close connections whose keep-alive time has expired."""
         now = asyncio.get_running_loop().time()
         for address, idle_connections in list(self._idle.items()):
             fresh = []
@@ -398,11 +406,11 @@
                 del self._idle[address]
 
     def drop(self, address: str) -> None:
-        """Close the connections that rest to an address."""
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.close()
 
     def close(self) -> None:
-        """Close all connections that rest."""
+        """Close all idle connections."""
         for address in list(self._idle):
             self.drop(address)
--- a/packages/adapters/src/dunlintide_adapters/engine.py
+++ b/packages/adapters/src/dunlintide_adapters/engine.py
@@ -1,7 +1,7 @@
 """Client of a model engine's HTTP interface.
 
-No call is ever repeated here: a step that may have run must not run
-again without the caller knowing.
+Only ``free`` retries: a step that may have run must not run again unless the
+caller decides so.
 """
 
 import base64
@@ -36,12 +36,13 @@
 
 @attrs.frozen
 class EngineError:
-    """A call that gave no usable answer.
+    """A call without a valid answer.
 
-    :ivar sent: whether the engine may have acted on it
+    :ivar sent: whether the engine may have executed it
     :ivar status: HTTP status, 0 without an answer
-    :ivar lost: whether the connection failed and the engine is well
-    :ivar ended: whether the connection was ended without an answer
+    :ivar connection_lost: whether only the connection failed while the
+        engine works
+    :ivar closed: whether the connection was closed without an answer
     """
 
     detail: str
@@ -53,17 +54,17 @@
 
 @attrs.frozen
 class Step:
-    """Work of one session: one span of positions.
+    """One span of positions of a session to run.
 
     :ivar position: first position of the span
     :ivar prompt: text, for the first layer range only
-    :ivar tokens: token ids behind the prompt, first layer range only
+    :ivar tokens: token ids after the prompt, first layer range only
     :ivar activations: input of later layer ranges
-    :ivar last_stage: asks for a sampled token
-    :ivar prompt_tokens: 0 while nobody knows it yet
-    :ivar truncate: drops what the engine holds behind the position
-    :ivar layers: range that is to run, so that an engine which holds
-        another one refuses; None to leave it out
+    :ivar last_stage: whether to sample a token
+    :ivar prompt_tokens: token count of the prompt, 0 while unknown
+    :ivar truncate: whether to drop the KV cache after the position
+    :ivar layers: expected layer range, so that an engine that holds another
+        one refuses the step; None to skip the check
     """
 
     session: str
@@ -94,10 +95,10 @@
 
 @attrs.frozen
 class StepResult:
-    """What came of one step.
+    """Result of one step.
 
-    :ivar count: positions that ran
-    :ivar error: the engine's code, empty when it ran
+    :ivar count: number of positions that ran
+    :ivar error: error code of the engine, empty on success
     """
 
     session: str
@@ -111,7 +112,7 @@
 
 @attrs.frozen
 class EngineLoad:
-    """Load as the engine reports it, with a lag."""
+    """Load as the engine reports it, with a delay."""
 
     running: int = 0
     queued: int = 0
@@ -123,11 +124,11 @@
 
 @attrs.frozen
 class EngineHolding:
-    """What the engine holds.
+    """Model and layer range that the engine has loaded.
 
-    :ivar layer_count: layers of the whole model, 0 where it isn't told
-    :ivar fence: highest fencing number that it has seen
-    :ivar loading: whether it carries out an order just now
+    :ivar layer_count: number of layers of the complete model, 0 if unknown
+    :ivar fence: highest fencing token that the engine has seen
+    :ivar loading: whether the engine is executing an order
     """
 
     model: str = ''
@@ -192,15 +193,16 @@
 
 
 class Engine:
-    """Connections to one engine."""
+    """Client of one engine, with pooled connections."""
 
     def __init__(
         self, url: str, short_timeout: float = SHORT_TIMEOUT_SECONDS
     ) -> None:
-        """Remember where the engine is; connections open on demand.
+        """Create a client; connections are opened on demand.
 
         :param url: base address, such as ``http://127.0.0.1:8000``
-        :param quick: seconds for connecting and for short answers
+        :param short_timeout: time-out in seconds for connecting and for calls
+            with a short answer
         """
         self._url = url.rstrip('/')
         self._short_timeout = short_timeout
@@ -212,7 +214,7 @@
         )
 
     def reset_connections(self) -> None:
-        """Use none of the idle connections again."""
+        """Close the idle connections and start with an empty pool."""
         old, self._pool = self._pool, self._make_pool(MAX_CONNECTIONS)
         old.close()
 
@@ -231,13 +233,15 @@
     ) -> result.Result[bytes, EngineError]:
         """Call the engine.
 
-        :param anew: over a new connection, as an idle one may be silent
+        :param new_connection: whether to avoid pooled connections, as an idle
+            one may be dead
         """
         if not new_connection:
             return self._request(
                 self._pool, method, path, body, seconds, _JSON_HEADERS
             )
-        # One that the engine is about to end must not be taken again.
+        # The engine closes this connection after its answer, so it is kept
+        # out of the shared pool.
         with self._make_pool(1) as pool:
             return self._request(
                 pool, method, path, body, seconds, _JSON_CLOSE_HEADERS
@@ -284,10 +288,10 @@
         *,
         new_connection: bool = False,
     ) -> result.Result[list[StepResult], EngineError]:
-        """Run steps as one call; it returns once all have run.
+        """Run steps in one call, which returns once all have run.
 
-        :param seconds: how long the whole call may take
-        :param anew: over a new connection
+        :param seconds: time-out of the call
+        :param new_connection: whether to avoid pooled connections
         """
         body = {'steps': [_encode_step(step) for step in steps]}
         called = self._call(
@@ -298,14 +302,14 @@
         try:
             return result.Ok(_decode_results(called.ok_value))
         except (ValueError, KeyError, TypeError) as error:
-            detail = f'unusable answer: {type(error).__name__}'
+            detail = f'invalid answer: {type(error).__name__}'
             return result.Err(EngineError(detail))
 
     def free(self, session: str) -> result.Result[None, EngineError]:
         """Free a session's KV cache; unknown sessions are no error.
 
-        As it is idempotent, it is asked once more over a new connection
-        when an idle one has failed.
+        The call is idempotent, so it is retried once over a new connection
+        when a pooled one has failed.
         """
         path = f'/v1/sessions/{_quote(session)}'
         called = self._call('DELETE', path, None, self._short_timeout)
@@ -320,11 +324,14 @@
         return self._read_fields('/v1/load', EngineLoad)
 
     def read_holding(self) -> result.Result[EngineHolding, EngineError]:
-        """Read what the engine holds; status 404 where it doesn't tell."""
+        """Read the loaded layer range; status 404 if not supported."""
         return self._read_fields('/v1/holding', EngineHolding)
 
     def read(self, path: str) -> result.Result[bytes, EngineError]:
-        """Read what the engine publishes, over a new connection."""
+        """Read a resource of the engine over a new connection.
+
+        :param path: path and query
+        """
         return self._call(
             'GET', path, None, self._short_timeout, new_connection=True
         )
@@ -338,11 +345,11 @@
         try:
             return result.Ok(_decode_known_fields(called.ok_value, kind))
         except (ValueError, TypeError, AttributeError) as error:
-            detail = f'unusable answer: {type(error).__name__}'
+            detail = f'invalid answer: {type(error).__name__}'
             return result.Err(EngineError(detail))
 
     def check_health(self) -> result.Result[None, EngineError]:
-        """Ask the engine for its health check."""
+        """Call the health check of the engine."""
         called = self._call(
             'GET', '/healthz', None, self._short_timeout, new_connection=True
         )
@@ -351,7 +358,7 @@
     def export_session(
         self, session: str
     ) -> result.Result[bytes, EngineError]:
-        """Read a session's KV cache."""
+        """Export the KV cache of a session."""
         path = f'/v1/sessions/{_quote(session)}/export'
         called = self._call('POST', path, {}, TRANSFER_TIMEOUT_SECONDS)
         if called.is_err():
@@ -360,13 +367,13 @@
             state = json.loads(called.ok_value)['state']
             return result.Ok(base64.b64decode(state))
         except (ValueError, KeyError, TypeError) as error:
-            detail = f'unusable answer: {type(error).__name__}'
+            detail = f'invalid answer: {type(error).__name__}'
             return result.Err(EngineError(detail))
 
     def import_session(
         self, session: str, state: bytes
     ) -> result.Result[None, EngineError]:
-        """Give a session a KV cache that another engine exported."""
+        """Import a KV cache that another engine exported for the session."""
         path = f'/v1/sessions/{_quote(session)}/import'
         body = {'state': base64.b64encode(state).decode()}
         return self._call('POST', path, body, TRANSFER_TIMEOUT_SECONDS).map(
@@ -376,11 +383,13 @@
     def send_order(
         self, fence: int, holding: EngineHolding, seconds: float
     ) -> result.Result[None, EngineError]:
-        """Tell the engine what to hold; it answers once that is loaded.
+        """Order the engine to load layers; it answers once they are loaded.
 
+        :param fence: fencing token of the order
         :param holding: model, version and layers
-        :param seconds: how long loading may take
-        :returns: on an old fence an error with ``OLD_FENCE_STATUS``
+        :param seconds: time-out of loading
+        :returns: an error with ``STALE_FENCE_STATUS`` if the engine has seen
+            a higher fencing token
         """
         body = {
             'fence': fence,
--- a/packages/adapters/src/dunlintide_adapters/guards.py
+++ b/packages/adapters/src/dunlintide_adapters/guards.py
@@ -1,4 +1,4 @@
-"""Who may be linked and what it may send, by its certificate."""
+"""Authorization of peers on a link by their certificates."""
 
 import collections
 import threading
@@ -15,7 +15,7 @@
 
 
 class Refusals:
-    """Counts and logs what was refused, by reason; thread-safe.
+    """Counts and logs refusals by reason; thread-safe.
 
     The reasons are ``identity``, ``role`` and ``handshake``.
     """
@@ -25,7 +25,7 @@
         self._lock = threading.Lock()
 
     def add(self, reason: str, detail: str) -> None:
-        """Count a refusal and log why."""
+        """Count a refusal and log its details."""
         with self._lock:
             self._counts[reason] += 1
         logging.warning('tls: refused (%s): %s', reason, detail)
@@ -37,9 +37,10 @@
 
 
 class Guard:
-    """Holds one link to what the certificate of its far side allows.
+    """Limits one link to the frames that the peer's certificate allows.
 
-    :ivar answers: whether to say nothing before the far side is admitted
+    :ivar waits_for_hello: whether to send nothing, not even a hello, before
+        the hello of the peer was accepted
     """
 
     def __init__(
@@ -48,10 +49,10 @@
         refusals: Refusals | None = None,
         waits_for_hello: bool = False,
     ) -> None:
-        """Begin before the far side has said who it is.
+        """Create the guard of a link whose peer is not yet identified.
 
-        :param find_fault: says what is wrong with a role and a name; None
-            allows everything
+        :param find_mismatch: returns why the certificate does not allow a
+            role and a name, empty if it does; None allows everything
         """
         self.waits_for_hello = waits_for_hello
         self._find_mismatch = find_mismatch
@@ -62,10 +63,12 @@
             self._allowed_kinds = frozenset(('hello',))
 
     def check_hello(self, role: str, name: str, receiver: str) -> str:
-        """Say why a peer is refused; empty when it may go on.
+        """Check the identity that a peer claims in its hello.
 
-        :param role: what it says that it is
-        :param receiver: this side's role
+        :param role: claimed role
+        :param name: claimed name
+        :param receiver: role of this process
+        :returns: why the peer is refused, empty if it is accepted
         """
         if self._find_mismatch is None:
             return ''
@@ -77,7 +80,7 @@
         return ''
 
     def allows(self, body: str | None) -> bool:
-        """Tell whether a frame may come from the far side."""
+        """Return whether the peer may send a frame with this kind of body."""
         if self._allowed_kinds is None or body in self._allowed_kinds:
             return True
         if not self._has_logged_drop:
--- a/packages/adapters/src/dunlintide_adapters/hopheaders.py
+++ b/packages/adapters/src/dunlintide_adapters/hopheaders.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only and are never passed on."""
+"""Hop-by-hop headers, which are never forwarded."""
 
 __all__ = ['HOP_BY_HOP']
 
--- a/packages/adapters/src/dunlintide_adapters/httpchannel.py
+++ b/packages/adapters/src/dunlintide_adapters/httpchannel.py
@@ -1,7 +1,8 @@
-"""Connections of the HTTP server, as waitress's but for what is said here.
+"""Connections of the HTTP server: waitress channels with three changes.
 
-Pieces of an answer go straight to the socket, a caller that holds up its
-answer is cut off, and one that is refused can read why.
+Chunks of an answer are written to the socket without buffering where
+possible. A caller that reads its answer too slowly is disconnected at a
+deadline. A refused caller gets time to read the error page.
 """
 
 import socket
@@ -21,25 +22,24 @@
     'make_channel_class',
 ]
 
-# Key of a function in the environment of a request: it takes the moment
-# (monotonic, in seconds) after which a caller that holds up the answer by
-# not reading is cut off.
+# Environment key of a function that takes the monotonic time in seconds
+# after which a caller that blocks its answer by not reading is disconnected.
 SET_SEND_DEADLINE = 'dunlintide.end_by'
-# Key in the environment of a function that takes a piece of the body from
-# any thread while the application's own makes none. It never waits: it
-# returns False, having sent nothing, while anything waits before the
-# piece, or before the head has been sent.
+# Environment key of a function that sends a chunk of the body from any
+# thread while the application thread yields none. It never blocks: it sends
+# nothing and returns False while earlier output is queued, or before the
+# head has been sent.
 SEND_NOW = 'dunlintide.send_now'
 
 _DISCARD_BYTES = 64 << 10
-# How often a thread that waits for its caller looks at the time.
+# Interval at which a thread blocked by its caller checks the deadline.
 _STALL_CHECK_SECONDS = 0.25
-# How long a refused caller's further bytes are taken and thrown away.
+# Time for which further bytes of a refused caller are read and discarded.
 _LINGER_SECONDS = 2.0
 
 
 class _ErrorTask(waitress.task.ErrorTask):
-    """Refuses a request that waitress itself found faulty."""
+    """Answers a request that waitress itself rejects as invalid."""
 
     def execute(self) -> None:
         error = self.request.error
@@ -53,7 +53,7 @@
 
 
 class _Task(waitress.task.WSGITask):
-    """Runs the application, which may say when its answer must end."""
+    """Runs the application, which can set a deadline for its answer."""
 
     def get_environment(self) -> dict:
         if self.environ is None:
@@ -75,16 +75,17 @@
 
 
 class Channel(waitress.channel.HTTPChannel):
-    """Connection whose error pages are the application's own.
+    """Connection with the error pages of the server's ``render_error``.
 
-    What is written goes straight to the socket when nothing waits before
-    it; waitress would copy each piece through a buffer.
+    Data is written directly to the socket when no earlier output is queued;
+    waitress would copy each chunk through a buffer.
     """
 
     error_task_class = _ErrorTask
     task_class = _Task
     send_deadline: float | None = None
-    # Whether to read on when it should be closed, and until when it does.
+    # Whether to linger instead of closing, and the time until which the
+    # channel lingers.
     should_linger = False
     linger_end: float | None = None
 
@@ -96,10 +97,10 @@
             super().handle_close()
 
     def _linger(self) -> None:
-        """Say no more, but take what the caller still sends for a while.
+        """Shut down writing, but read and discard input for a while.
 
-        A caller that writes to a closed connection may not come to read
-        why it was refused.
+        A caller that writes to a closed connection gets a reset, which may
+        keep it from reading why it was refused.
         """
         try:
             self.socket.shutdown(socket.SHUT_WR)
@@ -118,23 +119,24 @@
             return
         except OSError:
             pass
-        # At the end of what comes it has been closed already.
+        # At end of file ``recv`` has already closed the channel.
         if self.connected:
             self.handle_close()
 
     def is_linger_over(self, now: float) -> bool:
-        """Tell whether enough time was spent on a refused caller."""
+        """Return whether the time for lingering has passed."""
         return self.linger_end is not None and now > self.linger_end
 
     def handle_read(self) -> None:
         if self.linger_end is not None:
             self._discard_input()
             return
-        # In place of waitress's, to which each failure is the end.
+        # Replaces the method of waitress, which closes the connection on any
+        # OSError, also one that says the read would block.
         try:
             data = self.recv(self.adj.recv_bytes)
         except BlockingIOError:
-            # What came is a handshake, or part of a record.
+            # Only a part of a TLS handshake or record has arrived.
             return
         except OSError:
             self.handle_close()
@@ -146,8 +148,8 @@
             self.connected = False
 
     def send(self, data: bytes, do_close: bool = True) -> int:
-        # Threads flush what waits, also after the loop has closed the
-        # socket and forgotten it.
+        # Worker threads may flush output after the loop has closed the
+        # socket and set it to None.
         try:
             return super().send(data, do_close)
         except AttributeError:
@@ -156,7 +158,7 @@
             return 0
 
     def _flush_outbufs_below_high_watermark(self) -> None:
-        # In place of waitress's, which waits for as long as it takes.
+        # Replaces the method of waitress, which waits without a deadline.
         if self.total_outbufs_len <= self.adj.outbuf_high_watermark:
             return
         with self.outbuf_lock:
@@ -181,7 +183,7 @@
             return super().write_soon(data)
         size = len(data)
         with self.outbuf_lock:
-            # The loop may have closed it since.
+            # The loop may have closed the channel since the check above.
             if self.connected and not self.total_outbufs_len:
                 data = data[self._send_now(data) :]
             if data and self.connected:
@@ -189,7 +191,7 @@
         return size
 
     def send_now(self, data: bytes) -> bool:
-        """Send without waiting; False when anything waits before it."""
+        """Send without blocking; False while earlier output is queued."""
         if not self.outbuf_lock.acquire(blocking=False):
             return False
         try:
@@ -205,11 +207,15 @@
         return True
 
     def _send_now(self, data: bytes) -> int:
-        """Send what the socket takes; all is dropped when it is broken."""
+        """Send what the socket accepts; drop all data on an error.
+
+        :returns: number of bytes sent or dropped
+        """
         try:
             sent = self.send(data, do_close=False)
         except OSError:
-            # As waitress does: the loop closes, the next write tells.
+            # As in waitress, the loop closes the channel and the next write
+            # raises ClientDisconnected.
             self.will_close = True
             self.server.pull_trigger()
             return len(data)
@@ -218,9 +224,9 @@
 
 
 def make_channel_class(tls_wrapper: tlssockets.Wrapper | None) -> Callable:
-    """Make what waitress calls with each accepted connection.
+    """Make the factory that waitress calls with each accepted connection.
 
-    :param secure: puts TLS on it; None for a plain one
+    :param tls_wrapper: adds TLS to the connection; None for plain TCP
     """
     if tls_wrapper is None:
         return Channel
@@ -231,7 +237,7 @@
         try:
             wrapped = tls_wrapper.wrap(accepted)
         except OSError:
-            # The client has gone already.
+            # The client has already disconnected.
             accepted.close()
             return
         Channel(server, wrapped, *rest, **options)
--- a/packages/adapters/src/dunlintide_adapters/httppages.py
+++ b/packages/adapters/src/dunlintide_adapters/httppages.py
@@ -1,4 +1,4 @@
-"""Pages with which an HTTP server itself refuses a request."""
+"""Error pages of requests that the HTTP server itself refuses."""
 
 import http
 import json
@@ -14,9 +14,9 @@
 
 @attrs.frozen
 class ErrorPage:
-    """Answer of the server itself, in place of the application's.
+    """Error answer that the server sends instead of the application's.
 
-    :ivar headers: header fields without the length
+    :ivar headers: header fields without Content-Length
     """
 
     body: bytes
@@ -24,7 +24,7 @@
 
 
 def render_error(status: int, detail: str) -> ErrorPage:
-    """Build a problem document (RFC 9457) for a refusal."""
+    """Build a problem document (RFC 9457) for a refused request."""
     body = {
         'type': 'about:blank',
         'title': http.HTTPStatus(status).phrase,
@@ -36,5 +36,5 @@
 
 
 def build_status_line(status: int) -> str:
-    """Build the status as WSGI wants it."""
+    """Build a WSGI status line, such as ``503 Service Unavailable``."""
     return f'{status} {http.HTTPStatus(status).phrase}'
--- a/packages/adapters/src/dunlintide_adapters/httpserver.py
+++ b/packages/adapters/src/dunlintide_adapters/httpserver.py
@@ -1,9 +1,10 @@
 """WSGI server: waitress with bounded memory and a graceful stop.
 
-Nothing is spilled to files, since hosts have no disks: request bodies are
-bounded by refusal and answers by pushing the application back. A stop
-lets each request in flight finish. Requests beyond the number that may
-run at once are refused at once by spare threads, so none waits unseen.
+Nothing is buffered in files, since hosts have no disks: request bodies
+above the limit are refused, and the application blocks while the output
+buffer is full. A stop lets each request in flight finish. Requests above
+the concurrency limit are refused immediately by spare threads instead of
+waiting in the queue of waitress.
 """
 
 import logging as standard_logging
@@ -29,12 +30,12 @@
 DEFAULT_MAX_HEADER_BYTES = 32 << 10
 DEFAULT_MAX_CONNECTIONS = 2048
 DEFAULT_IDLE_SECONDS = 75.0
-# A client that for so long takes no byte of its answer, or sends none of a
-# request that it has begun, is cut off, as it would hold a thread or a
-# connection for ever.
+# Time without progress after which a client that reads none of its answer,
+# or sends no more of a started request, is disconnected. Otherwise it would
+# hold a thread or a connection forever.
 DEFAULT_STALL_SECONDS = 30.0
 
-# Threads beyond those that may run the application; they only refuse.
+# Threads beyond those that run the application; they only refuse requests.
 _SPARE_THREADS = 4
 _BACKLOG = 256
 _HIGH_WATERMARK_BYTES = 256 << 10
@@ -42,9 +43,10 @@
 _POLL_SECONDS = 1.0
 _STOP_POLL_SECONDS = 0.05
 _CLEANUP_SECONDS = 5
-# A connection this long without a byte holds no request on its way.
+# During a stop, a connection idle for longer is closed: a request that was
+# already on the network would have arrived by then.
 _DRAIN_IDLE_SECONDS = 0.25
-# A request that is only partly received may take this long to go on.
+# During a stop, longest time without a byte of a partly received request.
 _DRAIN_RECEIVE_SECONDS = 5.0
 _SHUTDOWN_SECONDS = 5.0
 _KEEPALIVE_SECONDS = 10
@@ -64,17 +66,17 @@
 
 
 def _limit_waitress_logs() -> None:
-    # At info level waitress logs the paths of requests; its queue warns
-    # of each request that waits, even for a spare thread.
+    # At info level waitress logs request paths. Its queue logs a warning
+    # for each queued request, even one that a spare thread takes at once.
     standard_logging.getLogger('waitress').setLevel('WARNING')
     standard_logging.getLogger('waitress.queue').setLevel('ERROR')
 
 
 class HttpServer:
-    """A WSGI server on its own threads.
+    """A WSGI server that runs on background threads.
 
-    Applications find ``waitress.client_disconnected`` in the environment,
-    a function that tells whether the caller has gone.
+    The environment of a request holds ``waitress.client_disconnected``, a
+    function that returns whether the caller has disconnected.
     """
 
     def __init__(
@@ -117,17 +119,18 @@
 
         :param app: WSGI application
         :param listen: ``host:port``; port 0 takes a free one
-        :param threads: requests that may run at once; more get 503
+        :param threads: requests that can run at once; more get 503
         :param max_body: largest request body in bytes; more gets 413
         :param max_header: largest request head in bytes; more gets 431
         :param max_connections: open connections; more wait in the kernel
-        :param idle_seconds: life of a connection without requests
-        :param stall_seconds: time after which a client that takes none of
-            its answer, or stops within a request, is cut off
-        :param render_error: builds the page for a refusal by the server
-            itself, from the HTTP status and one sentence
-        :param secure: puts TLS on connections; None for plain ones
-        :raises OSError: when the port is taken
+        :param idle_seconds: time after which a connection without requests
+            is closed
+        :param stall_seconds: time after which a client is disconnected
+            that reads none of its answer or stops within a request
+        :param render_error: builds the error page of a request that the
+            server itself refuses, from the HTTP status and a detail
+        :param tls_wrapper: adds TLS to connections; None for plain TCP
+        :raises OSError: when the port is in use
         """
         _limit_waitress_logs()
         limiter = requestlimiter.RequestLimiter(app, threads, render_error)
@@ -159,12 +162,12 @@
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port that the server listens on."""
         return int(self._server.effective_port)
 
     @property
     def in_flight(self) -> int:
-        """Requests that the application is running."""
+        """Number of requests that the application is running."""
         return self._limiter.in_flight
 
     def start(self) -> None:
@@ -172,11 +175,11 @@
         self._thread.start()
 
     def stop(self, grace: float | None = None) -> bool:
-        """Accept no more, finish what is in flight, then close.
+        """Stop accepting, finish requests in flight, then close.
 
-        :param grace: seconds after which requests are cut off; None waits
-            for each of them, as a planned stop should
-        :returns: whether everything in flight was finished
+        :param grace: seconds after which remaining requests are aborted;
+            None waits for all of them, as a planned stop should
+        :returns: whether all requests in flight were finished
         """
         if grace is not None:
             self._deadline = time.monotonic() + grace
@@ -204,16 +207,16 @@
         while self._is_busy():
             self._poll(_STOP_POLL_SECONDS)
             self._close_idle()
-        # The loop may see the stop before the trigger is pulled, which must
-        # not be closed until then.
+        # The loop may see the stop before ``stop`` has pulled the trigger;
+        # the lock keeps the trigger open until then.
         with self._trigger_lock:
             self._close()
 
     def _close_stalled(self, now: float) -> None:
         """Close connections whose caller stopped within a request.
 
-        waitress closes them only with the idle ones. What a caller does
-        not take of an answer is the kernel's matter.
+        waitress closes them only after the longer idle time. A caller that
+        reads none of its answer is handled by ``TCP_USER_TIMEOUT``.
         """
         if now - self._stalls_checked_at < _POLL_SECONDS:
             return
@@ -226,7 +229,8 @@
                 channel.will_close = True
 
     def _stop_accepting(self) -> None:
-        # What the kernel has accepted already would be reset by closing.
+        # Closing the listener resets connections that the kernel has already
+        # accepted, so they are taken from its queue first.
         server = self._server
         connections = -1
         while connections != len(server.active_channels):
@@ -243,11 +247,14 @@
         if deadline is None or time.monotonic() < deadline:
             return True
         self._finished_all = False
-        logging.warning('stop cut off %d requests', self._limiter.in_flight)
+        logging.warning(
+            'stop aborted %d requests in flight', self._limiter.in_flight
+        )
         return False
 
     def _close_idle(self) -> None:
-        # Runs on the loop's thread, which alone takes in new requests.
+        # Runs on the loop's thread, the only one that reads new requests, so
+        # no request can arrive between the check and the close.
         now = time.time()
         for channel in list(self._server.active_channels.values()):
             if channel.requests or channel.total_outbufs_len:
@@ -261,7 +268,7 @@
     def _close(self) -> None:
         server = self._server
         for channel in list(server.active_channels.values()):
-            # Wakes a thread that waits for room in the output buffer.
+            # Wakes a thread that waits for space in the output buffer.
             channel.handle_close()
         server.task_dispatcher.shutdown(timeout=_SHUTDOWN_SECONDS)
         server.asyncore.close_all(server._map, ignore_all=True)
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -1,10 +1,10 @@
 """Long-lived gRPC streams that carry the frames of many requests.
 
-Each side queues frames without blocking; a writer packs what has
-gathered into one message, so a slow link gets larger batches. A side that
-has nothing to send sends pings: a stream that stays silent is replaced,
-and its users hear of the loss as of any other. All links of a process
-live on one event loop.
+Each side queues frames without blocking; a writer packs all queued frames
+into one message, so a slow link gets larger batches. A side with nothing to
+send sends pings: a stream without any input is replaced, and its handlers
+are notified as of any other loss. All links of a process run on one event
+loop.
 """
 
 import asyncio
@@ -43,23 +43,23 @@
 
 MAX_MESSAGE_BYTES = packing.MAX_FRAME_BYTES
 _HANDSHAKE = 'handshake'
-# gRPC tells only in words that the far side's certificate was refused.
+# gRPC reports a refused certificate of the peer only in the error text.
 _HANDSHAKE_ERRORS = ('handshake failed', 'verification check failed')
 
 _CHANNEL_OPTIONS = (
-    # The router retries in one layer only, so gRPC must not.
+    # Retries are done in one layer of the router only.
     ('grpc.enable_retries', 0),
     ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
     ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
-    # A channel of its own for each dialer: a stalled connection must not
-    # be shared with the one that replaces it.
+    # Each dialer has a separate connection: one that stalled must not be
+    # reused by the channel that replaces it.
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 1000),
 )
 
 
-# Frames without work for the other side; see ``pulse``.
+# Frames that do not count as use of a link; see ``pulse``.
 _IDLE_KINDS = frozenset(('hello', 'load', 'ping'))
 
 
@@ -67,10 +67,11 @@
 class LinkTiming:
     """Time constants of a link, in seconds.
 
-    :ivar ping: quiet time after which a side of a link in use pings
-    :ivar silence: silence after which a link in use counts as lost; an
-        idle one has wider bounds, see ``pulse``
-    :ivar redial: longest pause before dialling again
+    :ivar ping: time without output after which a side of a link in use
+        pings
+    :ivar silence: time without input after which a link in use counts as
+        lost; an idle link has longer times, see ``pulse``
+    :ivar redial: maximum pause before reconnecting
     """
 
     ping: float = 1.0
@@ -84,9 +85,10 @@
 
     All links of a process call them from one thread.
 
-    :ivar up: called with the link once the peer said who it is
+    :ivar up: called with the link once the hello of the peer was accepted
     :ivar frames: called with the link and each batch of frames
-    :ivar down: called with the link and a reason, once, after up
+    :ivar down: called once, after ``up``, with the link and the reason of
+        its loss
     """
 
     up: Callable[['Link'], None]
@@ -95,7 +97,7 @@
 
 
 class _Refused(Exception):
-    """The far side is not who it says it is."""
+    """The certificate of the peer does not match its hello."""
 
 
 @attrs.frozen
@@ -118,7 +120,7 @@
 class Link:
     """One open stream to a peer.
 
-    :ivar peer: what the peer said of itself, None before that
+    :ivar peer: hello of the peer, None before it was accepted
     """
 
     def __init__(
@@ -143,13 +145,13 @@
         self._sequence = 0
 
     def send(self, frame: link_pb2.Frame) -> bool:
-        """Queue a frame; False when the link is closed or backed up."""
+        """Queue a frame; False when the link is closed or its queue full."""
         if frame.WhichOneof('body') not in _IDLE_KINDS:
             self._pulse.use(time.monotonic())
         return self._outbox.put(frame)
 
     def close(self) -> None:
-        """Stop sending; the stream ends after what is queued."""
+        """Stop sending; the stream ends after the queued frames."""
         self._outbox.close()
 
     def _handle_control(self, frame: link_pb2.Frame) -> bool:
@@ -193,16 +195,16 @@
             try:
                 frames = unpacker.unpack(envelope)
             except (ValueError, message.DecodeError) as error:
-                # Whoever sent it is not one of ours, or is broken.
+                # The sender does not speak this protocol or is faulty.
                 return str(error)
             try:
                 self._handle_frames(frames)
             except _Refused as refused:
                 return f'refused: {refused}'
             except Exception:
-                # One frame that cannot be handled must not end the link,
-                # and with it the work of others.
-                logging.exception('a frame was not handled')
+                # An error in one frame must not end the link, which also
+                # carries the frames of other requests.
+                logging.exception('failed to handle a batch of frames')
         return 'closed by the peer'
 
     async def _write(self, stream: Stream) -> str:
@@ -211,10 +213,10 @@
         return 'closed'
 
     async def _ping_until_silent(self) -> str:
-        """Ping while nothing else is sent; return when it is silent.
+        """Ping while nothing else is sent; return when the peer is silent.
 
-        Each side tells the other that it lives, by whatever it sends, so
-        a link that carries frames in both directions needs no pings.
+        Any message shows the other side that the sender is alive, so a link
+        that carries frames in both directions needs no pings.
         """
         while True:
             await asyncio.sleep(self._timing.ping / 2)
@@ -227,7 +229,7 @@
                 self._outbox.put(link_pb2.Frame(ping=ping))
 
     async def run(self, stream: Stream) -> str:
-        """Read, write and watch until one of them ends; tell why."""
+        """Read, write and ping until one of them ends; return the reason."""
         tasks = [
             asyncio.ensure_future(work)
             for work in (
@@ -247,13 +249,13 @@
             self._outbox.close()
 
     def notify_down(self, reason: str) -> None:
-        """Tell the handlers that the link is lost, if it was up."""
+        """Call the ``down`` handler if the link was up."""
         if self.peer is not None:
             self._handlers.down(self, reason)
 
 
 def _read_reason(done: set[asyncio.Future]) -> str:
-    """Tell why a link ended, from the first of its tasks that did."""
+    """Return why a link ended, from the first of its tasks to end."""
     task = done.pop()
     if task.cancelled():
         return 'cancelled'
@@ -261,12 +263,12 @@
     if error is None:
         return task.result()
     if not isinstance(error, grpc.RpcError):
-        logging.error('link ended by %r', error)
+        logging.error('link ended by an unexpected error: %r', error)
     return _describe(error)
 
 
 class Dialer:
-    """Keeps one link to an address open, replacing it when lost."""
+    """Keeps one link to an address open and reconnects after a loss."""
 
     def __init__(
         self,
@@ -279,13 +281,13 @@
         transport: transports.Transport = transports.PLAIN,
         role: str = '',
     ) -> None:
-        """Remember what to dial; ``start`` begins.
+        """Create a dialer; ``start`` begins to connect.
 
         :param address: ``host:port``
-        :param hello: builds what this process says of itself
-        :param batch_bytes: a message holds no more than this, or one frame
+        :param hello: builds the hello of this process
+        :param batch_bytes: maximum size of a message with several frames
         :param transport: how to connect
-        :param role: role that the far side must have; empty for any
+        :param role: required role of the peer; empty for any
         """
         self._transport = transport
         self._role = role
@@ -299,17 +301,17 @@
         self._task: futures.Future | None = None
 
     def start(self) -> None:
-        """Begin dialling in the background."""
+        """Start connecting in the background."""
         self._task = eventloop.spawn(self._run())
 
     @property
     def link(self) -> Link | None:
-        """The open link, or None; it may be lost at any moment."""
+        """The open link, or None; it may be lost at any time."""
         link = self._link
         return link if link is not None and link.peer is not None else None
 
     def stop(self) -> None:
-        """Close the link after what is queued, and dial no more."""
+        """Close the link after the queued frames and stop reconnecting."""
         self._stopped = True
         link = self._link
         if link is not None:
--- a/packages/adapters/src/dunlintide_adapters/linkserver.py
+++ b/packages/adapters/src/dunlintide_adapters/linkserver.py
@@ -1,4 +1,4 @@
-"""The side of links that accepts them."""
+"""Server that accepts links."""
 
 from concurrent import futures
 import contextlib
@@ -28,7 +28,7 @@
 
 
 class _Servicer(link_pb2_grpc.LinkServicer):
-    """Server side of links."""
+    """gRPC servicer that runs each accepted stream as a link."""
 
     def __init__(self, server: 'LinkServer') -> None:
         self._server = server
@@ -64,10 +64,14 @@
         *,
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Bind the address; the port is also the host-local lock.
+        """Bind the address.
+
+        The port also serves as a lock: no second process with the same
+        address can start on the host.
 
         :param address: ``host:port`` to listen on
-        :raises OSError: when the port is taken
+        :param hello: builds the hello of this process
+        :raises OSError: when the port is in use
         """
         self.hello = hello
         self.handlers = handlers
@@ -82,7 +86,7 @@
             raise OSError(f'cannot listen on {address}: {error}') from error
 
     async def _build(self) -> grpc.aio.Server:
-        # Unary calls of further services may block, so they have threads.
+        # Unary calls of further services may block, so they run on threads.
         pool = futures.ThreadPoolExecutor(
             CALL_THREADS, thread_name_prefix='calls'
         )
@@ -100,22 +104,22 @@
         eventloop.run(self._server.start())
 
     def add(self, link: links.Link) -> None:
-        """Take note of a new link."""
+        """Register a new link."""
         with self._lock:
             self._links.add(link)
 
     def discard(self, link: links.Link) -> None:
-        """Forget a link that ended."""
+        """Unregister a link that ended."""
         with self._lock:
             self._links.discard(link)
 
     def links(self) -> list[links.Link]:
-        """Links whose peer is known."""
+        """Return the links whose peer has been accepted."""
         with self._lock:
             return [link for link in self._links if link.peer is not None]
 
     def stop(self) -> None:
-        """Close all links after what is queued, and free the port."""
+        """Close all links after their queued frames, and free the port."""
         with self._lock:
             links = list(self._links)
         for link in links:
--- a/packages/adapters/src/dunlintide_adapters/peercodec.py
+++ b/packages/adapters/src/dunlintide_adapters/peercodec.py
@@ -1,4 +1,4 @@
-"""Messages of anti-entropy to and from their wire form."""
+"""Conversion of anti-entropy messages to and from protobuf."""
 
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_core import configreplica
@@ -19,7 +19,7 @@
 
 
 def encode_endpoint(endpoint: fleet.Endpoint) -> link_pb2.Endpoint:
-    """Encode what an agent stands before."""
+    """Encode the endpoint of an agent."""
     return link_pb2.Endpoint(
         kind=endpoint.kind,
         model=endpoint.model,
@@ -60,7 +60,10 @@
 
 
 def encode_peer(peer: fleet.Peer) -> link_pb2.Hello:
-    """Encode what a process says of itself; in short without an address."""
+    """Encode the description of a process.
+
+    A peer without an address is encoded in short form, without its role.
+    """
     short = not peer.address
     endpoint = None
     if peer.endpoint is not None:
@@ -79,14 +82,14 @@
 
 
 def decode_peer(message: link_pb2.Hello) -> fleet.Peer:
-    """Decode what a process says of itself.
+    """Decode the description of a process.
 
     :raises ValueError: for a role or kind that is not known
     """
     endpoint = None
     if message.HasField('endpoint'):
         endpoint = decode_endpoint(message.endpoint)
-    # A record in short has no role; it is filled in by the merge.
+    # The short form has no role; merging the record fills it in.
     role = fleet.Role(message.role) if message.role else fleet.Role.AGENT
     return fleet.Peer(
         name=message.name,
--- a/packages/adapters/src/dunlintide_adapters/peers.py
+++ b/packages/adapters/src/dunlintide_adapters/peers.py
@@ -1,8 +1,8 @@
 """Anti-entropy calls between processes over gRPC.
 
-Calls share the port of the links. Each has a timeout and a bounded size,
-and what is sent of a configuration is bounded in bytes a second, so that
-a restart of many processes at once cannot fill a link.
+Calls use the same port as links. Each has a time-out and a bounded size, and
+a token bucket limits the bytes of configuration chunks sent per second, so
+that a restart of many processes at once cannot saturate a network link.
 """
 
 import collections
@@ -28,14 +28,14 @@
 CHUNK_BURST_BYTES = 2 << 20
 _MAX_CHUNKS_BYTES = 192 << 10
 
-# Answers a request with at most so many bytes of chunks.
+# Answers a request; the integer is the maximum total bytes of chunks.
 Answer = Callable[[exchanges.Request, int], exchanges.Reply]
 
 _OPTIONS = (
     ('grpc.enable_retries', 0),
     ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
     ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
-    # A channel that went silent must not live on in its successor.
+    # A new channel must not reuse the connection of one that stalled.
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 1000),
@@ -53,7 +53,7 @@
         self._lock = threading.Lock()
 
     def get_available(self) -> int:
-        """Return bytes that may be sent now."""
+        """Return the number of bytes that can be sent now."""
         with self._lock:
             now = time.monotonic()
             refill = (now - self._refilled_at) * self._rate
@@ -62,7 +62,7 @@
             return max(0, int(self._available))
 
     def consume(self, amount: int) -> None:
-        """Take bytes out; it may go below zero once."""
+        """Remove tokens; the balance may become negative."""
         with self._lock:
             self._available -= amount
 
@@ -85,7 +85,8 @@
         except ValueError as error:
             context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         sender = request.sender
-        # What a peer says of others is hearsay; of itself it must be true.
+        # What a peer reports of itself must match its certificate; what it
+        # reports of others is treated as hearsay.
         fault = self._transport.check_caller(context, sender.role, sender.name)
         if fault:
             context.abort(grpc.StatusCode.PERMISSION_DENIED, fault)
@@ -110,9 +111,9 @@
 
 
 class Client:
-    """Calls peers; keeps the channels that were used last.
+    """Calls peers; keeps the most recently used channels.
 
-    Not safe for use by several threads, but for ``close``.
+    Not thread-safe, except for ``close``.
     """
 
     def __init__(
@@ -120,9 +121,9 @@
         timeout: float = CALL_TIMEOUT_SECONDS,
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Begin without channels.
+        """Create a client without open channels.
 
-        :param timeout: bound on one call, in seconds
+        :param timeout: time-out of one call, in seconds
         """
         self._timeout = timeout
         self._transport = transport
@@ -133,10 +134,10 @@
     def exchange(
         self, address: str, request: exchanges.Request
     ) -> result.Result[exchanges.Reply, str]:
-        """Call a peer.
+        """Exchange state with a peer.
 
         :param address: ``host:port``
-        :return: its reply, or why there is none
+        :returns: reply of the peer, or the error
         """
         stub = link_pb2_grpc.PeerStub(self._open(address))
         try:
--- a/packages/adapters/src/dunlintide_adapters/pem.py
+++ b/packages/adapters/src/dunlintide_adapters/pem.py
@@ -1,4 +1,4 @@
-"""Certificates and keys in PEM, read and checked against each other."""
+"""Reading of PEM certificates and keys, checked against each other."""
 
 import datetime
 from typing import Callable
@@ -21,7 +21,7 @@
 
 
 class _InvalidFile(Exception):
-    """Carries the fault of a file."""
+    """A file cannot be used; carries the reason."""
 
     def __init__(self, field: str, detail: str) -> None:
         super().__init__(detail)
@@ -31,7 +31,7 @@
 def _load(
     paths: certificates.Paths, field: str, expected: str, parse: Callable
 ) -> tuple:
-    """Return the content of a file and what it means."""
+    """Return the bytes of a file and its parsed content."""
     path = getattr(paths, field)
     try:
         data = path.read_bytes()
@@ -41,7 +41,8 @@
     try:
         return data, parse(data)
     except _PARSE_ERRORS:
-        # The library's words may quote what it read, a key among it.
+        # The error text of the library may quote its input, such as a key,
+        # so it is not included.
         detail = f'expected {expected} in PEM in {str(path)!r}'
         raise _InvalidFile(field, detail) from None
 
@@ -72,9 +73,9 @@
     end = certificate.not_valid_after_utc
     detail = ''
     if now >= end:
-        detail = f'expected a valid one, got one expired at {end}'
+        detail = f'expected a valid certificate, got one that expired at {end}'
     elif now < begin:
-        detail = f'expected a valid one, got one valid from {begin}'
+        detail = f'expected a valid certificate, got one valid from {begin}'
     if detail:
         raise _InvalidFile('certificate', detail)
 
--- a/packages/adapters/src/dunlintide_adapters/requestlimiter.py
+++ b/packages/adapters/src/dunlintide_adapters/requestlimiter.py
@@ -1,4 +1,4 @@
-"""A WSGI application that runs a bounded number of requests at once."""
+"""WSGI middleware that limits the number of concurrent requests."""
 
 import collections
 import functools
@@ -16,17 +16,18 @@
     'RequestLimiter',
 ]
 
-# Key of a function in the environment of a request: it counts the request
-# to a group and tells whether the group may run another one now.
+# Environment key of a function that assigns the request to a group, and
+# returns whether the group may run another request now.
 JOIN_GROUP = 'dunlintide.join'
 
 _MAX_CHUNK_BYTES = 64 << 10
 
 
 class _Body:
-    """Body of an answer in pieces that the output buffer bounds.
+    """Body of an answer, split into chunks of bounded size.
 
-    waitress takes a piece of any size once it is below its watermark.
+    waitress buffers a chunk of any size once its output buffer is below the
+    high watermark, so large chunks would exceed it.
     """
 
     def __init__(
@@ -44,8 +45,8 @@
                 yield chunk[start : start + _MAX_CHUNK_BYTES]
 
     def __len__(self) -> int:
-        # waitress takes the length of the first piece for that of the
-        # answer when this is 1; any other value tells it nothing.
+        # When this is 1, waitress derives Content-Length from the first
+        # chunk; it ignores any other value.
         chunks = self._chunks
         if isinstance(chunks, (list, tuple)) and len(chunks) == 1:
             return 1 if len(chunks[0]) <= _MAX_CHUNK_BYTES else 0
@@ -62,16 +63,16 @@
 
 @attrs.define(eq=False)
 class _RunningRequest:
-    """One running request and the group that it counts to."""
+    """A running request and its group, empty before it joins one."""
 
     group: str = ''
 
 
 class RequestLimiter:
-    """Runs at most so many requests at once and refuses the others.
+    """Refuses requests above a concurrency limit with status 503.
 
-    A group of requests may hold a multiple of what is free, so that none
-    takes all threads.
+    A group of requests can use at most a multiple of the free slots, so that
+    no group takes all threads.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
     def _join_group(self, running: _RunningRequest, group: str) -> bool:
         with self._lock:
             free = self._limit - self.in_flight
-            # Its own place may be the last one.
+            # The request already holds a slot, which counts as free here.
             if not thresholds.admits(self._groups[group], free + 1):
                 return False
             running.group = group
--- a/packages/adapters/src/dunlintide_adapters/tlschecks.py
+++ b/packages/adapters/src/dunlintide_adapters/tlschecks.py
@@ -1,4 +1,4 @@
-"""Early checks of the files that the settings of TLS name."""
+"""Validation of the TLS files named in the settings, before start."""
 
 import pathlib
 
@@ -28,7 +28,7 @@
 def build_server_wrapper(
     tls: settings_module.ServerTls | None,
 ) -> tlssockets.Wrapper | None:
-    """Build what puts TLS on a port's connections, None for plain ones.
+    """Build the TLS wrapper of a port; None for plain TCP.
 
     :raises ValueError: when the files cannot be used
     """
@@ -47,7 +47,7 @@
 
 
 def find_faults(settings: settings_module.Settings) -> _Faults:
-    """List what is wrong with the files that settings name, by field."""
+    """List invalid TLS files as pairs of settings path and error text."""
     faults = []
     if settings.tls is not None:
         faults += _list_fleet_faults(settings)
--- a/packages/adapters/src/dunlintide_adapters/tlssockets.py
+++ b/packages/adapters/src/dunlintide_adapters/tlssockets.py
@@ -1,9 +1,9 @@
-"""TLS on the sockets that an HTTP server accepts, without blocking.
+"""Non-blocking TLS for the sockets that an HTTP server accepts.
 
-waitress moves bytes by ``recv`` and ``send`` of a socket that does not
-block, from its loop and from its worker threads. The socket here does the
-handshake within these calls, and says that it would block where TLS needs
-more from the network, so no thread waits for a slow or silent client.
+waitress calls ``recv`` and ``send`` of a non-blocking socket from its loop
+and from its worker threads. The socket of this module does the TLS
+handshake within these calls and raises BlockingIOError where TLS needs more
+from the network, so no thread waits for a slow or silent client.
 """
 
 import contextlib
@@ -22,9 +22,9 @@
     'Wrapper',
 ]
 
-# Largest content of a TLS record. Reads must ask for at least so much: what
-# stayed within the library would not make the socket readable again. Writes
-# give no more, since one that is tried again must begin with the same record.
+# Largest content of a TLS record. Reads must ask for at least this size: data
+# left in the TLS library would not make the socket readable again. Writes are
+# limited to it, since a retried write must begin with the same record.
 RECORD_BYTES = 16384
 
 _WOULD_BLOCK = BlockingIOError(errno.EWOULDBLOCK, os.strerror(errno.EAGAIN))
@@ -32,14 +32,14 @@
 
 
 class _Socket(ssl.SSLSocket):
-    """Server side of one connection; safe for several threads."""
+    """Server side of one TLS connection; thread-safe."""
 
     lock: threading.Lock
     close_notified = False
 
     def recv(self, size: int, flags: int = 0) -> bytes:
         if self.close_notified:
-            # Only taken to be thrown away, so it need not be deciphered.
+            # The caller only discards this data, so it is not decrypted.
             return socket.socket.recv(self, size, flags)
         with self.lock:
             try:
@@ -55,7 +55,7 @@
                 raise _WOULD_BLOCK from None
 
     def _send_close_notify(self) -> None:
-        """Tell the client that the end is meant; it need not answer."""
+        """Send a TLS close_notify once, without waiting for the answer."""
         if not self.close_notified:
             self.close_notified = True
             with contextlib.suppress(OSError, ValueError):
@@ -73,7 +73,7 @@
 
 
 class Wrapper:
-    """Puts TLS on accepted sockets, with the newest certificate."""
+    """Adds TLS to accepted sockets, with the newest certificate."""
 
     def __init__(
         self, files: certificates.Files, paths: certificates.Paths
@@ -93,7 +93,7 @@
     ) -> 'Wrapper':
         """Read the files.
 
-        :param seconds: shortest time between two looks at them
+        :param check_seconds: minimum time between checks for new files
         :raises ValueError: when they cannot be used
         """
         return cls(
@@ -116,13 +116,16 @@
             self._context = self._load()
             self._bundle = bundle
         except OSError as error:
-            # Replaced again since they were read; looked at once more.
-            logging.warning('tls: files not loaded: %s', error)
+            # The files were replaced again after they were read; the next
+            # connection tries to load them again.
+            logging.warning(
+                'tls: cannot load new certificate files: %s', error
+            )
 
     def wrap(self, accepted: socket.socket) -> ssl.SSLSocket:
-        """Put TLS on a socket; takes it over.
+        """Return a TLS socket that takes over an accepted one.
 
-        :raises OSError: when the client has gone
+        :raises OSError: when the client has disconnected
         """
         self._reload_if_changed()
         wrapped = self._context.wrap_socket(
--- a/packages/adapters/src/dunlintide_adapters/transports.py
+++ b/packages/adapters/src/dunlintide_adapters/transports.py
@@ -1,8 +1,8 @@
 """Connections between processes: plain, or mutual TLS.
 
-With TLS each side shows a certificate of the fleet's authorities, and
-what it says of itself must agree with that certificate. Renewed files
-serve all connections made from then on; open ones go on.
+With TLS each side presents a certificate issued by the fleet's authorities,
+and the role and name that it claims must match that certificate. Renewed
+files are used for new connections; open ones stay unchanged.
 """
 
 import datetime
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class FilesState:
-    """How the files of a transport fare.
+    """State of the certificate files of a transport.
 
-    :ivar expires: end of the certificate in use
-    :ivar reloads: times that new files were taken up
-    :ivar failures: times that new files were refused
+    :ivar expires: expiry time of the certificate in use
+    :ivar reloads: number of successful reloads
+    :ivar failures: number of reloads with invalid files
     """
 
     expires: datetime.datetime
@@ -53,7 +53,7 @@
 
 
 class Transport(Protocol):
-    """How a process connects to others of the fleet."""
+    """How a process connects to other processes of the fleet."""
 
     refusals: guards.Refusals
 
@@ -66,34 +66,41 @@
     def dial_async(
         self, address: str, role: str, options: Options
     ) -> grpc.aio.Channel:
-        """Open a channel to a process of a role, on the event loop."""
+        """Open a channel on the event loop.
+
+        :param role: required role of the other process, empty for any
+        """
 
     def make_accepted_guard(
         self, context: grpc.ServicerContext
     ) -> guards.Guard:
-        """Make the guard of a link that was accepted."""
+        """Make the guard of an accepted link."""
 
     def make_dialled_guard(self, role: str) -> guards.Guard:
-        """Make the guard of a link to a process of a role."""
+        """Make the guard of a link that this process opened.
+
+        :param role: required role of the other process, empty for any
+        """
 
     def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
-        """Say why a call is refused; empty when it may go on.
+        """Check the certificate of a caller.
 
-        :param role: role that the caller needs or gives, empty for any
-        :param name: name that it gives, empty when it gives none
+        :param role: role that is required or claimed, empty for any
+        :param name: name that the caller claims, empty for none
+        :returns: why the call is refused, empty if it is allowed
         """
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump."""
 
     def read_files(self) -> FilesState | None:
-        """Return how the files fare, None without TLS."""
+        """Return the state of the files, None without TLS."""
 
 
 class Plain:
-    """Connections without TLS; nobody can be told from another."""
+    """Connections without TLS, so peers are not authenticated."""
 
     def __init__(self) -> None:
         self.refusals = guards.Refusals()
@@ -142,14 +149,19 @@
 def _find_role_fault(expected: str, role: str, name: str) -> str:
     if expected in ('', role):
         return ''
-    return f'dialled as {expected}, it says {role} {name!r}'
+    return f'expected a peer of role {expected}, got {role} {name!r}'
 
 
 class MutualTls:
     """Mutual TLS by certificates of the fleet's own authorities."""
 
     def __init__(self, files: certificates.Files, domain: str) -> None:
-        """Use files; see ``identities`` for the names in certificates."""
+        """Create a transport.
+
+        :param files: certificate files of this process
+        :param domain: domain of the DNS names in certificates; see
+            ``identities``
+        """
         self.refusals = guards.Refusals()
         self._files = files
         self._domain = domain
@@ -167,7 +179,7 @@
     def _get_changed_configuration(
         self,
     ) -> grpc.ServerCertificateConfiguration | None:
-        # Called by gRPC at each handshake; None keeps what it has.
+        # gRPC calls this at each handshake; None keeps the configuration.
         bundle = self._files.get()
         return (
             None if bundle is self._server_bundle else self._configure(bundle)
@@ -198,7 +210,10 @@
     def dial_async(
         self, address: str, role: str, options: Options
     ) -> grpc.aio.Channel:
-        """Open a channel to a process of a role, on the event loop."""
+        """Open a channel on the event loop.
+
+        :param role: required role of the other process, empty for any
+        """
         target = f'{role}.{self._domain}' if role else self._domain
         return grpc.aio.secure_channel(
             address,
@@ -216,21 +231,24 @@
     def make_accepted_guard(
         self, context: grpc.ServicerContext
     ) -> guards.Guard:
-        """Make the guard of a link that was accepted."""
+        """Make the guard of an accepted link."""
         find_mismatch = functools.partial(
             identities.find_mismatch, self._identify(context)
         )
         return guards.Guard(find_mismatch, self.refusals, waits_for_hello=True)
 
     def make_dialled_guard(self, role: str) -> guards.Guard:
-        """Make the guard of a link to a process of a role."""
+        """Make the guard of a link that this process opened.
+
+        :param role: required role of the other process, empty for any
+        """
         find_mismatch = functools.partial(_find_role_fault, role)
         return guards.Guard(find_mismatch, self.refusals)
 
     def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
-        """Say why a call is refused; empty when it may go on."""
+        """Return why a call is refused, empty if it is allowed."""
         identity = self._identify(context)
         if identity is not None:
             role = role or identity.role
@@ -252,7 +270,7 @@
         }
 
     def read_files(self) -> FilesState | None:
-        """Return how the files fare; looks at them."""
+        """Return the state of the files; may reload them."""
         bundle = self._files.get()
         return FilesState(
             bundle.expires, self._files.reloads, self._files.failures
@@ -260,13 +278,13 @@
 
 
 class Collector:
-    """Gives the metrics of a transport to a registry."""
+    """Metrics collector of a transport."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yield them in the form of the metrics library."""
+        """Yield the metric families."""
         refused = metrics_core.CounterMetricFamily(
             'dunlintide_tls_refused',
             'Connections, calls and frames refused, by reason',
@@ -292,7 +310,7 @@
 
 
 def list_paths(tls: settings_module.Tls) -> certificates.Paths:
-    """List the files that settings name."""
+    """Return the paths of the TLS files named in the settings."""
     return certificates.Paths(
         pathlib.Path(tls.certificate),
         pathlib.Path(tls.key),
@@ -303,13 +321,16 @@
 def make_identity_check(
     identity: identities.Identity, domain: str
 ) -> Callable[[certificates.Bundle], str]:
-    """Make a function that says why a certificate is not a process's."""
+    """Make a function that checks whether a certificate fits a process.
+
+    The function returns why it does not, empty if it does.
+    """
 
     def check(bundle: certificates.Bundle) -> str:
         needed = identities.list_names(identity, domain)
         missing = [name for name in needed if name not in bundle.names]
         if missing:
-            return f'expected the DNS names {missing} in it'
+            return f'expected the DNS names {missing} in the certificate'
         found = identities.read_identity(bundle.names, domain)
         return identities.find_mismatch(found, identity.role, identity.name)
 
@@ -319,13 +340,13 @@
 def make_settings_check(
     settings: settings_module.Settings,
 ) -> Callable[[certificates.Bundle], str]:
-    """Make that function for the process that has these settings."""
+    """Make the identity check for the process with these settings."""
     identity = identities.Identity(settings.role, settings.name)
     return make_identity_check(identity, settings.tls.domain)
 
 
 def build(settings: settings_module.Settings) -> Transport:
-    """Build what settings ask for.
+    """Build the transport that the settings specify.
 
     :raises ValueError: when the files cannot be used
     """
