--- a/packages/adapters/src/dunlintide_adapters/linkserver.py
+++ b/packages/adapters/src/dunlintide_adapters/linkserver.py
@@ -121,8 +121,8 @@
     def stop(self) -> None:
         """Close all links after their queued frames, and free the port."""
         with self._lock:
-            links = list(self._links)
-        for link in links:
+            open_links = list(self._links)
+        for link in open_links:
             link.close()
         eventloop.run(self._server.stop(_STOP_GRACE_SECONDS))
 
--- a/packages/adapters/src/dunlintide_adapters/transports.py
+++ b/packages/adapters/src/dunlintide_adapters/transports.py
@@ -146,7 +146,7 @@
 PLAIN = Plain()
 
 
-def _find_role_fault(expected: str, role: str, name: str) -> str:
+def _find_role_mismatch(expected: str, role: str, name: str) -> str:
     if expected in ('', role):
         return ''
     return f'expected a peer of role {expected}, got {role} {name!r}'
@@ -242,7 +242,7 @@
 
         :param role: required role of the other process, empty for any
         """
-        find_mismatch = functools.partial(_find_role_fault, role)
+        find_mismatch = functools.partial(_find_role_mismatch, role)
         return guards.Guard(find_mismatch, self.refusals)
 
     def check_caller(
