--- a/packages/adapters/src/dunlintide_adapters/endpointhttp.py
+++ b/packages/adapters/src/dunlintide_adapters/endpointhttp.py
@@ -98,7 +98,7 @@
         self._complete = False
         self._framed = False
         self._failure: FailureKind | None = None
-        self._has_excess = False
+        self._has_excess_input = False
         self._bodiless = False
         self.in_call = False
         self.idle_since = 0.0
@@ -122,13 +122,13 @@
             self._complete = True
         elif not self._complete:
             self._failure = FailureKind.CLOSED
-        self._has_excess = True
+        self._has_excess_input = True
         self._wake()
         return False
 
     def data_received(self, data: bytes) -> None:
         if not self.in_call or self._complete:
-            self._has_excess = True
+            self._has_excess_input = True
             if not self.in_call:
                 self.close()
             return
@@ -137,7 +137,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._complete:
                 self._failure = FailureKind.GARBLED
-            self._has_excess = True
+            self._has_excess_input = True
         self._wake()
 
     # Callbacks of the HTTP parser.
@@ -147,14 +147,14 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._complete:
-            self._has_excess = True
+            self._has_excess_input = True
             return
         pair = name.decode('latin-1').lower(), value.decode('latin-1')
         self._headers.append(pair)
 
     def on_headers_complete(self) -> None:
         if self._complete:
-            self._has_excess = True
+            self._has_excess_input = True
             return
         status = self._parser.get_status_code()
         if 100 <= status < 200:
@@ -172,7 +172,7 @@
 
     def on_body(self, data: bytes) -> None:
         if self._complete:
-            self._has_excess = True
+            self._has_excess_input = True
             return
         self._chunks.append(data)
         self._buffered += len(data)
@@ -181,7 +181,7 @@
 
     def on_message_begin(self) -> None:
         if self._complete:
-            self._has_excess = True
+            self._has_excess_input = True
 
     def on_message_complete(self) -> None:
         if self._head is not None:
@@ -196,7 +196,7 @@
         return (
             transport is not None
             and not transport.is_closing()
-            and not self._has_excess
+            and not self._has_excess_input
             and self._failure is None
         )
 
@@ -278,11 +278,11 @@
             raise CallError(self._failure, True)
 
     async def _wait(self, deadline: float) -> None:
-        left = deadline - self._loop.time()
-        if left <= 0:
+        remaining = deadline - self._loop.time()
+        if remaining <= 0:
             raise CallError(FailureKind.TIMEOUT, True)
         self._waiter = self._loop.create_future()
-        timer = self._loop.call_later(left, self._wake)
+        timer = self._loop.call_later(remaining, self._wake)
         try:
             await self._waiter
         finally:
--- a/packages/adapters/src/dunlintide_adapters/guards.py
+++ b/packages/adapters/src/dunlintide_adapters/guards.py
@@ -72,10 +72,10 @@
         """
         if self._find_mismatch is None:
             return ''
-        fault = self._find_mismatch(role, name)
-        if fault:
-            self._refusals.add('identity', f'a link: {fault}')
-            return fault
+        mismatch = self._find_mismatch(role, name)
+        if mismatch:
+            self._refusals.add('identity', f'a link: {mismatch}')
+            return mismatch
         self._allowed_kinds = identities.list_permitted_bodies(role, receiver)
         return ''
 
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -168,11 +168,11 @@
         self._outbox.put(link_pb2.Frame(hello=self._hello))
 
     def _handle_hello(self, hello: link_pb2.Hello) -> bool:
-        fault = self._guard.check_hello(
+        mismatch = self._guard.check_hello(
             hello.role, hello.name, self._hello.role
         )
-        if fault:
-            raise _Refused(fault)
+        if mismatch:
+            raise _Refused(mismatch)
         is_first = self.peer is None
         self.peer = hello
         if is_first:
--- a/packages/adapters/src/dunlintide_adapters/requestlimiter.py
+++ b/packages/adapters/src/dunlintide_adapters/requestlimiter.py
@@ -95,24 +95,24 @@
             self.in_flight += 1
             return True
 
-    def _join_group(self, running: _RunningRequest, group: str) -> bool:
+    def _join_group(self, request: _RunningRequest, group: str) -> bool:
         with self._lock:
             free = self._limit - self.in_flight
             # The request already holds a slot, which counts as free here.
             if not thresholds.admits(self._groups[group], free + 1):
                 return False
-            running.group = group
+            request.group = group
             self._groups[group] += 1
             return True
 
-    def _release_slot(self, running: _RunningRequest) -> None:
+    def _release_slot(self, request: _RunningRequest) -> None:
         with self._lock:
             self.in_flight -= 1
-            if not running.group:
+            if not request.group:
                 return
-            self._groups[running.group] -= 1
-            if not self._groups[running.group]:
-                del self._groups[running.group]
+            self._groups[request.group] -= 1
+            if not self._groups[request.group]:
+                del self._groups[request.group]
 
     def _refuse(self, start_response: Callable) -> list[bytes]:
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
@@ -125,11 +125,11 @@
     def __call__(self, environ: dict, start_response: Callable):
         if not self._acquire():
             return self._refuse(start_response)
-        running = _RunningRequest()
-        environ[JOIN_GROUP] = functools.partial(self._join_group, running)
+        request = _RunningRequest()
+        environ[JOIN_GROUP] = functools.partial(self._join_group, request)
         try:
             chunks = self._app(environ, start_response)
         except BaseException:
-            self._release_slot(running)
+            self._release_slot(request)
             raise
-        return _Body(chunks, functools.partial(self._release_slot, running))
+        return _Body(chunks, functools.partial(self._release_slot, request))
--- a/packages/adapters/src/dunlintide_adapters/transports.py
+++ b/packages/adapters/src/dunlintide_adapters/transports.py
@@ -253,10 +253,10 @@
         if identity is not None:
             role = role or identity.role
             name = name or identity.name
-        fault = identities.find_mismatch(identity, role, name)
-        if fault:
-            self.refusals.add('identity', f'a call: {fault}')
-        return fault
+        mismatch = identities.find_mismatch(identity, role, name)
+        if mismatch:
+            self.refusals.add('identity', f'a call: {mismatch}')
+        return mismatch
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump, without keys."""
