--- a/packages/adapters/src/dunlintide_adapters/circuit.py
+++ b/packages/adapters/src/dunlintide_adapters/circuit.py
@@ -1,30 +1,31 @@
-"""Circuit breaker: fails calls fast while their target is down."""
+"""Circuit breaker: fails calls immediately while their target is down."""
 
 import random
 
 import attrs
 
-__all__ = ['Circuit', 'CircuitTiming']
+__all__ = ['CircuitBreaker', 'CircuitTiming']
 
 
 @attrs.frozen
 class CircuitTiming:
-    """When a circuit opens, and how it probes.
+    """When a circuit breaker opens and how it probes.
 
-    :ivar failures: failures in a row that open it
-    :ivar first_pause: seconds before the first probe
-    :ivar longest_pause: seconds between probes at most; the pause doubles
+    :ivar failures: consecutive failures that open it
+    :ivar initial_pause: seconds before the first probe
+    :ivar max_pause: maximum seconds between probes; the pause doubles after
+        each failed probe
     """
 
     failures: int = 3
-    first_pause: float = 0.2
-    longest_pause: float = 2.0
+    initial_pause: float = 0.2
+    max_pause: float = 2.0
 
 
-class Circuit:
+class CircuitBreaker:
     """Admits all calls while closed, and one probe at a time while open.
 
-    It holds no lock; the caller keeps calls apart.
+    Not thread-safe; the caller serializes access.
     """
 
     def __init__(
@@ -32,22 +33,25 @@
     ) -> None:
         """Start closed.
 
-        :param rng: source of the jitter that keeps processes apart
+        :param rng: source of the jitter that keeps processes from probing
+            at the same time
         """
         self._timing = timing
         self._rng = rng or random.Random()
         self._failures = 0
         self._retry_at = 0.0
-        self._pause = timing.first_pause
+        self._pause = timing.initial_pause
         self._probing = False
 
     @property
     def is_open(self) -> bool:
-        """Whether calls are being failed."""
+        """Whether calls are refused, except for probes."""
         return self._failures >= self._timing.failures
 
     def admit(self, now: float) -> bool:
-        """Tell whether a call may go out; each must be settled after.
+        """Return whether a call is allowed.
+
+        Each allowed call must end in ``succeed``, ``fail`` or ``release``.
 
         :param now: monotonic time in seconds
         """
@@ -59,17 +63,17 @@
         return True
 
     def release(self) -> None:
-        """Settle a call that says nothing about the target."""
+        """Record a call whose result says nothing about the target."""
         self._probing = False
 
     def succeed(self) -> None:
-        """Settle a call that was answered; closes the circuit."""
+        """Record an answered call; closes the circuit."""
         self._failures = 0
-        self._pause = self._timing.first_pause
+        self._pause = self._timing.initial_pause
         self._probing = False
 
     def fail(self, now: float) -> None:
-        """Settle a call that was not answered.
+        """Record a call that was not answered.
 
         :param now: monotonic time in seconds
         """
@@ -79,5 +83,5 @@
         if not self.is_open:
             return
         if was_open:
-            self._pause = min(self._pause * 2, self._timing.longest_pause)
+            self._pause = min(self._pause * 2, self._timing.max_pause)
         self._retry_at = now + self._pause * self._rng.uniform(0.5, 1.0)
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -1,10 +1,10 @@
 """Long-lived gRPC streams that carry the frames of many requests.
 
-Each side queues frames without blocking; a writer packs what has
-gathered into one message, so a slow link gets larger batches. A side that
-has nothing to send sends pings: a stream that stays silent is replaced,
-and its users hear of the loss as of any other. All links of a process
-live on one event loop.
+Each side queues frames without blocking; a writer packs all queued frames
+into one message, so a slow link gets larger batches. A side with nothing to
+send sends pings: a stream without any input is replaced, and its handlers
+are notified as of any other loss. All links of a process run on one event
+loop.
 """
 
 import asyncio
@@ -43,23 +43,23 @@
 
 MAX_MESSAGE_BYTES = packing.MAX_FRAME_BYTES
 _HANDSHAKE = 'handshake'
-# gRPC tells only in words that the far side's certificate was refused.
-_HANDSHAKE_MARKS = ('handshake failed', 'verification check failed')
+# gRPC reports a refused certificate of the peer only in the error text.
+_HANDSHAKE_ERRORS = ('handshake failed', 'verification check failed')
 
 _CHANNEL_OPTIONS = (
-    # The router retries in one layer only, so gRPC must not.
+    # Retries are done in one layer of the router only.
     ('grpc.enable_retries', 0),
     ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
     ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
-    # A channel of its own for each dialer: a stalled connection must not
-    # be shared with the one that replaces it.
+    # Each dialer has a separate connection: one that stalled must not be
+    # reused by the channel that replaces it.
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 1000),
 )
 
 
-# Frames without work for the other side; see ``pulse``.
+# Frames that do not count as use of a link; see ``pulse``.
 _IDLE_KINDS = frozenset(('hello', 'load', 'ping'))
 
 
@@ -67,10 +67,11 @@
 class LinkTiming:
     """Time constants of a link, in seconds.
 
-    :ivar ping: quiet time after which a side of a link in use pings
-    :ivar silence: silence after which a link in use counts as lost; an
-        idle one has wider bounds, see ``pulse``
-    :ivar redial: longest pause before dialling again
+    :ivar ping: time without output after which a side of a link in use
+        pings
+    :ivar silence: time without input after which a link in use counts as
+        lost; an idle link has longer times, see ``pulse``
+    :ivar redial: maximum pause before reconnecting
     """
 
     ping: float = 1.0
@@ -84,9 +85,10 @@
 
     All links of a process call them from one thread.
 
-    :ivar up: called with the link once the peer said who it is
+    :ivar up: called with the link once the hello of the peer was accepted
     :ivar frames: called with the link and each batch of frames
-    :ivar down: called with the link and a reason, once, after up
+    :ivar down: called once, after ``up``, with the link and the reason of
+        its loss
     """
 
     up: Callable[['Link'], None]
@@ -95,7 +97,7 @@
 
 
 class _Refused(Exception):
-    """The far side is not who it says it is."""
+    """The certificate of the peer does not match its hello."""
 
 
 @attrs.frozen
@@ -109,7 +111,7 @@
 def _describe(error: grpc.RpcError) -> str:
     if isinstance(error, grpc.aio.AioRpcError):
         details = error.details() or ''
-        if any(mark in details.lower() for mark in _HANDSHAKE_MARKS):
+        if any(mark in details.lower() for mark in _HANDSHAKE_ERRORS):
             return f'{_HANDSHAKE}: {details}'
         return str(error.code())
     return type(error).__name__
@@ -118,7 +120,7 @@
 class Link:
     """One open stream to a peer.
 
-    :ivar peer: what the peer said of itself, None before that
+    :ivar peer: hello of the peer, None before it was accepted
     """
 
     def __init__(
@@ -138,49 +140,53 @@
         self._outbox = outboxes.Outbox(batch_bytes)
         self._hello = hello
         self._guard = guard or guards.Guard()
-        if not self._guard.answers:
-            self._greet()
+        if not self._guard.waits_for_hello:
+            self._send_hello()
         self._sequence = 0
 
     def send(self, frame: link_pb2.Frame) -> bool:
-        """Queue a frame; False when the link is closed or backed up."""
+        """Queue a frame; False when the link is closed or its queue full."""
         if frame.WhichOneof('body') not in _IDLE_KINDS:
             self._pulse.use(time.monotonic())
         return self._outbox.put(frame)
 
     def close(self) -> None:
-        """Stop sending; the stream ends after what is queued."""
+        """Stop sending; the stream ends after the queued frames."""
         self._outbox.close()
 
-    def _take_control(self, frame: link_pb2.Frame) -> bool:
+    def _handle_control(self, frame: link_pb2.Frame) -> bool:
         body = frame.WhichOneof('body')
-        if not self._guard.permits(body):
+        if not self._guard.allows(body):
             return True
         if body not in _IDLE_KINDS:
             self._pulse.use(time.monotonic())
         if body == 'hello':
-            return self._take_hello(frame.hello)
+            return self._handle_hello(frame.hello)
         return body == 'ping'
 
-    def _greet(self) -> None:
+    def _send_hello(self) -> None:
         self._outbox.put(link_pb2.Frame(hello=self._hello))
 
-    def _take_hello(self, hello: link_pb2.Hello) -> bool:
-        fault = self._guard.admit(hello.role, hello.name, self._hello.role)
-        if fault:
-            raise _Refused(fault)
-        first = self.peer is None
+    def _handle_hello(self, hello: link_pb2.Hello) -> bool:
+        mismatch = self._guard.check_hello(
+            hello.role, hello.name, self._hello.role
+        )
+        if mismatch:
+            raise _Refused(mismatch)
+        is_first = self.peer is None
         self.peer = hello
-        if first:
-            if self._guard.answers:
-                self._greet()
+        if is_first:
+            if self._guard.waits_for_hello:
+                self._send_hello()
             self._handlers.up(self)
-        return first
+        return is_first
 
-    def _take(self, frames: Iterable[link_pb2.Frame]) -> None:
-        rest = [frame for frame in frames if not self._take_control(frame)]
-        if rest:
-            self._handlers.frames(self, rest)
+    def _handle_frames(self, frames: Iterable[link_pb2.Frame]) -> None:
+        request_frames = [
+            frame for frame in frames if not self._handle_control(frame)
+        ]
+        if request_frames:
+            self._handlers.frames(self, request_frames)
 
     async def _read(self, stream: AsyncIterable[link_pb2.Envelope]) -> str:
         unpacker = packing.Unpacker()
@@ -189,16 +195,16 @@
             try:
                 frames = unpacker.unpack(envelope)
             except (ValueError, message.DecodeError) as error:
-                # Whoever sent it is not one of ours, or is broken.
+                # The sender does not speak this protocol or is faulty.
                 return str(error)
             try:
-                self._take(frames)
+                self._handle_frames(frames)
             except _Refused as refused:
                 return f'refused: {refused}'
             except Exception:
-                # One frame that cannot be handled must not end the link,
-                # and with it the work of others.
-                logging.exception('a frame was not handled')
+                # An error in one frame must not end the link, which also
+                # carries the frames of other requests.
+                logging.exception('failed to handle a batch of frames')
         return 'closed by the peer'
 
     async def _write(self, stream: Stream) -> str:
@@ -206,11 +212,11 @@
             await stream.write(envelope)
         return 'closed'
 
-    async def _watch(self) -> str:
-        """Ping while nothing else is sent; return when it is silent.
+    async def _ping_until_silent(self) -> str:
+        """Ping while nothing else is sent; return when the peer is silent.
 
-        Each side tells the other that it lives, by whatever it sends, so
-        a link that carries frames in both directions needs no pings.
+        Any message shows the other side that the sender is alive, so a link
+        that carries frames in both directions needs no pings.
         """
         while True:
             await asyncio.sleep(self._timing.ping / 2)
@@ -223,13 +229,13 @@
                 self._outbox.put(link_pb2.Frame(ping=ping))
 
     async def run(self, stream: Stream) -> str:
-        """Read, write and watch until one of them ends; tell why."""
+        """Read, write and ping until one of them ends; return the reason."""
         tasks = [
             asyncio.ensure_future(work)
             for work in (
                 self._read(stream.read),
                 self._write(stream),
-                self._watch(),
+                self._ping_until_silent(),
             )
         ]
         try:
@@ -242,14 +248,14 @@
                 task.cancel()
             self._outbox.close()
 
-    def end(self, reason: str) -> None:
-        """Tell the handlers that the link is lost, if it was up."""
+    def notify_down(self, reason: str) -> None:
+        """Call the ``down`` handler if the link was up."""
         if self.peer is not None:
             self._handlers.down(self, reason)
 
 
 def _read_reason(done: set[asyncio.Future]) -> str:
-    """Tell why a link ended, from the first of its tasks that did."""
+    """Return why a link ended, from the first of its tasks to end."""
     task = done.pop()
     if task.cancelled():
         return 'cancelled'
@@ -257,12 +263,12 @@
     if error is None:
         return task.result()
     if not isinstance(error, grpc.RpcError):
-        logging.error('link ended by %r', error)
+        logging.error('link ended by an unexpected error: %r', error)
     return _describe(error)
 
 
 class Dialer:
-    """Keeps one link to an address open, replacing it when lost."""
+    """Keeps one link to an address open and reconnects after a loss."""
 
     def __init__(
         self,
@@ -275,13 +281,13 @@
         transport: transports.Transport = transports.PLAIN,
         role: str = '',
     ) -> None:
-        """Remember what to dial; ``start`` begins.
+        """Create a dialer; ``start`` begins to connect.
 
         :param address: ``host:port``
-        :param hello: builds what this process says of itself
-        :param batch_bytes: a message holds no more than this, or one frame
+        :param hello: builds the hello of this process
+        :param batch_bytes: maximum size of a message with several frames
         :param transport: how to connect
-        :param role: role that the far side must have; empty for any
+        :param role: required role of the peer; empty for any
         """
         self._transport = transport
         self._role = role
@@ -292,26 +298,26 @@
         self._batch_bytes = batch_bytes
         self._stopped = False
         self._link: Link | None = None
-        self._work: futures.Future | None = None
+        self._task: futures.Future | None = None
 
     def start(self) -> None:
-        """Begin dialling in the background."""
-        self._work = eventloop.spawn(self._run())
+        """Start connecting in the background."""
+        self._task = eventloop.spawn(self._run())
 
     @property
     def link(self) -> Link | None:
-        """The open link, or None; it may be lost at any moment."""
+        """The open link, or None; it may be lost at any time."""
         link = self._link
         return link if link is not None and link.peer is not None else None
 
     def stop(self) -> None:
-        """Close the link after what is queued, and dial no more."""
+        """Close the link after the queued frames and stop reconnecting."""
         self._stopped = True
         link = self._link
         if link is not None:
             link.close()
-        elif self._work is not None:
-            self._work.cancel()
+        elif self._task is not None:
+            self._task.cancel()
 
     async def _connect(self) -> str:
         link = Link(
@@ -319,7 +325,7 @@
             self._hello(),
             self._timing,
             self._batch_bytes,
-            self._transport.guard_dialled(self._role),
+            self._transport.make_dialled_guard(self._role),
         )
         async with self._transport.dial_async(
             self.address, self._role, _CHANNEL_OPTIONS
@@ -331,25 +337,25 @@
             finally:
                 call.cancel()
                 self._link = None
-        link.end(reason)
+        link.notify_down(reason)
         return reason
 
-    def _note(self, reason: str, former: str) -> None:
+    def _log_loss(self, reason: str, previous: str) -> None:
         logging.debug('link to %s lost: %s', self.address, reason)
-        if reason.startswith(_HANDSHAKE) and reason != former:
+        if reason.startswith(_HANDSHAKE) and reason != previous:
             detail = f'a link to {self.address}: {reason}'
             self._transport.refusals.add(_HANDSHAKE, detail)
 
     async def _run(self) -> None:
         reason = ''
         while not self._stopped:
-            former = reason
+            previous = reason
             try:
                 reason = await self._connect()
             except grpc.RpcError as error:
                 reason = _describe(error)
             if self._stopped:
                 return
-            self._note(reason, former)
+            self._log_loss(reason, previous)
             pause = self._timing.redial * random.uniform(0.1, 1.0)
             await asyncio.sleep(pause)
--- a/packages/adapters/src/dunlintide_adapters/httpgate.py
+++ b/packages/adapters/src/dunlintide_adapters/requestlimiter.py
@@ -1,4 +1,4 @@
-"""A WSGI application that runs a bounded number of requests at once."""
+"""WSGI middleware that limits the number of concurrent requests."""
 
 import collections
 import functools
@@ -12,21 +12,22 @@
 from dunlintide_core import thresholds
 
 __all__ = [
-    'JOIN',
-    'Gate',
+    'JOIN_GROUP',
+    'RequestLimiter',
 ]
 
-# Key of a function in the environment of a request: it counts the request
-# to a group and tells whether the group may run another one now.
-JOIN = 'dunlintide.join'
+# Environment key of a function that assigns the request to a group, and
+# returns whether the group may run another request now.
+JOIN_GROUP = 'dunlintide.join'
 
-_PIECE_BYTES = 64 << 10
+_MAX_CHUNK_BYTES = 64 << 10
 
 
 class _Body:
-    """Body of an answer in pieces that the output buffer bounds.
+    """Body of an answer, split into chunks of bounded size.
 
-    waitress takes a piece of any size once it is below its watermark.
+    waitress buffers a chunk of any size once its output buffer is below the
+    high watermark, so large chunks would exceed it.
     """
 
     def __init__(
@@ -37,18 +38,18 @@
 
     def __iter__(self):
         for chunk in self._chunks:
-            if len(chunk) <= _PIECE_BYTES:
+            if len(chunk) <= _MAX_CHUNK_BYTES:
                 yield chunk
                 continue
-            for start in range(0, len(chunk), _PIECE_BYTES):
-                yield chunk[start : start + _PIECE_BYTES]
+            for start in range(0, len(chunk), _MAX_CHUNK_BYTES):
+                yield chunk[start : start + _MAX_CHUNK_BYTES]
 
     def __len__(self) -> int:
-        # waitress takes the length of the first piece for that of the
-        # answer when this is 1; any other value tells it nothing.
+        # When this is 1, waitress derives Content-Length from the first
+        # chunk; it ignores any other value.
         chunks = self._chunks
         if isinstance(chunks, (list, tuple)) and len(chunks) == 1:
-            return 1 if len(chunks[0]) <= _PIECE_BYTES else 0
+            return 1 if len(chunks[0]) <= _MAX_CHUNK_BYTES else 0
         return 0
 
     def close(self) -> None:
@@ -61,17 +62,17 @@
 
 
 @attrs.define(eq=False)
-class _Seat:
-    """One running request and the group that it counts to."""
+class _RunningRequest:
+    """A running request and its group, empty before it joins one."""
 
     group: str = ''
 
 
-class Gate:
-    """Runs at most so many requests at once and refuses the others.
+class RequestLimiter:
+    """Refuses requests above a concurrency limit with status 503.
 
-    A group of requests may hold a multiple of what is free, so that none
-    takes all threads.
+    A group of requests can use at most a multiple of the free slots, so that
+    no group takes all threads.
     """
 
     def __init__(
@@ -87,31 +88,31 @@
         self._lock = threading.Lock()
         self._groups: collections.Counter[str] = collections.Counter()
 
-    def _enter(self) -> bool:
+    def _acquire(self) -> bool:
         with self._lock:
             if self.in_flight >= self._limit:
                 return False
             self.in_flight += 1
             return True
 
-    def _join(self, seat: _Seat, group: str) -> bool:
+    def _join_group(self, request: _RunningRequest, group: str) -> bool:
         with self._lock:
             free = self._limit - self.in_flight
-            # Its own place may be the last one.
+            # The request already holds a slot, which counts as free here.
             if not thresholds.admits(self._groups[group], free + 1):
                 return False
-            seat.group = group
+            request.group = group
             self._groups[group] += 1
             return True
 
-    def _leave(self, seat: _Seat) -> None:
+    def _release_slot(self, request: _RunningRequest) -> None:
         with self._lock:
             self.in_flight -= 1
-            if not seat.group:
+            if not request.group:
                 return
-            self._groups[seat.group] -= 1
-            if not self._groups[seat.group]:
-                del self._groups[seat.group]
+            self._groups[request.group] -= 1
+            if not self._groups[request.group]:
+                del self._groups[request.group]
 
     def _refuse(self, start_response: Callable) -> list[bytes]:
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
@@ -122,13 +123,13 @@
         return [page.body]
 
     def __call__(self, environ: dict, start_response: Callable):
-        if not self._enter():
+        if not self._acquire():
             return self._refuse(start_response)
-        seat = _Seat()
-        environ[JOIN] = functools.partial(self._join, seat)
+        request = _RunningRequest()
+        environ[JOIN_GROUP] = functools.partial(self._join_group, request)
         try:
             chunks = self._app(environ, start_response)
         except BaseException:
-            self._leave(seat)
+            self._release_slot(request)
             raise
-        return _Body(chunks, functools.partial(self._leave, seat))
+        return _Body(chunks, functools.partial(self._release_slot, request))
--- a/packages/daemon/src/dunlintide_daemon/agent/crashes.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/crashes.py
@@ -31,7 +31,7 @@
         if not health.err_value.sent:
             return True
         closed_connections = (
-            closed_connections + 1 if health.err_value.ended else 0
+            closed_connections + 1 if health.err_value.closed else 0
         )
         if closed_connections >= MAX_CLOSED_CONNECTIONS:
             return True
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -423,7 +423,7 @@
         lost_jobs = [job for job in jobs if job.step.session in lost_sessions]
         if lost_jobs:
             detail = 'the connection to the engine went silent'
-            error = engines.EngineError(detail, lost=True)
+            error = engines.EngineError(detail, connection_lost=True)
             self._handlers.failed(lost_jobs, error)
             self._release(lost_jobs)
         kept = [job for job in jobs if job.step.session not in lost_sessions]
--- a/packages/daemon/src/dunlintide_daemon/agent/enginecomponents.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/enginecomponents.py
@@ -87,7 +87,7 @@
         monitor = None
         if settings.limits.cache_news:
             monitor = caching.CacheMonitor(
-                cacheevents.Source(engine),
+                cacheevents.EventReader(engine),
                 dependencies.counts,
                 settings.limits.cache_news,
             )
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -261,7 +261,7 @@
             connection = await state.pool.acquire(
                 endpoint.address, CONNECT_SECONDS, max_idle
             )
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             state.eject(
                 [endpoint.name], str(broken), exchange.caller_request.name
             )
@@ -270,8 +270,8 @@
         exchange.runs += 1
         try:
             return await self._exchange(exchange, endpoint, connection)
-        except endpointhttp.Broken as broken:
-            if broken.fault is not endpointhttp.Fault.TIMEOUT:
+        except endpointhttp.CallError as broken:
+            if broken.kind is not endpointhttp.FailureKind.TIMEOUT:
                 state.poison_requests.record_broken_run(
                     exchange.fingerprint, endpoint.name, state.now
                 )
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -58,8 +58,10 @@
     return host, int(port)
 
 
-def _make_bounds(limits: deployments.CallerLimits) -> callermessages.Bounds:
-    return callermessages.Bounds(
+def _make_bounds(
+    limits: deployments.CallerLimits,
+) -> callermessages.RequestLimits:
+    return callermessages.RequestLimits(
         limits.header_bytes,
         limits.body_bytes,
         limits.header_seconds,
@@ -205,7 +207,7 @@
         if listener is not None and listener.getsockname() == _split_address(
             address
         ):
-            await self._callers.listen_on(listener)
+            await self._callers.listen_on_socket(listener)
             return
         if listener is not None:
             listener.close()
@@ -235,7 +237,7 @@
     def _update_bounds(self) -> None:
         deployment = self._state.deployment
         if deployment is not None:
-            self._callers.bounds = _make_bounds(deployment.limits)
+            self._callers.limits = _make_bounds(deployment.limits)
 
     async def _run_maintenance(self) -> None:
         state = self._state
@@ -282,7 +284,7 @@
             connection = await state.pool.acquire(
                 entry.admin, FETCH_TIMEOUT_SECONDS
             )
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             self._log_error('configuration not fetched', broken)
             return
         try:
@@ -290,7 +292,7 @@
             connection.send(text.encode('latin-1'))
             await connection.read_head(deadline)
             value = await connection.read_all(deadline)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             self._log_error('configuration not fetched', broken)
             return
         finally:
@@ -361,7 +363,7 @@
                 await self._leadership.resign()
                 await self._registrar.unregister()
         await asyncio.sleep(max(0.0, began + KEEP_ALIVE_SECONDS - state.now))
-        self._callers.end_reuse()
+        self._callers.stop_keepalive()
         while state.now < last and self._callers.connections:
             await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
         state.log.write_always(
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -41,8 +41,8 @@
 PACE_WINDOW_SECONDS = 0.25
 # Faults for which the first endpoint of the chain is not to blame.
 _INCONCLUSIVE_FAULTS = (
-    endpointhttp.Fault.TIMEOUT,
-    endpointhttp.Fault.ABANDONED,
+    endpointhttp.FailureKind.TIMEOUT,
+    endpointhttp.FailureKind.ABANDONED,
 )
 
 
@@ -165,7 +165,7 @@
         state = self._state
         try:
             return await state.pool.acquire(run.first.address, CONNECT_SECONDS)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             exchange.excluded_endpoints.append(run.first.name)
             state.eject(
                 [run.first.name], str(broken), exchange.caller_request.name
@@ -228,7 +228,7 @@
             if not verdict.signed:
                 raise runends.RunEnded(True, 'answer without a signature')
             await self._forward_events(stream, run, connection, head)
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             self._record_break(exchange, run, broken)
             raise runends.RunEnded(True, f'run broke: {broken}') from broken
         return Outcome.COMPLETE
@@ -259,10 +259,10 @@
         self,
         exchange: exchange_module.Exchange,
         run: _Run,
-        broken: endpointhttp.Broken,
+        broken: endpointhttp.CallError,
     ) -> None:
         state = self._state
-        if broken.fault in _INCONCLUSIVE_FAULTS:
+        if broken.kind in _INCONCLUSIVE_FAULTS:
             return
         exchange.excluded_endpoints.append(run.first.name)
         count = state.poison_requests.record_broken_run(
@@ -272,7 +272,7 @@
             'run broken',
             request=exchange.caller_request.name,
             endpoint=run.first.name,
-            fault=broken.fault,
+            fault=broken.kind,
             broken_runs=count,
         )
 
@@ -310,8 +310,8 @@
             due = min(run.last_progress + limit, stream.exchange.deadline)
             try:
                 return await read(due)
-            except endpointhttp.Broken as broken:
-                if broken.fault is not endpointhttp.Fault.TIMEOUT:
+            except endpointhttp.CallError as broken:
+                if broken.kind is not endpointhttp.FailureKind.TIMEOUT:
                     raise
                 stall = stalls.Stall(
                     run.names, run.last_progress, run.events > 0
@@ -379,7 +379,7 @@
     ) -> None:
         counters = self._state.counters
         if exchange.first_event_delay is None:
-            exchange.first_event_delay = now - exchange.request.arrived
+            exchange.first_event_delay = now - exchange.request.received_at
             counters.first_event_seconds.observe(exchange.first_event_delay)
         else:
             gap = now - exchange.last_event
