--- a/features/steps/claims.py
+++ b/features/steps/claims.py
@@ -95,7 +95,7 @@
             address = claims.choose_owner(bucket, addresses)
             return None if address == own else address
 
-        timing = claimroutes.RouteTiming(answer=WAIT_SECONDS)
+        timing = claimroutes.RouteTiming(timeout=WAIT_SECONDS)
         routed = claimroutes.RoutedWriter(writer, find, timing)
         context.stack.callback(routed.close)
         return routed
@@ -121,7 +121,7 @@
 def tell_owners(context):
     addresses = {address for _, address in context.servers}
     for writer, (_, own) in zip(context.writers, context.servers):
-        writer.keep(addresses - {own})
+        writer.update_owners(addresses - {own})
 
 
 @behave.then('the writers together start at most {count:d} commits a second')
--- a/features/steps/configstore.py
+++ b/features/steps/configstore.py
@@ -164,7 +164,7 @@
 
 @behave.then('the delayed write is refused after the change was settled')
 def check_late(context):
-    assert isinstance(context.late.unwrap_err(), store.CasLost)
+    assert isinstance(context.late.unwrap_err(), store.CasConflict)
     assert context.applied.is_ok(), context.applied
 
 
@@ -174,18 +174,18 @@
 def change_and_collect(context, count, kept):
     for number in range(count):
         add(context, f'extra-{number}').unwrap()
-    context.configs.collect(kept)
+    context.configs.collect_garbage(kept)
 
 
 @behave.then('{count:d} revisions can be read and no chunk is left over')
 def check_collected(context, count):
-    heads = context.configs.history().unwrap()
+    heads = context.configs.list_history().unwrap()
     assert len(heads) == count, heads
     used = set()
     for head in heads:
         read = context.configs.read_revision(head.revision).unwrap()
         assert read.head == head
-        used |= {configkeys.build_chunk(digest) for digest in head.chunks}
+        used |= {configkeys.build_chunk_key(digest) for digest in head.chunks}
     assert list_chunks(context) == used
     oldest = heads[-1].revision
     assert context.configs.read_revision(oldest - 1).unwrap() is None
@@ -195,7 +195,7 @@
 def collect_between(context):
     def act(transact, expects, puts):
         before = list_chunks(context)
-        context.configs.collect()
+        context.configs.collect_garbage()
         assert list_chunks(context) < before, 'nothing was collected'
         return transact(expects, puts)
 
@@ -249,8 +249,8 @@
         add(context, name).unwrap()
     wait_until(lambda: context.seen[-1].head.revision == 3)
     # The follower looks away, as it would during an outage.
-    follower_read = context.configs.read_mark
-    context.configs.read_mark = lambda: result.Err(None)
+    follower_read = context.configs.read_mod_revision
+    context.configs.read_mod_revision = lambda: result.Err(None)
     control(context, '/restore')
     # A process that holds nothing else, as a command line.
     operator = configstore.ConfigStore.from_store(context.client)
@@ -262,7 +262,7 @@
         'operator',
         '',
     ).unwrap()
-    context.configs.read_mark = follower_read
+    context.configs.read_mod_revision = follower_read
 
 
 @behave.then('the process comes to the team "{name}" at revision {revision:d}')
@@ -279,7 +279,9 @@
 def follow_and_stop(context, pause):
     polled, stop = threading.Event(), threading.Event()
     configs = mock.Mock()
-    configs.read_mark.side_effect = lambda: polled.set() or result.Err('away')
+    configs.read_mod_revision.side_effect = lambda: polled.set() or result.Err(
+        'away'
+    )
     context.follower = threading.Thread(
         target=configwatch.watch,
         args=(configs, lambda snapshot: None, stop),
--- a/features/steps/links.py
+++ b/features/steps/links.py
@@ -3,9 +3,9 @@
 import random
 
 import behave
+from dunlintide_adapters import keepalive
 from dunlintide_adapters import links
 from dunlintide_adapters import linkserver
-from dunlintide_adapters import pulse
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_daemon.agent import reports
 from dunlintide_standins import relay
@@ -108,15 +108,15 @@
     'the signs of life of a link with pings each {ping:d} s and {silence:d} '
     's of silence'
 )
-def make_pulse(context, ping, silence):
-    context.pulse = pulse.Pulse(ping, silence, 0.0)
+def make_keepalive(context, ping, silence):
+    context.keepalive = keepalive.Keepalive(ping, silence, 0.0)
 
 
 @behave.when(
     'it carries work {work} and then runs for {end:d} s, heard until '
     '{heard:d} s'
 )
-def run_pulse(context, work, end, heard):
+def run_keepalive(context, work, end, heard):
     moments = EACH_SECOND if work == 'each second' else read_numbers(work)
     context.pings = []
     context.silent = []
@@ -124,12 +124,12 @@
     for tick in range(int(end / TICK)):
         now = tick * TICK
         if now <= heard:
-            context.pulse.hear(now)
+            context.keepalive.note_received(now)
         if now in moments:
-            context.pulse.use(now)
-        if context.pulse.is_silent(now):
+            context.keepalive.note_work(now)
+        if context.keepalive.is_silent(now):
             context.silent.append(now)
-        if context.pulse.is_due(sent, now):
+        if context.keepalive.is_ping_due(sent, now):
             context.pings.append(now)
             sent = now
 
@@ -138,7 +138,7 @@
     'it has sent {least:d} to {most:d} pings and counts as silent after '
     '{first:d} to {last:d} s'
 )
-def check_pulse(context, least, most, first, last):
+def check_keepalive(context, least, most, first, last):
     assert least <= len(context.pings) <= most, context.pings
     assert first <= context.silent[0] <= last, context.silent[0]
 
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -57,7 +57,7 @@
 
 @behave.then('the write is lost')
 def check_lost(context):
-    assert isinstance(context.written.unwrap_err(), store.CasLost)
+    assert isinstance(context.written.unwrap_err(), store.CasConflict)
 
 
 @behave.then('the store holds "{text}"')
--- a/packages/adapters/src/dunlintide_adapters/claimroutes.py
+++ b/packages/adapters/src/dunlintide_adapters/claimroutes.py
@@ -21,7 +21,7 @@
 from dunlintide_core import fleet
 
 __all__ = [
-    'Owner',
+    'OwnerLookup',
     'RoutedWriter',
     'RouteTiming',
     'add_service',
@@ -36,7 +36,7 @@
 )
 
 # Address of the entry that owns a bucket, None for this one.
-Owner = Callable[[int], str | None]
+OwnerLookup = Callable[[int], str | None]
 
 _Status = link_pb2.BindOutcome.Status
 
@@ -50,8 +50,8 @@
     :ivar rest: how long an owner that failed is left alone
     """
 
-    answer: float = 1.0
-    rest: float = 2.0
+    timeout: float = 1.0
+    backoff: float = 2.0
 
 
 def _encode(outcome: writers.Outcome) -> link_pb2.BindOutcome:
@@ -128,16 +128,16 @@
         self._stub = link_pb2_grpc.ClaimsStub(self._channel)
         self._lock = threading.Lock()
         self._queue: list[writers.Pending] = []
-        self._open = False
-        self._rests_until = 0.0
+        self._has_open_call = False
+        self._backoff_until = 0.0
 
     def put(self, pending: writers.Pending) -> None:
         """Send a claim, or divert it while the owner is left alone."""
         with self._lock:
-            resting = time.monotonic() < self._rests_until
-            if not resting:
+            is_backing_off = time.monotonic() < self._backoff_until
+            if not is_backing_off:
                 self._queue.append(pending)
-        if resting:
+        if is_backing_off:
             self._divert(pending)
         else:
             self._send()
@@ -146,45 +146,49 @@
         """End open calls; their claims are diverted."""
         self._channel.close()
 
-    def _take(self) -> list[writers.Pending]:
+    def _take_batch(self) -> list[writers.Pending]:
         with self._lock:
-            if self._open:
+            if self._has_open_call:
                 return []
             batch = self._queue[:MAX_BATCH]
             del self._queue[:MAX_BATCH]
-            self._open = bool(batch)
+            self._has_open_call = bool(batch)
             return batch
 
     def _send(self) -> None:
-        batch = self._take()
+        batch = self._take_batch()
         if not batch:
             return
         request = link_pb2.BindRequest(
-            bindings=[claims.encode_binding(one.wanted) for one in batch],
-            timeout_ms=int(self._timing.answer * 1000),
+            bindings=[
+                claims.encode_binding(pending.wanted) for pending in batch
+            ],
+            timeout_ms=int(self._timing.timeout * 1000),
         )
         try:
-            call = self._stub.Bind.future(request, timeout=self._timing.answer)
+            call = self._stub.Bind.future(
+                request, timeout=self._timing.timeout
+            )
         except ValueError:
             # The channel was closed while a claim was on its way.
-            self._end(batch, None)
+            self._settle_batch(batch, None)
             return
-        call.add_done_callback(lambda done: self._finish(batch, done))
+        call.add_done_callback(lambda done: self._handle_reply(batch, done))
 
-    def _finish(self, batch: list[writers.Pending], call) -> None:
+    def _handle_reply(self, batch: list[writers.Pending], call) -> None:
         answered = call.code() is grpc.StatusCode.OK
-        self._end(batch, call.result() if answered else None)
+        self._settle_batch(batch, call.result() if answered else None)
         self._send()
 
-    def _end(
+    def _settle_batch(
         self,
         batch: list[writers.Pending],
         reply: link_pb2.BindReply | None,
     ) -> None:
         with self._lock:
-            self._open = False
+            self._has_open_call = False
             if reply is None:
-                self._rests_until = time.monotonic() + self._timing.rest
+                self._backoff_until = time.monotonic() + self._timing.backoff
                 batch = batch + self._queue
                 self._queue = []
         if reply is None:
@@ -204,7 +208,7 @@
     def __init__(
         self,
         writer: writers.ClaimWriter,
-        owner: Owner,
+        owner: OwnerLookup,
         timing: RouteTiming = RouteTiming(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
@@ -243,21 +247,21 @@
             return self._writer.release(binding, timeout)
         return self._send(address, claims.build_release(binding), timeout)
 
-    def keep(self, addresses: set[str]) -> None:
+    def update_owners(self, addresses: set[str]) -> None:
         """Close the routes to entries that own nothing any more.
 
         :param addresses: the other owners
         """
-        self._writer.pace(len(addresses) + 1)
+        self._writer.set_writer_count(len(addresses) + 1)
         self._close_others(addresses)
 
     def _close_others(self, addresses: set[str]) -> None:
         with self._lock:
-            gone = [
+            closed = [
                 self._routes.pop(address)
                 for address in self._routes.keys() - addresses
             ]
-        for route in gone:
+        for route in closed:
             route.close()
 
     def close(self) -> None:
@@ -266,8 +270,11 @@
 
     def dump(self) -> dict:
         """Tell the state, without keys."""
-        own = self._writer.dump()
-        return own | {'routes': len(self._routes), 'diverted': self.diverted}
+        writer_state = self._writer.dump()
+        return writer_state | {
+            'routes': len(self._routes),
+            'diverted': self.diverted,
+        }
 
     def _find_owner(self, binding: claims.Binding) -> str | None:
         return self._owner(claims.choose_bucket(binding.key_digest))
--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -31,7 +31,7 @@
 
 PREFIX = '/dunlintide/claims/'
 # What all writers together may ask of a store that takes several hundred.
-WRITES_PER_SECOND = 200.0
+MAX_WRITES_PER_SECOND = 200.0
 MAX_CLAIMS_PER_COMMIT = 2000
 # A store transaction takes at most 128 operations; each bucket needs two.
 MAX_BUCKETS_PER_COMMIT = 48
@@ -50,7 +50,7 @@
     """
 
     interval: float = 0.01
-    retry: float = 0.2
+    retry_delay: float = 0.2
 
 
 @attrs.frozen
@@ -150,13 +150,13 @@
             self._ready.notify_all()
         self._thread.join()
 
-    def pace(self, writers: int) -> None:
+    def set_writer_count(self, writers: int) -> None:
         """Keep to this writer's part of the store's writes.
 
         :param writers: how many processes commit claims
         """
         self._interval = max(
-            self._timing.interval, writers / WRITES_PER_SECOND
+            self._timing.interval, writers / MAX_WRITES_PER_SECOND
         )
 
     def bind(self, wanted: claims.Binding, timeout: float) -> Outcome:
@@ -209,16 +209,16 @@
             },
         }
 
-    def _take(self) -> list[Pending]:
+    def _take_batch(self) -> list[Pending]:
         with self._ready:
             while not self._queue and not self._stopped:
                 self._ready.wait()
             if self._stopped:
                 return []
             now = time.monotonic()
-            taken: list[Pending] = []
+            batch: list[Pending] = []
             touched: set[int] = set()
-            while self._queue and len(taken) < MAX_CLAIMS_PER_COMMIT:
+            while self._queue and len(batch) < MAX_CLAIMS_PER_COMMIT:
                 number = claims.choose_bucket(self._queue[0].wanted.key_digest)
                 if len(touched | {number}) > MAX_BUCKETS_PER_COMMIT:
                     break
@@ -226,46 +226,46 @@
                 if pending.deadline <= now:
                     continue
                 touched.add(number)
-                taken.append(pending)
-            return taken
+                batch.append(pending)
+            return batch
 
     def _run(self) -> None:
         while not self._stopped:
             started = time.monotonic()
-            batch = self._take()
+            batch = self._take_batch()
             if batch:
-                self._settle(batch)
-            spent = time.monotonic() - started
-            time.sleep(max(0.0, self._interval - spent))
+                self._settle_batch(batch)
+            elapsed = time.monotonic() - started
+            time.sleep(max(0.0, self._interval - elapsed))
 
-    def _settle(self, batch: list[Pending]) -> None:
+    def _settle_batch(self, batch: list[Pending]) -> None:
         while not self._stopped:
-            batch = self._settle_known(batch)
+            batch = self._settle_from_buckets(batch)
             now = time.monotonic()
             batch = [pending for pending in batch if pending.deadline > now]
             if not batch or self._commit(batch):
                 return
 
-    def _settle_known(self, batch: list[Pending]) -> list[Pending]:
+    def _settle_from_buckets(self, batch: list[Pending]) -> list[Pending]:
         """Settle what the buckets answer; keep one claim of each key."""
-        rest: dict[bytes, Pending] = {}
+        unsettled: dict[bytes, Pending] = {}
         for pending in batch:
             digest = pending.wanted.key_digest
-            found = self._bucket(claims.choose_bucket(digest)).find_conflict(
-                pending.wanted
-            )
+            found = self._get_bucket(
+                claims.choose_bucket(digest)
+            ).find_conflict(pending.wanted)
             if isinstance(found, claims.Conflict):
                 pending.settle(result.Ok(found.binding))
             elif isinstance(found, claims.ReusedKey):
                 pending.settle(result.Err(found))
-            elif digest in rest:
+            elif digest in unsettled:
                 # Its twin is committed first; it meets that claim next.
                 self.put(pending)
             else:
-                rest[digest] = pending
-        return list(rest.values())
+                unsettled[digest] = pending
+        return list(unsettled.values())
 
-    def _bucket(self, number: int) -> claims.Bucket:
+    def _get_bucket(self, number: int) -> claims.Bucket:
         bucket = self._buckets.get(number)
         if bucket is None:
             bucket = self._buckets[number] = claims.Bucket()
@@ -279,35 +279,35 @@
             groups.setdefault(number, []).append(pending)
         lease = self._ensure_lease(batch)
         if lease is None:
-            time.sleep(self._timing.retry)
+            time.sleep(self._timing.retry_delay)
             return False
         outcome = self._store.transact(
-            self._compares(groups),
-            self._puts(groups, lease),
-            otherwise=self._reads(groups),
+            self._build_expects(groups),
+            self._build_puts(groups, lease),
+            failure_reads=self._build_reads(groups),
         )
         if isinstance(outcome, result.Ok):
-            self._take_commit(groups, outcome.ok_value)
+            self._apply_commit(groups, outcome.ok_value)
             return True
         if isinstance(outcome.err_value, storage.CasLost):
             self.conflicts += 1
-            self._take_reads(groups, outcome.err_value.ranges)
+            self._apply_reads(groups, outcome.err_value.ranges)
         else:
-            time.sleep(self._timing.retry)
+            time.sleep(self._timing.retry_delay)
         return False
 
-    def _compares(self, groups) -> list[gateway.Expect]:
+    def _build_expects(self, groups) -> list[gateway.Expect]:
         return [
             gateway.Expect(
-                _head_key(number), self._bucket(number).head_revision
+                _head_key(number), self._get_bucket(number).head_revision
             )
             for number in groups
         ]
 
-    def _puts(self, groups, lease: int) -> list[gateway.Put]:
+    def _build_puts(self, groups, lease: int) -> list[gateway.Put]:
         puts = []
         for number, pendings in groups.items():
-            sequence = self._bucket(number).sequence + 1
+            sequence = self._get_bucket(number).sequence + 1
             segment = claims.Segment(
                 tuple(pending.wanted for pending in pendings)
             )
@@ -323,17 +323,19 @@
             )
         return puts
 
-    def _reads(self, groups) -> list[gateway.Range]:
+    def _build_reads(self, groups) -> list[gateway.Range]:
         reads = []
         for number in groups:
             reads.append(gateway.Range(_head_key(number)))
-            reads.append(_segment_range(number, self._bucket(number).sequence))
+            reads.append(
+                _segment_range(number, self._get_bucket(number).sequence)
+            )
         return reads
 
-    def _take_commit(self, groups, revision: int) -> None:
+    def _apply_commit(self, groups, revision: int) -> None:
         self.commits += 1
         for number, pendings in groups.items():
-            bucket = self._bucket(number)
+            bucket = self._get_bucket(number)
             bucket.sequence += 1
             bucket.head_revision = revision
             wanted = tuple(pending.wanted for pending in pendings)
@@ -342,19 +344,19 @@
             for pending in pendings:
                 pending.settle(result.Ok(pending.wanted))
 
-    def _take_reads(
+    def _apply_reads(
         self, groups, ranges: tuple[tuple[storage.Value, ...], ...]
     ) -> None:
         """Take in what a lost transaction has brought back."""
         for index, number in enumerate(groups):
             heads, segments = ranges[2 * index], ranges[2 * index + 1]
             if len(segments) >= RANGE_PAGE:
-                rest = self._read_rest(number, segments[-1])
-                if rest is None:
+                more = self._read_more_pages(number, segments[-1])
+                if more is None:
                     # A head without all its segments would hide claims.
                     continue
-                segments = segments + rest
-            bucket = self._bucket(number)
+                segments = segments + more
+            bucket = self._get_bucket(number)
             bucket.apply_segments(
                 claims.decode_segment(value.value) for value in segments
             )
@@ -363,7 +365,7 @@
                 bucket.head_revision = heads[0].mod_revision
             bucket.expire(self._wall_clock())
 
-    def _read_rest(
+    def _read_more_pages(
         self, number: int, last: storage.Value
     ) -> tuple[storage.Value, ...] | None:
         """Read further pages of segments.
@@ -372,16 +374,16 @@
         the transaction that follows then loses and reads again, and to
         absorb a segment twice changes nothing.
         """
-        rest: list[storage.Value] = []
+        more: list[storage.Value] = []
         while True:
             after = int(last.key.rsplit('/', 1)[1])
             page = self._store.get_page(_segment_range(number, after))
             if isinstance(page, result.Err):
                 logging.warning('claims bucket %d: page not read', number)
                 return None
-            rest.extend(page.ok_value)
+            more.extend(page.ok_value)
             if len(page.ok_value) < RANGE_PAGE:
-                return tuple(rest)
+                return tuple(more)
             last = page.ok_value[-1]
 
     def _ensure_lease(self, batch: list[Pending]) -> int | None:
--- a/packages/adapters/src/dunlintide_adapters/configkeys.py
+++ b/packages/adapters/src/dunlintide_adapters/configkeys.py
@@ -6,8 +6,8 @@
     'HEAD',
     'HISTORY',
     'KEPT_REVISIONS',
-    'build_chunk',
-    'build_history',
+    'build_chunk_key',
+    'build_history_key',
 ]
 
 _ROOT = '/dunlintide/config/'
@@ -21,11 +21,11 @@
 _REVISION_DIGITS = 16
 
 
-def build_chunk(digest: str) -> str:
+def build_chunk_key(digest: str) -> str:
     """Give the key of a chunk."""
     return f'{CHUNKS}{digest}'
 
 
-def build_history(revision: int) -> str:
+def build_history_key(revision: int) -> str:
     """Give the key of a kept head; keys sort by revision."""
     return f'{HISTORY}{revision:0{_REVISION_DIGITS}d}'
--- a/packages/adapters/src/dunlintide_adapters/configstore.py
+++ b/packages/adapters/src/dunlintide_adapters/configstore.py
@@ -30,11 +30,11 @@
 ]
 
 # Revisions between two removals of what nothing refers to.
-COLLECT_EVERY = 16
+COLLECT_INTERVAL_REVISIONS = 16
 
 _MAX_ATTEMPTS = 5
-_SETTLE_SECONDS = 10.0
-_SETTLE_PAUSE_SECONDS = 0.1
+_FENCE_TIMEOUT_SECONDS = 10.0
+_FENCE_RETRY_SECONDS = 0.1
 # A transaction of etcd holds 128 operations by default.
 _DELETE_BATCH = 100
 
@@ -47,8 +47,8 @@
 @attrs.frozen
 class _State:
     head: revisions.Head | None
-    head_mod: int
-    guard_mod: int
+    head_mod_revision: int
+    guard_mod_revision: int
 
     @property
     def revision(self) -> int:
@@ -57,12 +57,12 @@
     @property
     def expects(self) -> tuple[gateway.Expect, ...]:
         return (
-            gateway.Expect(configkeys.HEAD, self.head_mod),
-            gateway.Expect(configkeys.GUARD, self.guard_mod),
+            gateway.Expect(configkeys.HEAD, self.head_mod_revision),
+            gateway.Expect(configkeys.GUARD, self.guard_mod_revision),
         )
 
 
-def _fail(failure: storefailures.StoreFailure) -> Failure:
+def _convert_failure(failure: storefailures.StoreFailure) -> Failure:
     text = f'store: {failure.kind} ({failure.message})'
     return Failure(text, failure.maybe_applied)
 
@@ -74,7 +74,9 @@
     for value in values:
         decoded = revisions.decode_head(value.value)
         if decoded.is_err():
-            return decoded.map_err(lambda damage: Failure(damage.message))
+            return decoded.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
         heads.append(decoded.ok_value)
     return result.Ok(tuple(heads))
 
@@ -86,21 +88,23 @@
     next read costs what has changed. Threads may share it.
     """
 
-    def __init__(self, store: stores.Store, wall: Callable[[], float]) -> None:
+    def __init__(
+        self, store: stores.Store, wall_clock: Callable[[], float]
+    ) -> None:
         """Remember the store; use ``from_store`` instead."""
         self._store = store
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._chunks: dict[str, bytes] = {}
 
     @classmethod
     def from_store(
-        cls, store: stores.Store, wall: Callable[[], float] = time.time
+        cls, store: stores.Store, wall_clock: Callable[[], float] = time.time
     ) -> 'ConfigStore':
         """Build on a client of the store.
 
         :param wall: gives seconds since the epoch
         """
-        return cls(store, wall)
+        return cls(store, wall_clock)
 
     @classmethod
     def from_url(cls, url: str) -> 'ConfigStore':
@@ -130,29 +134,33 @@
                 break
         return read
 
-    def read_mark(self) -> result.Result[int, Failure]:
+    def read_mod_revision(self) -> result.Result[int, Failure]:
         """Read a number that changes with the head, in few bytes."""
         found = self._store.get_revision(configkeys.HEAD)
-        return found.map_err(_fail)
+        return found.map_err(_convert_failure)
 
-    def history(self) -> result.Result[tuple[revisions.Head, ...], Failure]:
+    def list_history(
+        self,
+    ) -> result.Result[tuple[revisions.Head, ...], Failure]:
         """List the heads that are kept, the newest first."""
         found = self._store.get_range(configkeys.HISTORY)
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         return _decode_heads(reversed(found.ok_value))
 
     def read_revision(
         self, revision: int
     ) -> result.Result[Snapshot | None, Failure]:
         """Read an earlier revision; None when it is not kept."""
-        found = self._store.get(configkeys.build_history(revision))
+        found = self._store.get(configkeys.build_history_key(revision))
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         if found.ok_value is None:
             return result.Ok(None)
         heads = _decode_heads([found.ok_value])
-        return heads.and_then(lambda heads: self._load(heads[0], keep=False))
+        return heads.and_then(
+            lambda heads: self._load(heads[0], update_cache=False)
+        )
 
     def apply(
         self,
@@ -179,17 +187,19 @@
         """
         split = revisions.split(document)
         if split.is_err():
-            return split.map_err(lambda damage: Failure(damage.message))
+            return split.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
         chunks = split.ok_value
 
         def build(parent: revisions.Head | None) -> revisions.Head:
             head = revisions.make_head(
-                parent, chunks, change_id, author, comment, self._wall()
+                parent, chunks, change_id, author, comment, self._wall_clock()
             )
             return attrs.evolve(head, revision=max(head.revision, floor + 1))
 
         for _ in range(_MAX_ATTEMPTS):
-            outcome = self._attempt(base_revision, change_id, chunks, build)
+            outcome = self._try_apply(base_revision, change_id, chunks, build)
             if outcome is not None:
                 return outcome
         return result.Err(Failure('the configuration kept changing'))
@@ -198,7 +208,7 @@
         self,
         on_snapshot: Callable[[Snapshot], None],
         stop: threading.Event,
-        held: Snapshot | None = None,
+        current: Snapshot | None = None,
         poll_seconds: float = configwatch.POLL_SECONDS,
         on_read: Callable[[int], None] = lambda revision: None,
     ) -> None:
@@ -212,10 +222,12 @@
         :param poll_seconds: longest time between two reads, in seconds
         :param on_read: called with each revision that the store held
         """
-        configwatch.watch(self, on_snapshot, stop, held, poll_seconds, on_read)
+        configwatch.watch(
+            self, on_snapshot, stop, current, poll_seconds, on_read
+        )
 
     def republish(
-        self, snapshot: Snapshot, over: str | None
+        self, snapshot: Snapshot, replaced_change_id: str | None
     ) -> result.Result[revisions.Head, Failure]:
         """Put a head into a store that was restored to an older one.
 
@@ -227,19 +239,21 @@
         if state.is_err():
             return state
         head = state.ok_value.head
-        if (head.change_id if head else None) != over:
+        if (head.change_id if head else None) != replaced_change_id:
             return result.Err(Failure('another process wrote first'))
         split = revisions.split(snapshot.document)
         if split.is_err():
-            return split.map_err(lambda damage: Failure(damage.message))
+            return split.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
         written = self._write(state.ok_value, split.ok_value, snapshot.head)
         if written.is_ok():
             return result.Ok(snapshot.head)
-        if isinstance(written.err_value, stores.CasLost):
+        if isinstance(written.err_value, stores.CasConflict):
             return result.Err(Failure('another process wrote first'))
-        return written.map_err(_fail)
+        return written.map_err(_convert_failure)
 
-    def collect(self, kept: int = configkeys.KEPT_REVISIONS) -> None:
+    def collect_garbage(self, kept: int = configkeys.KEPT_REVISIONS) -> None:
         """Remove old heads, and chunks that no kept head refers to.
 
         What fails is left for the next time.
@@ -256,39 +270,43 @@
             logging.error('history: %s', heads.err_value.message)
             return
         current = state.ok_value.head
-        used = {
-            configkeys.build_chunk(digest)
+        used_keys = {
+            configkeys.build_chunk_key(digest)
             for head in (*heads.ok_value, *([current] if current else []))
             for digest in head.chunks
         }
-        stale = [value.key for value in history.ok_value[:-kept]]
-        stale += [
-            value.key for value in chunks.ok_value if value.key not in used
+        stale_keys = [value.key for value in history.ok_value[:-kept]]
+        stale_keys += [
+            value.key
+            for value in chunks.ok_value
+            if value.key not in used_keys
         ]
-        self._remove(state.ok_value, stale)
+        self._delete_keys(state.ok_value, stale_keys)
 
     def _read_state(self) -> result.Result[_State, Failure]:
         found = self._store.get_many((configkeys.HEAD, configkeys.GUARD))
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         values = {value.key: value for value in found.ok_value}
         guard = values.get(configkeys.GUARD)
-        guard_mod = guard.mod_revision if guard else 0
+        guard_mod_revision = guard.mod_revision if guard else 0
         value = values.get(configkeys.HEAD)
         if value is None:
-            return result.Ok(_State(None, 0, guard_mod))
+            return result.Ok(_State(None, 0, guard_mod_revision))
         return _decode_heads([value]).map(
-            lambda heads: _State(heads[0], value.mod_revision, guard_mod)
+            lambda heads: _State(
+                heads[0], value.mod_revision, guard_mod_revision
+            )
         )
 
     def _load(
-        self, head: revisions.Head, keep: bool = True
+        self, head: revisions.Head, update_cache: bool = True
     ) -> result.Result[Snapshot, Failure]:
         known = self._chunks
         missing = revisions.find_missing(head, known)
-        found = self._store.get_many(map(configkeys.build_chunk, missing))
+        found = self._store.get_many(map(configkeys.build_chunk_key, missing))
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         bodies = {
             value.key.removeprefix(configkeys.CHUNKS): value.value
             for value in found.ok_value
@@ -298,12 +316,14 @@
         }
         joined = revisions.join(head, bodies)
         if joined.is_err():
-            return joined.map_err(lambda damage: Failure(damage.message))
-        if keep:
+            return joined.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
+        if update_cache:
             self._chunks = bodies
         return result.Ok(Snapshot(head, joined.ok_value))
 
-    def _attempt(
+    def _try_apply(
         self,
         base_revision: int,
         change_id: str,
@@ -325,43 +345,43 @@
         head = build(state.head)
         written = self._write(state, chunks, head)
         if written.is_ok():
-            if head.revision % COLLECT_EVERY == 0:
-                self.collect()
+            if head.revision % COLLECT_INTERVAL_REVISIONS == 0:
+                self.collect_garbage()
             return result.Ok(head)
         failure = written.err_value
-        if isinstance(failure, stores.CasLost):
+        if isinstance(failure, stores.CasConflict):
             return None
         if not failure.maybe_applied:
-            return result.Err(_fail(failure))
-        return self._rule_out(state)
+            return result.Err(_convert_failure(failure))
+        return self._fence_write(state)
 
     def _write(
         self,
         state: _State,
         chunks: Iterable[revisions.Chunk],
         head: revisions.Head,
-    ) -> result.Result[int, stores.CasLost | storefailures.StoreFailure]:
+    ) -> result.Result[int, stores.CasConflict | storefailures.StoreFailure]:
         written = self._write_chunks(chunks)
         if written.is_err():
             return written
         body = revisions.encode_head(head)
-        kept = configkeys.build_history(head.revision)
+        history_key = configkeys.build_history_key(head.revision)
         puts = (
             gateway.Put(configkeys.HEAD, body),
-            gateway.Put(kept, body),
+            gateway.Put(history_key, body),
         )
         return self._store.transact(state.expects, puts)
 
     def _write_chunks(
         self, chunks: Iterable[revisions.Chunk]
     ) -> result.Result[None, storefailures.StoreFailure]:
-        listed = self._store.get_range(configkeys.CHUNKS, keys_only=True)
-        if listed.is_err():
-            return listed
-        present = {value.key for value in listed.ok_value}
+        listing = self._store.get_range(configkeys.CHUNKS, keys_only=True)
+        if listing.is_err():
+            return listing
+        existing_keys = {value.key for value in listing.ok_value}
         for chunk in chunks:
-            key = configkeys.build_chunk(chunk.digest)
-            if key in present:
+            key = configkeys.build_chunk_key(chunk.digest)
+            if key in existing_keys:
                 continue
             written = self._store.compare_and_swap(key, 0, chunk.body)
             failure = written.err()
@@ -371,25 +391,27 @@
                 return result.Err(failure)
         return result.Ok(None)
 
-    def _rule_out(self, state: _State) -> result.Err[Failure] | None:
+    def _fence_write(self, state: _State) -> result.Err[Failure] | None:
         """Make a write that may still take effect impossible.
 
         Once the guard has changed, a late write of the head is refused;
         whether it was made before shows in the head.
         """
-        deadline = time.monotonic() + _SETTLE_SECONDS
+        deadline = time.monotonic() + _FENCE_TIMEOUT_SECONDS
         pause = threading.Event()
         while time.monotonic() < deadline:
             fenced = self._store.compare_and_swap(
-                configkeys.GUARD, state.guard_mod, b'settled'
+                configkeys.GUARD, state.guard_mod_revision, b'settled'
             )
-            if fenced.is_ok() or isinstance(fenced.err_value, stores.CasLost):
+            if fenced.is_ok() or isinstance(
+                fenced.err_value, stores.CasConflict
+            ):
                 return None
-            pause.wait(_SETTLE_PAUSE_SECONDS)
+            pause.wait(_FENCE_RETRY_SECONDS)
         text = 'the store gave no answer; apply again with the same change id'
         return result.Err(Failure(text, maybe_applied=True))
 
-    def _remove(self, state: _State, keys: list[str]) -> None:
+    def _delete_keys(self, state: _State, keys: list[str]) -> None:
         for start in range(0, len(keys), _DELETE_BATCH):
             removed = self._store.transact(
                 state.expects,
@@ -399,4 +421,4 @@
             if removed.is_err():
                 logging.info('removal of old configuration put off')
                 return
-            state = attrs.evolve(state, guard_mod=removed.ok_value)
+            state = attrs.evolve(state, guard_mod_revision=removed.ok_value)
--- a/packages/adapters/src/dunlintide_adapters/configwatch.py
+++ b/packages/adapters/src/dunlintide_adapters/configwatch.py
@@ -29,14 +29,14 @@
 POLL_SECONDS = 2.0
 
 # One read in this many looks at the head even if its mark is the same.
-_FULL_READ_EVERY = 15
-_JOIN_SECONDS = 2.0
+_FULL_READ_POLLS = 15
+_JOIN_TIMEOUT_SECONDS = 2.0
 # How often a pause looks whether it should end.
 _STOP_CHECK_SECONDS = 0.5
 
 
 def choose_repair(
-    held: configtypes.Snapshot, found: configtypes.Snapshot | None
+    current: configtypes.Snapshot, stored: configtypes.Snapshot | None
 ) -> configtypes.Snapshot | None:
     """Choose what to write to a store that was restored.
 
@@ -44,17 +44,17 @@
     :param found: what the store holds
     :returns: a snapshot to publish, None when the store is in order
     """
-    if found is None:
-        return held
-    head = found.head
-    if head.change_id == held.head.change_id:
-        return held if head.revision < held.head.revision else None
-    if head.revision > held.head.revision:
+    if stored is None:
+        return current
+    head = stored.head
+    if head.change_id == current.head.change_id:
+        return current if head.revision < current.head.revision else None
+    if head.revision > current.head.revision:
         return None
-    if revisions.has_change(held.head, head.change_id):
-        return held
-    lifted = attrs.evolve(head, revision=held.head.revision + 1)
-    return attrs.evolve(found, head=lifted)
+    if revisions.has_change(current.head, head.change_id):
+        return current
+    raised_head = attrs.evolve(head, revision=current.head.revision + 1)
+    return attrs.evolve(stored, head=raised_head)
 
 
 class _Follower:
@@ -64,66 +64,68 @@
         self,
         configs: Any,
         on_snapshot: Callable[[configtypes.Snapshot], None],
-        held: configtypes.Snapshot | None,
+        current: configtypes.Snapshot | None,
         on_read: Callable[[int], None],
     ) -> None:
         self._on_read = on_read
         self._configs = configs
         self._on_snapshot = on_snapshot
-        self._held = held
-        self._mark: int | None = None
+        self._current = current
+        self._mod_revision: int | None = None
         self._reads = 0
 
     def poll(self) -> None:
         """Look whether the head has changed, and take it up."""
-        mark = self._configs.read_mark()
-        if mark.is_err():
+        mod_revision = self._configs.read_mod_revision()
+        if mod_revision.is_err():
             return
         self._reads += 1
-        same = mark.ok_value == self._mark
-        if same and self._reads % _FULL_READ_EVERY:
+        is_unchanged = mod_revision.ok_value == self._mod_revision
+        if is_unchanged and self._reads % _FULL_READ_POLLS:
             return
-        if self._take(self._configs.read()):
-            self._mark = mark.ok_value
+        if self._handle_read(self._configs.read()):
+            self._mod_revision = mod_revision.ok_value
 
-    def _take(
+    def _handle_read(
         self,
         read: result.Result[configtypes.Snapshot | None, configtypes.Failure],
     ) -> bool:
         if read.is_err():
             logging.warning('configuration: %s', read.err_value.message)
             return False
-        found, held = read.ok_value, self._held
-        self._on_read(found.head.revision if found else 0)
-        repair = choose_repair(held, found) if held else None
+        stored, current = read.ok_value, self._current
+        self._on_read(stored.head.revision if stored else 0)
+        repair = choose_repair(current, stored) if current else None
         if repair is not None:
-            self._repair(repair, found)
+            self._repair(repair, stored)
             return False
-        if found and (not held or found.head.revision > held.head.revision):
-            self._held = found
-            self._on_snapshot(found)
+        if stored and (
+            not current or stored.head.revision > current.head.revision
+        ):
+            self._current = stored
+            self._on_snapshot(stored)
         return True
 
     def _repair(
         self,
         snapshot: configtypes.Snapshot,
-        found: configtypes.Snapshot | None,
+        stored: configtypes.Snapshot | None,
     ) -> None:
         revision = snapshot.head.revision
-        over = found.head.change_id if found else None
+        replaced_change_id = stored.head.change_id if stored else None
         logging.warning('the store fell back; writing revision %d', revision)
-        written = self._configs.republish(snapshot, over)
+        written = self._configs.republish(snapshot, replaced_change_id)
         if written.is_err():
             logging.warning('revision %d was not written', revision)
 
 
-def _pause(
+def _wait(
     wake: threading.Event, stop: threading.Event, seconds: float
 ) -> None:
     """Wait for a change, the end of the pause or a stop."""
-    until = time.monotonic() + seconds
-    while not stop.is_set() and (left := until - time.monotonic()) > 0:
-        if wake.wait(min(left, _STOP_CHECK_SECONDS)):
+    deadline = time.monotonic() + seconds
+    while not stop.is_set() and (remaining := deadline - time.monotonic()) > 0:
+        if wake.wait(min(remaining, _STOP_CHECK_SECONDS)):
             return
 
 
@@ -131,7 +133,7 @@
     configs: Any,
     on_snapshot: Callable[[configtypes.Snapshot], None],
     stop: threading.Event,
-    held: configtypes.Snapshot | None = None,
+    current: configtypes.Snapshot | None = None,
     poll_seconds: float = POLL_SECONDS,
     on_read: Callable[[int], None] = lambda revision: None,
 ) -> None:
@@ -148,10 +150,10 @@
         daemon=True,
     )
     watcher.start()
-    follower = _Follower(configs, on_snapshot, held, on_read)
+    follower = _Follower(configs, on_snapshot, current, on_read)
     while not stop.is_set():
         follower.poll()
-        _pause(wake, stop, poll_seconds * random.uniform(0.5, 1.0))
+        _wait(wake, stop, poll_seconds * random.uniform(0.5, 1.0))
         wake.clear()
     configs.store.interrupt()
-    watcher.join(_JOIN_SECONDS)
+    watcher.join(_JOIN_TIMEOUT_SECONDS)
--- a/packages/adapters/src/dunlintide_adapters/decisionlog.py
+++ b/packages/adapters/src/dunlintide_adapters/decisionlog.py
@@ -15,10 +15,10 @@
 
 # Lines a second that are written on average, and saved up for a burst, so
 # that the log stays a small part of a core.
-DEFAULT_RATE = 300.0
+DEFAULT_LINES_PER_SECOND = 300.0
 _BURST_SECONDS = 3.0
 # Bytes that wait for a slow reader before lines are dropped.
-_MAX_WAITING = 256 << 10
+_MAX_WAITING_BYTES = 256 << 10
 # A line that is due at least this often tells of dropped ones, in seconds.
 _REPORT_SECONDS = 5.0
 
@@ -30,7 +30,10 @@
     """
 
     def __init__(
-        self, host: str, output: int = 1, rate: float = DEFAULT_RATE
+        self,
+        host: str,
+        output: int = 1,
+        rate: float = DEFAULT_LINES_PER_SECOND,
     ) -> None:
         """Begin to log.
 
@@ -42,11 +45,11 @@
         self._output = output
         self._rate = rate
         self._tokens = rate * _BURST_SECONDS
-        self._refilled = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._waiting: collections.deque[bytes] = collections.deque()
-        self._size = 0
-        self._reported = 0
-        self._report_due = 0.0
+        self._waiting_bytes = 0
+        self._reported_drops = 0
+        self._next_report_at = 0.0
         self.dropped = 0
         os.set_blocking(output, False)
 
@@ -57,11 +60,11 @@
         :param fields: inputs of the decision and its outcome
         """
         now = time.monotonic()
-        spare = (now - self._refilled) * self._rate
-        most = self._rate * _BURST_SECONDS
-        self._tokens = min(most, self._tokens + spare)
-        self._refilled = now
-        if self._tokens < 1.0 or self._size > _MAX_WAITING:
+        refill = (now - self._refilled_at) * self._rate
+        capacity = self._rate * _BURST_SECONDS
+        self._tokens = min(capacity, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1.0 or self._waiting_bytes > _MAX_WAITING_BYTES:
             self.dropped += 1
             return
         self._tokens -= 1.0
@@ -69,7 +72,7 @@
 
     def write_always(self, event: str, **fields: Any) -> None:
         """Log one line outside of the rate, for starts, stops and faults."""
-        if self._size > _MAX_WAITING:
+        if self._waiting_bytes > _MAX_WAITING_BYTES:
             self.dropped += 1
             return
         self._append(event, time.monotonic(), fields)
@@ -79,15 +82,15 @@
         line.update(fields)
         data = json.dumps(line, separators=(',', ':'), default=str)
         self._waiting.append(data.encode() + b'\n')
-        self._size += len(data) + 1
+        self._waiting_bytes += len(data) + 1
 
     def flush(self) -> None:
         """Write what waits, as far as the reader takes it."""
         now = time.monotonic()
-        if self.dropped > self._reported and now >= self._report_due:
-            self._report_due = now + _REPORT_SECONDS
+        if self.dropped > self._reported_drops and now >= self._next_report_at:
+            self._next_report_at = now + _REPORT_SECONDS
             self._append('log dropped', now, {'lines': self.dropped})
-            self._reported = self.dropped
+            self._reported_drops = self.dropped
         while self._waiting:
             data = self._join_lines()
             try:
@@ -97,7 +100,7 @@
             except OSError:
                 # Nobody reads any more; there is no other place to tell it.
                 written = len(data)
-            self._size -= written
+            self._waiting_bytes -= written
             if written < len(data):
                 self._waiting.appendleft(data[written:])
                 return
--- a/packages/adapters/src/dunlintide_adapters/eventloop.py
+++ b/packages/adapters/src/dunlintide_adapters/eventloop.py
@@ -10,7 +10,7 @@
 from typing import Any, Callable, Coroutine
 
 __all__ = [
-    'call',
+    'call_soon',
     'is_current',
     'run',
     'spawn',
@@ -18,41 +18,41 @@
 
 
 @functools.cache
-def _find_loop() -> asyncio.AbstractEventLoop:
+def _get_loop() -> asyncio.AbstractEventLoop:
     loop = asyncio.new_event_loop()
 
-    def serve() -> None:
+    def run_loop() -> None:
         asyncio.set_event_loop(loop)
         loop.run_forever()
 
-    threading.Thread(target=serve, name='event-loop', daemon=True).start()
+    threading.Thread(target=run_loop, name='event-loop', daemon=True).start()
     return loop
 
 
 def is_current() -> bool:
     """Tell whether the caller runs on the loop's thread."""
     try:
-        return asyncio.get_running_loop() is _find_loop()
+        return asyncio.get_running_loop() is _get_loop()
     except RuntimeError:
         return False
 
 
-def call(function: Callable[[], Any]) -> None:
+def call_soon(function: Callable[[], Any]) -> None:
     """Call a function on the loop, soon."""
-    _find_loop().call_soon_threadsafe(function)
+    _get_loop().call_soon_threadsafe(function)
 
 
-def spawn(work: Coroutine) -> futures.Future:
+def spawn(coroutine: Coroutine) -> futures.Future:
     """Run a coroutine on the loop, in the background."""
-    return asyncio.run_coroutine_threadsafe(work, _find_loop())
+    return asyncio.run_coroutine_threadsafe(coroutine, _get_loop())
 
 
-def run(work: Coroutine) -> Any:
+def run(coroutine: Coroutine) -> Any:
     """Run a coroutine on the loop and wait for its result.
 
     :raises RuntimeError: on the loop's own thread, which must not wait
     """
     if is_current():
-        work.close()
+        coroutine.close()
         raise RuntimeError('the event loop must not wait for itself')
-    return spawn(work).result()
+    return spawn(coroutine).result()
--- a/packages/adapters/src/dunlintide_adapters/gateway.py
+++ b/packages/adapters/src/dunlintide_adapters/gateway.py
@@ -19,12 +19,12 @@
     'TxnAnswer',
     'WatchMessage',
     'build_lease',
-    'build_page',
+    'build_limited_range',
     'build_range',
     'build_txn',
     'build_watch',
     'decode',
-    'end_prefix',
+    'get_prefix_end',
 ]
 
 
@@ -142,7 +142,7 @@
     return msgspec.json.decode(body, type=kind, strict=False)
 
 
-def end_prefix(prefix: str) -> bytes:
+def get_prefix_end(prefix: str) -> bytes:
     """Give the end of the range of keys that begin with a prefix."""
     start = prefix.encode()
     return start[:-1] + bytes((start[-1] + 1,))
@@ -162,11 +162,11 @@
     return msgspec.json.encode(_build_range(key, end, keys_only))
 
 
-def build_page(span: Range) -> dict:
+def build_limited_range(key_range: Range) -> dict:
     """Build the body of a read that may be limited."""
-    body = _build_range(span.key, span.end.encode(), False)
-    if span.limit:
-        body['limit'] = str(span.limit)
+    body = _build_range(key_range.key, key_range.end.encode(), False)
+    if key_range.limit:
+        body['limit'] = str(key_range.limit)
     return body
 
 
@@ -191,7 +191,7 @@
     puts: Iterable[Put] = (),
     deletes: Iterable[str] = (),
     reads: Iterable[str] = (),
-    otherwise: Iterable[Range] = (),
+    failure_reads: Iterable[Range] = (),
 ) -> bytes:
     """Build a transaction; a failed condition leaves all undone.
 
@@ -207,7 +207,10 @@
     body = {
         'compare': [_build_compare(expect) for expect in expects],
         'success': operations,
-        'failure': [{'request_range': build_page(span)} for span in otherwise],
+        'failure': [
+            {'request_range': build_limited_range(key_range)}
+            for key_range in failure_reads
+        ],
     }
     return msgspec.json.encode(body)
 
@@ -227,7 +230,7 @@
     """
     create = {
         'key': prefix.encode(),
-        'range_end': end_prefix(prefix),
+        'range_end': get_prefix_end(prefix),
         'progress_notify': True,
     }
     if start_revision:
--- a/packages/adapters/src/dunlintide_adapters/hostlist.py
+++ b/packages/adapters/src/dunlintide_adapters/hostlist.py
@@ -14,8 +14,8 @@
     'HostState',
 ]
 
-CONNECT_SECONDS = 0.5
-READ_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 0.5
+READ_TIMEOUT_SECONDS = 2.0
 
 
 class HostState(enum.StrEnum):
@@ -72,7 +72,9 @@
 
         :param url: URL of the list
         """
-        timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=READ_SECONDS)
+        timeout = urllib3.Timeout(
+            connect=CONNECT_TIMEOUT_SECONDS, read=READ_TIMEOUT_SECONDS
+        )
         pool = urllib3.PoolManager(
             maxsize=1, block=True, retries=False, timeout=timeout
         )
--- a/packages/adapters/src/dunlintide_adapters/pulse.py
+++ b/packages/adapters/src/dunlintide_adapters/keepalive.py
@@ -7,17 +7,17 @@
 """
 
 __all__ = [
-    'IDLE_PINGS',
-    'Pulse',
+    'IDLE_PING_FACTOR',
+    'Keepalive',
 ]
 
 # An idle link pings after so many times the usual quiet time.
-IDLE_PINGS = 3
+IDLE_PING_FACTOR = 3
 # A link is idle when it has carried no work for so many times that time.
-_USE_PINGS = 10
+_IDLE_AFTER_PINGS = 10
 
 
-class Pulse:
+class Keepalive:
     """Signs of life of one link; times are monotonic, in seconds."""
 
     def __init__(self, ping: float, silence: float, now: float) -> None:
@@ -28,36 +28,39 @@
         """
         self._ping = ping
         self._silence = silence
-        self._heard = now
-        self._used = float('-inf')
-        self._began = now
+        self._received_at = now
+        self._work_at = float('-inf')
+        self._active_since = now
 
     def _is_in_use(self, now: float) -> bool:
-        return now - self._used < self._ping * _USE_PINGS
+        return now - self._work_at < self._ping * _IDLE_AFTER_PINGS
 
-    def hear(self, now: float) -> None:
+    def note_received(self, now: float) -> None:
         """Take note of anything that the other side sent."""
-        self._heard = now
+        self._received_at = now
 
-    def use(self, now: float) -> None:
+    def note_work(self, now: float) -> None:
         """Take note of work that this side sent or got."""
         if not self._is_in_use(now):
-            self._began = now
-        self._used = now
+            self._active_since = now
+        self._work_at = now
 
-    def is_due(self, sent: float, now: float) -> bool:
+    def is_ping_due(self, sent_at: float, now: float) -> bool:
         """Tell whether this side should ping.
 
         :param sent: when it last sent anything
         """
-        wait = self._ping
+        interval = self._ping
         if not self._is_in_use(now):
-            wait *= IDLE_PINGS
-        return now - sent >= wait
+            interval *= IDLE_PING_FACTOR
+        return now - sent_at >= interval
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the other side counts as lost."""
         if self._is_in_use(now):
-            return now - max(self._heard, self._began) > self._silence
-        later = self._ping * (IDLE_PINGS - 1)
-        return now - self._heard > self._silence + later
+            return (
+                now - max(self._received_at, self._active_since)
+                > self._silence
+            )
+        idle_extra = self._ping * (IDLE_PING_FACTOR - 1)
+        return now - self._received_at > self._silence + idle_extra
--- a/packages/adapters/src/dunlintide_adapters/leaders.py
+++ b/packages/adapters/src/dunlintide_adapters/leaders.py
@@ -69,7 +69,7 @@
         return self._store.get(PREFIX + model).map(_read_leader)
 
     def acquire(
-        self, model: str, name: str, seconds: int
+        self, model: str, name: str, ttl: int
     ) -> result.Result[leadership.Term | None, storefailures.StoreFailure]:
         """Try to become the leader of a model.
 
@@ -77,8 +77,8 @@
         :param seconds: time that the lease lives without renewal
         :returns: the term, None when another process leads
         """
-        sent = self._clock()
-        granted = self._store.grant_lease(seconds)
+        sent_at = self._clock()
+        granted = self._store.grant_lease(ttl)
         if granted.is_err():
             return granted
         lease, attempt = granted.ok_value, uuid.uuid4().hex
@@ -87,23 +87,23 @@
         put = gateway.Put(PREFIX + model, body, lease)
         written = self._store.transact((expect,), (put,))
         if written.is_ok():
-            return result.Ok(leadership.Term(written.ok_value, lease, sent))
-        settled = self._settle(model, attempt, written.err_value)
-        if settled.is_ok() and settled.ok_value is not None:
-            fence = settled.ok_value.fence
-            return result.Ok(leadership.Term(fence, lease, sent))
+            return result.Ok(leadership.Term(written.ok_value, lease, sent_at))
+        resolved = self._resolve_write(model, attempt, written.err_value)
+        if resolved.is_ok() and resolved.ok_value is not None:
+            fence = resolved.ok_value.fence
+            return result.Ok(leadership.Term(fence, lease, sent_at))
         # Without its lease a write that is still under way has no effect.
         self._store.revoke(lease)
-        return settled
+        return resolved
 
-    def _settle(
+    def _resolve_write(
         self,
         model: str,
         attempt: str,
-        error: stores.CasLost | storefailures.StoreFailure,
+        error: stores.CasConflict | storefailures.StoreFailure,
     ) -> result.Result[Leader | None, storefailures.StoreFailure]:
         """Find out whether a write whose answer was lost took effect."""
-        if isinstance(error, stores.CasLost):
+        if isinstance(error, stores.CasConflict):
             return result.Ok(None)
         if not error.maybe_applied:
             return result.Err(error)
@@ -121,9 +121,11 @@
         :returns: monotonic time just before the renewal was sent, None
             when the lease has ended and the term with it
         """
-        sent = self._clock()
+        sent_at = self._clock()
         renewed = self._store.keep_alive(term.lease)
-        return renewed.map(lambda left: sent if left > 0 else None)
+        return renewed.map(
+            lambda remaining: sent_at if remaining > 0 else None
+        )
 
     def resign(self, term: leadership.Term) -> None:
         """End a term, so that another process need not wait for it."""
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -25,9 +25,9 @@
 
 from dunlintide_adapters import eventloop
 from dunlintide_adapters import guards
+from dunlintide_adapters import keepalive
 from dunlintide_adapters import outboxes
 from dunlintide_adapters import packing
-from dunlintide_adapters import pulse
 from dunlintide_adapters import transports
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_adapters.wire import link_pb2_grpc
@@ -59,7 +59,7 @@
 )
 
 
-# Frames without work for the other side; see ``pulse``.
+# Frames without work for the other side; see ``keepalive``.
 _IDLE_KINDS = frozenset(('hello', 'load', 'ping'))
 
 
@@ -69,7 +69,7 @@
 
     :ivar ping: quiet time after which a side of a link in use pings
     :ivar silence: silence after which a link in use counts as lost; an
-        idle one has wider bounds, see ``pulse``
+        idle one has wider bounds, see ``keepalive``
     :ivar redial: longest pause before dialling again
     """
 
@@ -130,7 +130,7 @@
         guard: guards.Guard | None = None,
     ) -> None:
         self.peer: link_pb2.Hello | None = None
-        self._pulse = pulse.Pulse(
+        self._keepalive = keepalive.Keepalive(
             timing.ping, timing.silence, time.monotonic()
         )
         self._handlers = handlers
@@ -145,7 +145,7 @@
     def send(self, frame: link_pb2.Frame) -> bool:
         """Queue a frame; False when the link is closed or backed up."""
         if frame.WhichOneof('body') not in _IDLE_KINDS:
-            self._pulse.use(time.monotonic())
+            self._keepalive.note_work(time.monotonic())
         return self._outbox.put(frame)
 
     def close(self) -> None:
@@ -157,7 +157,7 @@
         if not self._guard.permits(body):
             return True
         if body not in _IDLE_KINDS:
-            self._pulse.use(time.monotonic())
+            self._keepalive.note_work(time.monotonic())
         if body == 'hello':
             return self._take_hello(frame.hello)
         return body == 'ping'
@@ -185,7 +185,7 @@
     async def _read(self, stream: AsyncIterable[link_pb2.Envelope]) -> str:
         unpacker = packing.Unpacker()
         async for envelope in stream:
-            self._pulse.hear(time.monotonic())
+            self._keepalive.note_received(time.monotonic())
             try:
                 frames = unpacker.unpack(envelope)
             except (ValueError, message.DecodeError) as error:
@@ -215,9 +215,9 @@
         while True:
             await asyncio.sleep(self._timing.ping / 2)
             now = time.monotonic()
-            if self._pulse.is_silent(now):
+            if self._keepalive.is_silent(now):
                 return 'silent'
-            if self._pulse.is_due(self._outbox.taken, now):
+            if self._keepalive.is_ping_due(self._outbox.taken_at, now):
                 self._sequence += 1
                 ping = link_pb2.Ping(sequence=self._sequence)
                 self._outbox.put(link_pb2.Frame(ping=ping))
--- a/packages/adapters/src/dunlintide_adapters/logs.py
+++ b/packages/adapters/src/dunlintide_adapters/logs.py
@@ -31,7 +31,7 @@
     '%(asctime)s %(levelname)s %(name)s %(filename)s:%(lineno)d %(message)s'
 )
 _JSON_FIELDS = '%(levelname)s %(filename)s %(lineno)d %(message)s'
-_JSON_NAMES = {
+_JSON_RENAMES = {
     'levelname': 'level',
     'filename': 'file',
     'lineno': 'line',
@@ -83,7 +83,7 @@
     )
 
 
-class _Masking(standard_logging.Formatter):
+class _MaskingFormatter(standard_logging.Formatter):
     """Masks the finished line, so tracebacks and extras are covered."""
 
     def __init__(self, formatter: standard_logging.Formatter) -> None:
@@ -94,23 +94,27 @@
         return mask(self._formatter.format(record))
 
 
-def _build_json(fields: dict[str, str]) -> standard_logging.Formatter:
+def _build_json_formatter(
+    fields: dict[str, str],
+) -> standard_logging.Formatter:
     return json_logging.JsonFormatter(
         _JSON_FIELDS,
-        rename_fields=_JSON_NAMES,
+        rename_fields=_JSON_RENAMES,
         static_fields=fields,
         timestamp=True,
     )
 
 
-def _build_text(fields: dict[str, str]) -> standard_logging.Formatter:
+def _build_text_formatter(
+    fields: dict[str, str],
+) -> standard_logging.Formatter:
     prefix = ' '.join(f'{key}={value}' for key, value in fields.items())
     return standard_logging.Formatter(
         _TEXT_FORMAT.replace('%(name)s', prefix.replace('%', '%%'))
     )
 
 
-def _choose(log_format: Format) -> Format:
+def _resolve_format(log_format: Format) -> Format:
     if log_format is not Format.AUTO:
         return log_format
     return Format.TEXT if sys.stderr.isatty() else Format.JSON
@@ -133,14 +137,18 @@
     :raises ValueError: for an unknown level or format
     """
     fields = {'name': name, 'role': role, 'failure_domain': failure_domain}
-    chosen = _choose(Format(format))
-    build = _build_json if chosen is Format.JSON else _build_text
+    resolved = _resolve_format(Format(format))
+    build = (
+        _build_json_formatter
+        if resolved is Format.JSON
+        else _build_text_formatter
+    )
     if not flags.FLAGS.is_parsed():
         # The settings come from a file; absl would warn of unparsed flags.
         flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.python_handler.stream = sys.stderr
-    handler.python_handler.setFormatter(_Masking(build(fields)))
+    handler.python_handler.setFormatter(_MaskingFormatter(build(fields)))
     logging.use_absl_handler()
     # It logs what is asked for, query and all, and who asks has its say
     # in that.
--- a/packages/adapters/src/dunlintide_adapters/outboxes.py
+++ b/packages/adapters/src/dunlintide_adapters/outboxes.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, batch_bytes: int) -> None:
-        self.taken = time.monotonic()
+        self.taken_at = time.monotonic()
         self._batch_bytes = batch_bytes
         self._frames: list[link_pb2.Frame] = []
         self._lock = threading.Lock()
@@ -37,8 +37,8 @@
             if self._closed or len(self._frames) >= MAX_BACKLOG_FRAMES:
                 return False
             self._frames.append(frame)
-            first = len(self._frames) == 1
-        if first:
+            was_empty = len(self._frames) == 1
+        if was_empty:
             self._wake()
         return True
 
@@ -52,21 +52,21 @@
         if eventloop.is_current():
             self._ready.set()
         else:
-            eventloop.call(self._ready.set)
+            eventloop.call_soon(self._ready.set)
 
-    async def _take(self) -> list[link_pb2.Frame]:
+    async def _take_frames(self) -> list[link_pb2.Frame]:
         while True:
             self._ready.clear()
             with self._lock:
                 frames, self._frames = self._frames, []
                 closed = self._closed
             if frames or closed:
-                self.taken = time.monotonic()
+                self.taken_at = time.monotonic()
                 return frames
             await self._ready.wait()
 
     async def envelopes(self) -> AsyncIterator[link_pb2.Envelope]:
         """Yield queued frames in messages of bounded size."""
-        while frames := await self._take():
+        while frames := await self._take_frames():
             for envelope in packing.pack(frames, self._batch_bytes):
                 yield envelope
--- a/packages/adapters/src/dunlintide_adapters/packing.py
+++ b/packages/adapters/src/dunlintide_adapters/packing.py
@@ -20,7 +20,7 @@
 BATCH_BYTES = 16 << 10
 
 
-def _cut(frame: link_pb2.Frame) -> Iterator[link_pb2.Envelope]:
+def _split_frame(frame: link_pb2.Frame) -> Iterator[link_pb2.Envelope]:
     data = frame.SerializeToString()
     for start in range(0, len(data), BATCH_BYTES):
         end = start + BATCH_BYTES
@@ -43,7 +43,7 @@
             envelope = link_pb2.Envelope()
             size = 0
         if length > BATCH_BYTES:
-            yield from _cut(frame)
+            yield from _split_frame(frame)
             continue
         envelope.frames.append(frame)
         size += length
--- a/packages/adapters/src/dunlintide_adapters/store.py
+++ b/packages/adapters/src/dunlintide_adapters/store.py
@@ -21,7 +21,7 @@
 from dunlintide_adapters import storewatch
 
 __all__ = [
-    'CasLost',
+    'CasConflict',
     'Store',
     'StoreTiming',
     'Value',
@@ -33,12 +33,12 @@
 READ_BATCH = 16
 
 _OK = 'ok'
-_LOST = 'lost'
+_CONFLICT = 'lost'
 _HEADERS = {'Content-Type': 'application/json'}
 
 
 @attrs.frozen
-class CasLost:
+class CasConflict:
     """A write that was not made, as a key had changed.
 
     :ivar revision: revision of the store when it was refused
@@ -144,14 +144,16 @@
     ) -> result.Result[Value | None, storefailures.StoreFailure]:
         """Read a key; None when it is absent."""
         body = gateway.build_range(key)
-        return self._range(body).map(lambda found: next(iter(found), None))
+        return self._call_range(body).map(
+            lambda found: next(iter(found), None)
+        )
 
     def get_revision(
         self, key: str
     ) -> result.Result[int, storefailures.StoreFailure]:
         """Read when a key last changed, 0 when it is absent."""
         body = gateway.build_range(key, keys_only=True)
-        return self._range(body).map(
+        return self._call_range(body).map(
             lambda found: found[0].mod_revision if found else 0
         )
 
@@ -162,14 +164,16 @@
 
         :param keys_only: leave the values out
         """
-        end = gateway.end_prefix(prefix)
-        return self._range(gateway.build_range(prefix, end, keys_only))
+        end = gateway.get_prefix_end(prefix)
+        return self._call_range(gateway.build_range(prefix, end, keys_only))
 
     def get_page(
-        self, span: gateway.Range
+        self, key_range: gateway.Range
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
         """Read some of the keys of a range, in their order."""
-        return self._range(msgspec.json.encode(gateway.build_page(span)))
+        return self._call_range(
+            msgspec.json.encode(gateway.build_limited_range(key_range))
+        )
 
     def get_many(
         self, keys: Iterable[str]
@@ -192,7 +196,7 @@
         expected_mod_revision: int,
         value: bytes,
         lease: int | None = None,
-    ) -> result.Result[int, CasLost | storefailures.StoreFailure]:
+    ) -> result.Result[int, CasConflict | storefailures.StoreFailure]:
         """Write a key unless it has changed.
 
         :param expected_mod_revision: its last change, 0 for absent
@@ -208,24 +212,24 @@
         expects: Iterable[gateway.Expect],
         puts: Iterable[gateway.Put] = (),
         deletes: Iterable[str] = (),
-        otherwise: Iterable[gateway.Range] = (),
-    ) -> result.Result[int, CasLost | storefailures.StoreFailure]:
+        failure_reads: Iterable[gateway.Range] = (),
+    ) -> result.Result[int, CasConflict | storefailures.StoreFailure]:
         """Write and delete keys as one, if all conditions hold.
 
         :param otherwise: what to read when one does not
         :returns: revision of the store, and so of the keys written
         """
-        body = gateway.build_txn(expects, puts, deletes, (), otherwise)
-        kind = gateway.TxnAnswer
-        called = self._call('txn', '/v3/kv/txn', body, kind, writes=True)
-        if called.is_err():
-            return called
-        answer = called.ok_value
+        body = gateway.build_txn(expects, puts, deletes, (), failure_reads)
+        answer_type = gateway.TxnAnswer
+        reply = self._call('txn', '/v3/kv/txn', body, answer_type, writes=True)
+        if reply.is_err():
+            return reply
+        answer = reply.ok_value
         revision = answer.header.revision
         if answer.succeeded:
             return result.Ok(revision)
-        self._count('txn', _LOST)
-        return result.Err(CasLost(revision, _read_responses(answer)))
+        self._count('txn', _CONFLICT)
+        return result.Err(CasConflict(revision, _read_responses(answer)))
 
     def grant_lease(
         self, ttl: int
@@ -235,7 +239,7 @@
         :param ttl: seconds that it lives without renewal
         :returns: its id
         """
-        return self._lease('grant', gateway.build_lease(ttl=ttl)).map(
+        return self._call_lease('grant', gateway.build_lease(ttl=ttl)).map(
             lambda grant: grant.ID
         )
 
@@ -247,7 +251,7 @@
         :returns: seconds that it lives from now, 0 when it has lapsed
         """
         body = gateway.build_lease(lease)
-        return self._lease('keepalive', body, gateway.KeepAlive).map(
+        return self._call_lease('keepalive', body, gateway.KeepAlive).map(
             lambda answer: answer.result.TTL
         )
 
@@ -256,7 +260,7 @@
     ) -> result.Result[None, storefailures.StoreFailure]:
         """End a lease and remove its keys."""
         body = gateway.build_lease(lease)
-        return self._lease('revoke', body).map(lambda _: None)
+        return self._call_lease('revoke', body).map(lambda _: None)
 
     def watch(
         self,
@@ -296,26 +300,31 @@
         if self._metrics is not None:
             self._metrics.store_calls.labels(kind, outcome).inc()
 
-    def _range(
+    def _call_range(
         self, body: bytes
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        kind = gateway.RangeAnswer
-        called = self._call('range', '/v3/kv/range', body, kind)
-        return called.map(lambda found: tuple(map(_make_value, found.kvs)))
+        answer_type = gateway.RangeAnswer
+        reply = self._call('range', '/v3/kv/range', body, answer_type)
+        return reply.map(lambda found: tuple(map(_make_value, found.kvs)))
 
-    def _lease(
-        self, action: str, body: bytes, kind: type = gateway.Grant
+    def _call_lease(
+        self, action: str, body: bytes, answer_type: type = gateway.Grant
     ) -> result.Result:
         return self._call(
-            'lease', f'/v3/lease/{action}', body, kind, writes=True
+            'lease', f'/v3/lease/{action}', body, answer_type, writes=True
         )
 
     def _call(
-        self, label: str, path: str, body: bytes, kind: type, writes=False
+        self,
+        label: str,
+        path: str,
+        body: bytes,
+        answer_type: type,
+        writes=False,
     ) -> result.Result:
         with self._lock:
-            admitted = self._circuit.admit(time.monotonic())
-        if not admitted:
+            is_admitted = self._circuit.admit(time.monotonic())
+        if not is_admitted:
             failure = storefailures.StoreFailure(
                 storefailures.FailureKind.CIRCUIT_OPEN,
                 'the store is down',
@@ -324,33 +333,35 @@
             self._count(label, failure.kind)
             return result.Err(failure)
         started = time.monotonic()
-        called = self._exchange(path, body, kind, writes)
-        self._settle(called)
+        reply = self._send(path, body, answer_type, writes)
+        self._update_circuit(reply)
         if self._metrics is not None:
-            spent = time.monotonic() - started
-            self._metrics.store_seconds.labels(label).observe(spent)
-        outcome = called.err_value.kind if called.is_err() else _OK
+            elapsed = time.monotonic() - started
+            self._metrics.store_seconds.labels(label).observe(elapsed)
+        outcome = reply.err_value.kind if reply.is_err() else _OK
         self._count(label, outcome)
-        return called
+        return reply
 
-    def _exchange(
-        self, path: str, body: bytes, kind: type, writes: bool
+    def _send(
+        self, path: str, body: bytes, answer_type: type, writes: bool
     ) -> result.Result:
         try:
             answer = self._pool.request(
                 'POST', path, body=body, pool_timeout=self.timing.read
             )
         except urllib3.exceptions.HTTPError as error:
-            return result.Err(storefailures.classify(error, writes))
+            return result.Err(storefailures.classify_error(error, writes))
         if answer.status != 200:
-            return result.Err(storefailures.refuse(answer.status, writes))
+            return result.Err(
+                storefailures.classify_status(answer.status, writes)
+            )
         try:
-            return result.Ok(gateway.decode(answer.data, kind))
+            return result.Ok(gateway.decode(answer.data, answer_type))
         except msgspec.MsgspecError as error:
-            return result.Err(storefailures.classify(error, writes))
+            return result.Err(storefailures.classify_error(error, writes))
 
-    def _settle(self, called: result.Result) -> None:
-        kind = called.err_value.kind if called.is_err() else None
+    def _update_circuit(self, reply: result.Result) -> None:
+        kind = reply.err_value.kind if reply.is_err() else None
         with self._lock:
             if kind is None or kind is storefailures.FailureKind.REFUSED:
                 self._circuit.succeed()
@@ -365,5 +376,7 @@
         # What has lost track of one connection may have lost all that are
         # idle; new ones would work.
         with self._lock:
-            old, self._pool = self._pool, self._build_pool(MAX_CONNECTIONS)
-        old.close()
+            old_pool, self._pool = self._pool, self._build_pool(
+                MAX_CONNECTIONS
+            )
+        old_pool.close()
--- a/packages/adapters/src/dunlintide_adapters/storefailures.py
+++ b/packages/adapters/src/dunlintide_adapters/storefailures.py
@@ -8,8 +8,8 @@
 __all__ = [
     'FailureKind',
     'StoreFailure',
-    'classify',
-    'refuse',
+    'classify_error',
+    'classify_status',
 ]
 
 _SERVER_ERROR = 500
@@ -48,7 +48,7 @@
     maybe_applied: bool
 
 
-def classify(error: Exception, writes: bool) -> StoreFailure:
+def classify_error(error: Exception, writes: bool) -> StoreFailure:
     """Tell what an exception says about a call.
 
     :param writes: whether the call changes something
@@ -64,7 +64,7 @@
     return StoreFailure(FailureKind.DROPPED, text, writes)
 
 
-def refuse(status: int, writes: bool) -> StoreFailure:
+def classify_status(status: int, writes: bool) -> StoreFailure:
     """Tell what an HTTP status other than 200 says about a call.
 
     :param writes: whether the call changes something
--- a/packages/adapters/src/dunlintide_adapters/storewatch.py
+++ b/packages/adapters/src/dunlintide_adapters/storewatch.py
@@ -69,11 +69,11 @@
 
 
 def _split_lines(chunks: Iterable[bytes]) -> Iterator[bytes]:
-    rest = b''
+    partial = b''
     for chunk in chunks:
-        *lines, rest = (rest + chunk).split(b'\n')
+        *lines, partial = (partial + chunk).split(b'\n')
         yield from filter(None, lines)
-        if len(rest) > _MAX_MESSAGE_BYTES:
+        if len(partial) > _MAX_MESSAGE_BYTES:
             raise urllib3.exceptions.ProtocolError('message too large')
 
 
@@ -109,12 +109,12 @@
         Blocks; see ``Store.watch``.
         """
         while not stop.is_set():
-            outcome = self._follow(prefix, start_revision, on_event, stop)
+            outcome = self._watch_once(prefix, start_revision, on_event, stop)
             self._count(outcome)
             start_revision = 0
             if outcome != storefailures.FailureKind.TIMEOUT:
-                longest = self._timing.reconnect
-                stop.wait(longest * random.uniform(0.1, 1.0))
+                max_pause = self._timing.reconnect
+                stop.wait(max_pause * random.uniform(0.1, 1.0))
 
     def interrupt(self) -> None:
         """Cut the watches that are open; each opens again unless stopped."""
@@ -125,7 +125,7 @@
             with contextlib.suppress(OSError, ValueError, RuntimeError):
                 stream.shutdown()
 
-    def _follow(
+    def _watch_once(
         self,
         prefix: str,
         start_revision: int,
@@ -139,7 +139,7 @@
                 if not stop.is_set():
                     self._read(stream, on_event, stop)
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
-            return storefailures.classify(error, False).kind
+            return storefailures.classify_error(error, False).kind
         return _OK
 
     @contextlib.contextmanager
--- a/packages/cli/src/dunlintide_cli/reading.py
+++ b/packages/cli/src/dunlintide_cli/reading.py
@@ -101,7 +101,9 @@
     def handle(self) -> int:
         """Print a row for each revision."""
         read = self.open_store().and_then(
-            lambda store: store.history().map_err(lambda fault: fault.message)
+            lambda store: store.list_history().map_err(
+                lambda fault: fault.message
+            )
         )
         if read.is_err():
             return self.fail(read.err_value)
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -289,7 +289,7 @@
             if known.map_entries() != entries:
                 entries = known.map_entries()
                 self._limits.entry_links.update(known.hosts)
-                self._claims.keep(self._owners.update(known.hosts))
+                self._claims.update_owners(self._owners.update(known.hosts))
             self._fleet.drop_idle(now)
             self.done.wait(pause)
 
