--- a/features/steps/follower.py
+++ b/features/steps/follower.py
@@ -18,7 +18,7 @@
         self.times = []
 
     async def list_items(self, prefix):
-        return result.Ok(storevalues.News((), storevalues.Revision(0, 1)))
+        return result.Ok(storevalues.ItemBatch((), storevalues.Revision(0, 1)))
 
     async def watch(self, prefix, after, seconds):
         self.waits.append(seconds)
@@ -26,7 +26,7 @@
         await asyncio.sleep(0)
         revision = storevalues.Revision(0, after.number + 1)
         item = storevalues.Item('other', b'', revision)
-        return result.Ok(storevalues.News((item,), revision))
+        return result.Ok(storevalues.ItemBatch((item,), revision))
 
 
 @behave.given(
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -272,11 +272,11 @@
         connection: endpointhttp.Connection,
     ) -> _Answer:
         state = self._state
-        relayed = requests.Relayed(
+        relayed = requests.RelayOptions(
             endpoint=endpoint,
-            left=exchange.deadline - state.now,
+            remaining=exchange.deadline - state.now,
             team=exchange.team,
-            after=exchange.ask.after,
+            last_event_id=exchange.ask.after,
         )
         data = requests.encode(exchange.request, relayed)
         sent_at = state.now
@@ -291,7 +291,7 @@
             listing_age=round(state.now - state.listed_at, 3),
         )
         head = await connection.read_head(exchange.deadline)
-        verdict = requests.judge(head)
+        verdict = requests.read_answer_headers(head)
         state.record_rate_limit(endpoint.name, verdict.rate_limit, sent_at)
         body = await connection.read_all(exchange.deadline)
         if verdict.name not in (None, exchange.ask.name):
--- a/packages/daemon/src/dunlintide_daemon/gateway/follower.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/follower.py
@@ -121,13 +121,13 @@
             self._returned_at = now
             self._state.log.write_always('store regained', seconds=lost)
 
-    def _note_failure(self, refusal: storevalues.Refusal) -> None:
-        self._state.counters.store_faults.labels(refusal.fault).inc()
+    def _note_failure(self, refusal: storevalues.StoreFailure) -> None:
+        self._state.counters.store_faults.labels(refusal.kind).inc()
         if self._lost_at is None:
             self._lost_at = self._state.now
             self._state.log.write_always(
                 'store lost',
-                fault=refusal.fault,
+                fault=refusal.kind,
                 detail=refusal.detail,
                 **self._describe(),
             )
@@ -141,7 +141,7 @@
         }
 
     async def _read_all(self) -> bool:
-        listed = await self._store.list_items(listings.EVERYTHING)
+        listed = await self._store.list_items(listings.ALL_KEYS_PREFIX)
         if listed.is_err():
             self._note_failure(listed.err_value)
             return False
@@ -182,11 +182,11 @@
     async def _watch(self) -> bool:
         drain = self._state.settings.drain
         watched = await self._store.watch(
-            listings.EVERYTHING, self._revision, drain * WATCH_PART
+            listings.ALL_KEYS_PREFIX, self._revision, drain * WATCH_PART
         )
         if watched.is_err():
             refusal = watched.err_value
-            if refusal.fault is storevalues.Fault.COMPACTED:
+            if refusal.kind is storevalues.FailureKind.COMPACTED:
                 self._state.log.write(
                     'history lost', detail=refusal.detail, **self._describe()
                 )
--- a/packages/daemon/src/dunlintide_daemon/gateway/leadership.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/leadership.py
@@ -29,7 +29,7 @@
 # Stands between the identity of a leader and the era of its claim.
 _ERA_MARK = '@'
 # Answers that end a leadership.
-_ENDED = (storevalues.Fault.MISSING, storevalues.Fault.REJECTED)
+_ENDED = (storevalues.FailureKind.MISSING, storevalues.FailureKind.REJECTED)
 
 
 def _read_clock() -> float:
@@ -131,11 +131,11 @@
                 await asyncio.sleep(IDLE_SECONDS)
 
     async def _keep(self) -> None:
-        kept = await self._store.keep_lease(self._lease)
+        kept = await self._store.renew_lease(self._lease)
         if not self.fence:
             return
-        if kept.is_err() and kept.err_value.fault in _ENDED:
-            self._lose(str(kept.err_value.fault))
+        if kept.is_err() and kept.err_value.kind in _ENDED:
+            self._lose(str(kept.err_value.kind))
             return
         leads_on = self._state.has(mechanisms.Mechanism.LEADING_ON)
         if kept.is_ok() or leads_on:
@@ -168,7 +168,7 @@
         if self._is_taken():
             return
         began = _read_clock()
-        lease = await self._store.begin_lease(LEASE_SECONDS)
+        lease = await self._store.grant_lease(LEASE_SECONDS)
         if lease.is_err():
             await asyncio.sleep(random.uniform(0.2, 0.6))
             return
@@ -180,10 +180,10 @@
         if written.is_ok():
             self._begin(lease.ok_value, written.ok_value, began)
             return
-        if written.err_value.fault is storevalues.Fault.UNKNOWN:
+        if written.err_value.kind is storevalues.FailureKind.UNKNOWN:
             await self._settle(lease.ok_value, value, began)
             return
-        await self._store.end_lease(lease.ok_value)
+        await self._store.revoke_lease(lease.ok_value)
         await self._wait(IDLE_SECONDS)
 
     def _is_taken(self) -> bool:
@@ -207,7 +207,7 @@
             self._begin(lease, read.ok_value.revision, began)
             return
         # It may still come to pass; the lease takes the key along.
-        await self._store.end_lease(lease)
+        await self._store.revoke_lease(lease)
         await self._wait(IDLE_SECONDS)
 
     def _begin(
@@ -231,4 +231,4 @@
         lease, self.fence = self._lease, 0
         if lease is not None:
             self._lease = None
-            await self._store.end_lease(lease)
+            await self._store.revoke_lease(lease)
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -273,7 +273,7 @@
         )
         # Giving it anew is safe: the expected count admits it once.
         order.checked = False
-        if reception in (orders.Reception.BEGUN, orders.Reception.HELD):
+        if reception in (orders.OrderOutcome.BEGUN, orders.OrderOutcome.HELD):
             order.retry_at = order.due
         else:
             order.retry_at = self._state.now + RETRY_SECONDS
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -338,7 +338,7 @@
         state.settings = kept
         state.budgets.clear()
         if self._store.address != settings.store:
-            self._store.move(settings.store)
+            self._store.change_address(settings.store)
         state.log.write_always('settings reloaded', ignored=ignored)
 
     async def _end(self) -> None:
--- a/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
@@ -90,8 +90,8 @@
             self._lease = None
             self._woken.set()
 
-    async def _register(self) -> result.Result[None, storevalues.Refusal]:
-        begun = await self._store.begin_lease(LEASE_SECONDS)
+    async def _register(self) -> result.Result[None, storevalues.StoreFailure]:
+        begun = await self._store.grant_lease(LEASE_SECONDS)
         if begun.is_err():
             return begun
         key = keys.make_entry_key(self._entry.name)
@@ -111,10 +111,10 @@
             await self.leave()
         return written.map(lambda _: None)
 
-    async def _keep(self) -> result.Result[None, storevalues.Refusal]:
-        kept = await self._store.keep_lease(self._lease)
-        if kept.is_err() and kept.err_value.fault is (
-            storevalues.Fault.MISSING
+    async def _keep(self) -> result.Result[None, storevalues.StoreFailure]:
+        kept = await self._store.renew_lease(self._lease)
+        if kept.is_err() and kept.err_value.kind is (
+            storevalues.FailureKind.MISSING
         ):
             self._drop_lease('lease ended')
         return kept
@@ -122,9 +122,9 @@
     async def leave(self) -> None:
         """End the lease, so that others stop to count on this entry."""
         if self._lease is not None:
-            ended = await self._store.end_lease(self._lease)
+            ended = await self._store.revoke_lease(self._lease)
             if ended.is_err():
                 self._state.log.write(
-                    'registration kept', fault=ended.err_value.fault
+                    'registration kept', fault=ended.err_value.kind
                 )
             self._lease = None
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -171,13 +171,13 @@
     ) -> None:
         state = self._state
         exchange = stream.exchange
-        relayed = requests.Relayed(
+        relayed = requests.RelayOptions(
             endpoint=run.first,
-            left=exchange.deadline - state.now,
+            remaining=exchange.deadline - state.now,
             team=exchange.team,
             hops=run.hops,
             priority=exchange.priority,
-            after=stream.sequence.last,
+            last_event_id=stream.sequence.last,
         )
         exchange.sends += 1
         exchange.runs += 1
@@ -201,7 +201,7 @@
         self._send(stream, run, connection)
         try:
             head = await self._read_head(stream, run, connection)
-            verdict = requests.judge(head)
+            verdict = requests.read_answer_headers(head)
             self._state.record_rate_limit(
                 run.first.name, verdict.rate_limit, run.began
             )
@@ -210,7 +210,7 @@
             if verdict.not_run:
                 exchange.runs -= 1
                 self._blame_refusal(stream, run, verdict)
-                where = verdict.culprit or run.first.address
+                where = verdict.faulty_address or run.first.address
                 reason = f'refused with {head.status} by {where}'
                 raise runends.RunEnded(False, reason)
             if head.status != 200:
@@ -226,14 +226,14 @@
     # What a run's end says of endpoints.
 
     def _blame_refusal(
-        self, stream: Stream, run: _Run, verdict: requests.Verdict
+        self, stream: Stream, run: _Run, verdict: requests.AnswerHeaders
     ) -> None:
         """Leave out the endpoint at fault, the first if none is named."""
         state = self._state
         exchange = stream.exchange
         culprit = run.first
         for hop in run.hops:
-            if hop.endpoint.address == verdict.culprit:
+            if hop.endpoint.address == verdict.faulty_address:
                 culprit = hop.endpoint
         # A full one may serve it a moment later; a dead one will not.
         roomy = self._finder.is_roomy(stream.profile, culprit)
