--- a/features/steps/configstore.py
+++ b/features/steps/configstore.py
@@ -150,7 +150,7 @@
         return result.Err(failure)
 
     intercept(context, act)
-    rule_out = context.configs._rule_out
+    rule_out = context.configs._fence_write
 
     def send_late(state):
         settled = rule_out(state)
@@ -158,7 +158,7 @@
         context.late = context.client.transact(*context.delayed)
         return settled
 
-    context.configs._rule_out = send_late
+    context.configs._fence_write = send_late
     context.applied = add(context, 'new')
 
 
--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -412,7 +412,9 @@
 @behave.given("the logs of the entry's process are kept")
 def keep_logs(context):
     context.lines = []
-    formatter = logs._Masking(standard_logging.Formatter('%(message)s'))
+    formatter = logs._MaskingFormatter(
+        standard_logging.Formatter('%(message)s')
+    )
     handler = standard_logging.Handler()
     handler.emit = lambda record: context.lines.append(
         formatter.format(record)
--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -289,7 +289,7 @@
         if isinstance(outcome, result.Ok):
             self._apply_commit(groups, outcome.ok_value)
             return True
-        if isinstance(outcome.err_value, storage.CasLost):
+        if isinstance(outcome.err_value, storage.CasConflict):
             self.conflicts += 1
             self._apply_reads(groups, outcome.err_value.ranges)
         else:
