--- a/packages/adapters/src/dunlintide_adapters/claimroutes.py
+++ b/packages/adapters/src/dunlintide_adapters/claimroutes.py
@@ -1,8 +1,9 @@
-"""Claims sent to the entry that owns their bucket.
+"""Routing of claims to the entry that owns their bucket.
 
-One writer a bucket meets no conflicts. It is an optimisation only: where
-the owner cannot be reached, the claim is committed here, and the heads of
-the buckets keep both from succeeding.
+A single writer per bucket avoids conflicting transactions. This is only an
+optimisation: if the owner cannot be reached, this entry commits the claim
+itself, and the compare of the bucket head lets only one of two concurrent
+commits succeed.
 """
 
 import threading
@@ -29,13 +30,13 @@
 
 MAX_BATCH = 1000
 _CHANNEL_OPTIONS = (
-    # A claim is tried again in one place only: at the writer here.
+    # Only the local writer retries a claim; gRPC must not retry as well.
     ('grpc.enable_retries', 0),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 1000),
 )
 
-# Address of the entry that owns a bucket, None for this one.
+# Returns the address of the entry that owns a bucket, None for this entry.
 OwnerLookup = Callable[[int], str | None]
 
 _Status = link_pb2.BindOutcome.Status
@@ -45,9 +46,10 @@
 class RouteTiming:
     """Time constants of a route, in seconds.
 
-    :ivar answer: longest wait for the owner, before the claim is made
-        here
-    :ivar rest: how long an owner that failed is left alone
+    :ivar timeout: longest wait for the owner before this entry commits
+        the claim itself
+    :ivar backoff: time after a failed call during which no claim is sent
+        to that owner
     """
 
     timeout: float = 1.0
@@ -75,7 +77,7 @@
 
 
 class _Servicer(link_pb2_grpc.ClaimsServicer):
-    """Commits what other entries send."""
+    """Commits the claims that other entries send."""
 
     def __init__(
         self, writer: writers.ClaimWriter, transport: transports.Transport
@@ -101,18 +103,18 @@
     writer: writers.ClaimWriter,
     transport: transports.Transport = transports.PLAIN,
 ) -> None:
-    """Let other entries send claims to a writer.
+    """Add the service that accepts claims of other entries to a server.
 
-    :param server: not started yet
+    :param server: server that has not been started yet
     """
     servicer = _Servicer(writer, transport)
     link_pb2_grpc.add_ClaimsServicer_to_server(servicer, server)
 
 
 class _Route:
-    """Claims on their way to one owner, one call at a time.
+    """Sends claims to one owner, one call at a time.
 
-    What gathers while a call is open goes with the next one.
+    Claims queued while a call is open are sent with the next call.
     """
 
     def __init__(
@@ -132,7 +134,7 @@
         self._backoff_until = 0.0
 
     def put(self, pending: writers.Pending) -> None:
-        """Send a claim, or divert it while the owner is left alone."""
+        """Send a claim, or divert it during the backoff."""
         with self._lock:
             is_backing_off = time.monotonic() < self._backoff_until
             if not is_backing_off:
@@ -143,7 +145,7 @@
             self._send()
 
     def close(self) -> None:
-        """End open calls; their claims are diverted."""
+        """Close the channel; claims of open calls are diverted."""
         self._channel.close()
 
     def _take_batch(self) -> list[writers.Pending]:
@@ -170,7 +172,7 @@
                 request, timeout=self._timing.timeout
             )
         except ValueError:
-            # The channel was closed while a claim was on its way.
+            # The channel was closed after the claim was queued.
             self._settle_batch(batch, None)
             return
         call.add_done_callback(lambda done: self._handle_reply(batch, done))
@@ -203,7 +205,10 @@
 
 
 class RoutedWriter:
-    """Makes claims at the owners of their buckets, or here."""
+    """Commits claims through the owners of their buckets, or locally.
+
+    :ivar diverted: claims committed locally as their owner confirmed none
+    """
 
     def __init__(
         self,
@@ -212,10 +217,10 @@
         timing: RouteTiming = RouteTiming(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Remember where to send claims.
+        """Set up routing; connections are opened on demand.
 
         :param writer: commits the claims of this entry's own buckets
-        :param owner: tells who owns a bucket
+        :param owner: returns the owner of a bucket
         """
         self.diverted = 0
         self._writer = writer
@@ -226,9 +231,9 @@
         self._routes: dict[str, _Route] = {}
 
     def bind(self, wanted: claims.Binding, timeout: float) -> writers.Outcome:
-        """Make a claim, or find the one that holds.
+        """Commit a claim, or return the existing one.
 
-        :param timeout: seconds to wait at most
+        :param timeout: longest wait in seconds
         """
         address = self._find_owner(wanted)
         if address is None:
@@ -238,9 +243,9 @@
     def release(
         self, binding: claims.Binding, timeout: float
     ) -> writers.Outcome:
-        """Free the key of a claim that its executor has sealed unrun.
+        """Free the key of a claim that its executor sealed without running.
 
-        :param timeout: seconds to wait at most
+        :param timeout: longest wait in seconds
         """
         address = self._find_owner(binding)
         if address is None:
@@ -248,9 +253,9 @@
         return self._send(address, claims.build_release(binding), timeout)
 
     def update_owners(self, addresses: set[str]) -> None:
-        """Close the routes to entries that own nothing any more.
+        """Update the commit rate and close routes to former owners.
 
-        :param addresses: the other owners
+        :param addresses: addresses of the other entries that own buckets
         """
         self._writer.set_writer_count(len(addresses) + 1)
         self._close_others(addresses)
@@ -269,7 +274,7 @@
         self._close_others(set())
 
     def dump(self) -> dict:
-        """Tell the state, without keys."""
+        """Return the state for diagnostics, without keys."""
         writer_state = self._writer.dump()
         return writer_state | {
             'routes': len(self._routes),
@@ -297,9 +302,10 @@
             return route
 
     def _divert(self, pending: writers.Pending) -> None:
-        """Commit here what the owner did not.
+        """Commit a claim locally that the owner did not confirm.
 
-        It may have done so after all; then its claim is found here.
+        If the owner committed it after all, the local writer finds that
+        claim.
         """
         self.diverted += 1
         self._writer.put(pending)
--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -1,11 +1,13 @@
-"""Writer of claims: one transaction commits what many callers wait for.
-
-Callers of ``bind`` queue a claim and wait. One thread takes all that has
-gathered, whichever buckets it falls in, and commits it in a single
-transaction that compares the head of each touched bucket. A transaction
-that loses brings back, in the same call, what the writer had not seen.
-An answer that was lost is settled by the next try: it compares the same
-heads, so only one of the two takes effect, and the loser reads the winner.
+"""Writer of claims with group commit.
+
+Callers of ``bind`` queue a claim and wait. One thread takes all queued
+claims, of any bucket, and commits them in a single transaction that
+compares the head of each touched bucket. If a compare fails, the same call
+returns the segments that the writer had not read yet.
+
+When the answer to a transaction is lost, the next attempt compares the same
+heads. So only one of the two takes effect, and a failed attempt reads what
+the first one wrote.
 """
 
 import collections
@@ -30,10 +32,10 @@
 ]
 
 PREFIX = '/dunlintide/claims/'
-# What all writers together may ask of a store that takes several hundred.
+# Bound for all writers together; the store handles several hundred.
 MAX_WRITES_PER_SECOND = 200.0
 MAX_CLAIMS_PER_COMMIT = 2000
-# A store transaction takes at most 128 operations; each bucket needs two.
+# A store transaction has at most 128 operations; each bucket needs two.
 MAX_BUCKETS_PER_COMMIT = 48
 RANGE_PAGE = 1000
 _LEASE_SLACK_SECONDS = 600
@@ -44,9 +46,9 @@
 class ClaimTiming:
     """Time constants of the writer, in seconds.
 
-    :ivar interval: least pause between the starts of two commits; it
-        bounds this writer's share of the store's writes
-    :ivar retry: pause after a failure of the store
+    :ivar interval: minimum time between the starts of two commits; it
+        bounds this writer's share of the store's write rate
+    :ivar retry_delay: pause after a failure of the store
     """
 
     interval: float = 0.01
@@ -55,18 +57,18 @@
 
 @attrs.frozen
 class Unbound:
-    """The claim was not made, or not known to be made, in time."""
+    """The claim was not confirmed as committed in time."""
 
     detail: str
 
 
-# The claim that holds, or why there is none.
+# The claim that is in force, or the reason why there is none.
 Outcome = result.Result[claims.Binding, claims.ReusedKey | Unbound]
 
 
 @attrs.define(eq=False)
 class Pending:
-    """A claim that waits to be made.
+    """A claim that waits to be committed.
 
     :ivar deadline: monotonic time in seconds
     """
@@ -77,15 +79,17 @@
     _outcome: Outcome | None = attrs.field(default=None, init=False)
 
     def settle(self, outcome: Outcome) -> None:
-        """Give the outcome to the thread that waits."""
+        """Set the outcome and wake the waiting thread."""
         self._outcome = outcome
         self._done.set()
 
     def wait(self) -> Outcome:
-        """Wait for the outcome, until the deadline at most."""
+        """Wait for the outcome until the deadline."""
         self._done.wait(max(0.0, self.deadline - time.monotonic()))
         if self._outcome is None:
-            return result.Err(Unbound('not bound in time'))
+            return result.Err(
+                Unbound('claim was not committed before its deadline')
+            )
         return self._outcome
 
 
@@ -110,7 +114,11 @@
 
 
 class ClaimWriter:
-    """Makes claims in the store, many to a write."""
+    """Commits claims to the store in batches.
+
+    :ivar commits: transactions that succeeded
+    :ivar conflicts: transactions whose compare failed
+    """
 
     def __init__(
         self,
@@ -118,9 +126,10 @@
         wall_clock: Callable[[], float] = time.time,
         timing: ClaimTiming = ClaimTiming(),
     ) -> None:
-        """Remember the store; ``start`` begins.
+        """Create a writer; ``start`` starts its thread.
 
-        :param wall_clock: seconds since the epoch, for retention only
+        :param wall_clock: returns seconds since the epoch; used for the
+            retention of claims only
         """
         self._store = store
         self._wall_clock = wall_clock
@@ -140,32 +149,33 @@
         )
 
     def start(self) -> None:
-        """Commit in the background."""
+        """Start the thread that commits claims."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the commit that runs; what still waits is unbound."""
+        """Stop after the running commit; queued claims end as unbound."""
         with self._ready:
             self._stopped = True
             self._ready.notify_all()
         self._thread.join()
 
     def set_writer_count(self, writers: int) -> None:
-        """Keep to this writer's part of the store's writes.
+        """Limit this writer to its share of the store's write rate.
 
-        :param writers: how many processes commit claims
+        :param writers: number of processes that commit claims
         """
         self._interval = max(
             self._timing.interval, writers / MAX_WRITES_PER_SECOND
         )
 
     def bind(self, wanted: claims.Binding, timeout: float) -> Outcome:
-        """Make a claim, or find the one that holds.
+        """Commit a claim, or return the existing one.
+
+        The caller distinguishes the two by comparing the attempt in the
+        answer with its own.
 
-        The caller compares the attempt in the answer with its own to
-        tell the two apart.
         :param wanted: the claim
-        :param timeout: seconds to wait at most
+        :param timeout: longest wait in seconds
         """
         return self.submit(wanted, timeout).wait()
 
@@ -173,31 +183,31 @@
         """Queue a claim without waiting for it.
 
         :param wanted: the claim
-        :param timeout: seconds after which it need not be made
+        :param timeout: seconds after which the claim is dropped
         """
         pending = Pending(wanted, time.monotonic() + timeout)
         self.put(pending)
         return pending
 
     def put(self, pending: Pending) -> None:
-        """Queue a claim that somebody waits for already."""
+        """Queue an existing pending claim."""
         with self._ready:
             if not self._stopped:
                 self._queue.append(pending)
                 self._ready.notify()
                 return
-        pending.settle(result.Err(Unbound('the writer has stopped')))
+        pending.settle(result.Err(Unbound('claim writer has stopped')))
 
     def release(self, binding: claims.Binding, timeout: float) -> Outcome:
-        """Free the key of a claim that its executor has sealed unrun.
+        """Free the key of a claim that its executor sealed without running.
 
-        :param binding: the claim, as ``bind`` gave it
-        :param timeout: seconds to wait at most
+        :param binding: the claim, as returned by ``bind``
+        :param timeout: longest wait in seconds
         """
         return self.bind(claims.build_release(binding), timeout)
 
     def dump(self) -> dict:
-        """Tell the state, without keys."""
+        """Return the state for diagnostics, without keys."""
         return {
             'commits': self.commits,
             'conflicts': self.conflicts,
@@ -247,7 +257,10 @@
                 return
 
     def _settle_from_buckets(self, batch: list[Pending]) -> list[Pending]:
-        """Settle what the buckets answer; keep one claim of each key."""
+        """Settle claims whose key a bucket holds.
+
+        :returns: one unsettled claim of each other key
+        """
         unsettled: dict[bytes, Pending] = {}
         for pending in batch:
             digest = pending.wanted.key_digest
@@ -259,7 +272,8 @@
             elif isinstance(found, claims.ReusedKey):
                 pending.settle(result.Err(found))
             elif digest in unsettled:
-                # Its twin is committed first; it meets that claim next.
+                # The first claim of this key is committed first; the
+                # queued one then finds it.
                 self.put(pending)
             else:
                 unsettled[digest] = pending
@@ -272,7 +286,7 @@
         return bucket
 
     def _commit(self, batch: list[Pending]) -> bool:
-        """Try one transaction; True when the batch has been settled."""
+        """Try one transaction; return True if it settled the batch."""
         groups: dict[int, list[Pending]] = {}
         for pending in batch:
             number = claims.choose_bucket(pending.wanted.key_digest)
@@ -347,13 +361,14 @@
     def _apply_reads(
         self, groups, ranges: tuple[tuple[storage.Value, ...], ...]
     ) -> None:
-        """Take in what a lost transaction has brought back."""
+        """Apply the reads of a transaction whose compare failed."""
         for index, number in enumerate(groups):
             heads, segments = ranges[2 * index], ranges[2 * index + 1]
             if len(segments) >= RANGE_PAGE:
                 more = self._read_more_pages(number, segments[-1])
                 if more is None:
-                    # A head without all its segments would hide claims.
+                    # Applying the head without all of its segments would
+                    # hide claims.
                     continue
                 segments = segments + more
             bucket = self._get_bucket(number)
@@ -370,16 +385,21 @@
     ) -> tuple[storage.Value, ...] | None:
         """Read further pages of segments.
 
-        A page may be newer than the head that came with the first one;
-        the transaction that follows then loses and reads again, and to
-        absorb a segment twice changes nothing.
+        A page may be newer than the head read with the first page. The
+        next transaction then fails its compare and reads again; applying
+        a segment twice has no effect.
+
+        :returns: the segments, None if a page could not be read
         """
         more: list[storage.Value] = []
         while True:
             after = int(last.key.rsplit('/', 1)[1])
             page = self._store.get_page(_segment_range(number, after))
             if isinstance(page, result.Err):
-                logging.warning('claims bucket %d: page not read', number)
+                logging.warning(
+                    'claims bucket %d: reading a page of segments failed',
+                    number,
+                )
                 return None
             more.extend(page.ok_value)
             if len(page.ok_value) < RANGE_PAGE:
@@ -387,7 +407,10 @@
             last = page.ok_value[-1]
 
     def _ensure_lease(self, batch: list[Pending]) -> int | None:
-        """Give a lease that outlives every claim of the batch."""
+        """Return a lease that outlives every claim of the batch.
+
+        :returns: its id, None if the store granted none
+        """
         now = time.monotonic()
         retention = max(pending.wanted.retention for pending in batch)
         if now < self._lease_until and retention <= self._lease_retention:
--- a/packages/adapters/src/dunlintide_adapters/configkeys.py
+++ b/packages/adapters/src/dunlintide_adapters/configkeys.py
@@ -16,16 +16,16 @@
 CHUNKS = f'{_ROOT}chunks/'
 HISTORY = f'{_ROOT}history/'
 
-# Heads that stay readable, the one in force among them.
+# Number of heads that stay readable, including the one in force.
 KEPT_REVISIONS = 50
 _REVISION_DIGITS = 16
 
 
 def build_chunk_key(digest: str) -> str:
-    """Give the key of a chunk."""
+    """Return the key of a chunk."""
     return f'{CHUNKS}{digest}'
 
 
 def build_history_key(revision: int) -> str:
-    """Give the key of a kept head; keys sort by revision."""
+    """Return the history key of a revision; keys sort by revision."""
     return f'{HISTORY}{revision:0{_REVISION_DIGITS}d}'
--- a/packages/adapters/src/dunlintide_adapters/configstore.py
+++ b/packages/adapters/src/dunlintide_adapters/configstore.py
@@ -1,9 +1,9 @@
-"""The operators' configuration, as the platform's store keeps it.
+"""The operators' configuration in the platform's store.
 
 Chunks are written under their digests, then one transaction replaces the
-head, which makes the change. A second key, the guard, changes whenever
-chunks are removed or a write of unknown outcome has to be ruled out: each
-write of the head also expects the guard that its author read.
+head and so puts the change in force. A second key, the guard, changes
+whenever chunks are removed or a write of unknown outcome has to be fenced
+off: each write of the head also compares the guard that its author read.
 """
 
 import threading
@@ -29,13 +29,13 @@
     'Snapshot',
 ]
 
-# Revisions between two removals of what nothing refers to.
+# Revisions between two collections of unreferenced heads and chunks.
 COLLECT_INTERVAL_REVISIONS = 16
 
 _MAX_ATTEMPTS = 5
 _FENCE_TIMEOUT_SECONDS = 10.0
 _FENCE_RETRY_SECONDS = 0.1
-# A transaction of etcd holds 128 operations by default.
+# etcd allows 128 operations in a transaction by default.
 _DELETE_BATCH = 100
 
 
@@ -84,14 +84,14 @@
 class ConfigStore:
     """Reads and changes the configuration in the store.
 
-    It keeps the chunks of the document that it read last, so that the
-    next read costs what has changed. Threads may share it.
+    The chunks of the last document read are cached, so that the next read
+    fetches only changed chunks. Threads may share an instance.
     """
 
     def __init__(
         self, store: stores.Store, wall_clock: Callable[[], float]
     ) -> None:
-        """Remember the store; use ``from_store`` instead."""
+        """Create an instance; use ``from_store`` instead."""
         self._store = store
         self._wall_clock = wall_clock
         self._chunks: dict[str, bytes] = {}
@@ -100,15 +100,15 @@
     def from_store(
         cls, store: stores.Store, wall_clock: Callable[[], float] = time.time
     ) -> 'ConfigStore':
-        """Build on a client of the store.
+        """Create an instance that uses an existing store client.
 
-        :param wall: gives seconds since the epoch
+        :param wall_clock: returns seconds since the epoch
         """
         return cls(store, wall_clock)
 
     @classmethod
     def from_url(cls, url: str) -> 'ConfigStore':
-        """Build on a client of its own.
+        """Create an instance with a store client of its own.
 
         :param url: base URL of the store's gateway
         """
@@ -116,33 +116,36 @@
 
     @property
     def store(self) -> stores.Store:
-        """The client that is used."""
+        """Client of the store."""
         return self._store
 
     def read(self) -> result.Result[Snapshot | None, Failure]:
-        """Read what is in force; None when nothing was ever applied."""
-        read: result.Result = result.Err(Failure('not read'))
+        """Read the configuration in force; None if none was ever applied."""
+        read: result.Result = result.Err(Failure('configuration was not read'))
         for _ in range(_MAX_ATTEMPTS):
             state = self._read_state()
             if state.is_err():
                 return state
             if state.ok_value.head is None:
                 return result.Ok(None)
-            # Chunks of a head that is long replaced may be gone.
+            # Chunks of a replaced head may have been collected meanwhile.
             read = self._load(state.ok_value.head)
             if read.is_ok():
                 break
         return read
 
     def read_mod_revision(self) -> result.Result[int, Failure]:
-        """Read a number that changes with the head, in few bytes."""
+        """Read the store revision of the last change of the head.
+
+        This transfers fewer bytes than a read of the head.
+        """
         found = self._store.get_revision(configkeys.HEAD)
         return found.map_err(_convert_failure)
 
     def list_history(
         self,
     ) -> result.Result[tuple[revisions.Head, ...], Failure]:
-        """List the heads that are kept, the newest first."""
+        """List the kept heads, newest first."""
         found = self._store.get_range(configkeys.HISTORY)
         if found.is_err():
             return found.map_err(_convert_failure)
@@ -151,7 +154,7 @@
     def read_revision(
         self, revision: int
     ) -> result.Result[Snapshot | None, Failure]:
-        """Read an earlier revision; None when it is not kept."""
+        """Read an earlier revision; None if it is no longer kept."""
         found = self._store.get(configkeys.build_history_key(revision))
         if found.is_err():
             return found.map_err(_convert_failure)
@@ -171,19 +174,19 @@
         comment: str,
         floor: int = 0,
     ) -> result.Result[revisions.Head, Conflict | Failure]:
-        """Replace the configuration, unless another change came first.
+        """Replace the configuration if ``base_revision`` is in force.
 
-        An answer that is lost is settled: the write is ruled out for
-        good, or found to be in force, before it is tried again.
+        After a lost answer, the write is fenced off or found to be in
+        force before it is tried again.
 
         :param document: canonical document
-        :param base_revision: revision that the change was made from, 0
-            for none
-        :param change_id: unique id of this change; the same id again
-            gives the head that holds it
-        :param floor: highest revision known to any process; the new one
-            is above it, also when the store was restored
-        :returns: the head that holds the change
+        :param base_revision: revision that the change is based on, 0 for
+            none
+        :param change_id: unique id of this change; repeating an applied
+            id returns the current head without another write
+        :param floor: highest revision known to any process; the new
+            revision is higher, even if the store was restored
+        :returns: the head that contains the change
         """
         split = revisions.split(document)
         if split.is_err():
@@ -202,7 +205,9 @@
             outcome = self._try_apply(base_revision, change_id, chunks, build)
             if outcome is not None:
                 return outcome
-        return result.Err(Failure('the configuration kept changing'))
+        return result.Err(
+            Failure('the configuration changed during every attempt')
+        )
 
     def watch(
         self,
@@ -214,13 +219,14 @@
     ) -> None:
         """Deliver each new revision until ``stop`` is set.
 
-        Blocks; ``on_snapshot`` is called on this thread, never with a
-        lower revision than before. Revisions in between may be skipped.
-        The store is mended when it was restored to an older state.
+        Blocks. ``on_snapshot`` is called on this thread and never with a
+        lower revision than before; intermediate revisions may be skipped.
+        A store that was restored to an older state is repaired.
 
-        :param held: what the process holds already
+        :param current: snapshot that the process uses already, if any
         :param poll_seconds: longest time between two reads, in seconds
-        :param on_read: called with each revision that the store held
+        :param on_read: called with each revision that was read, 0 for
+            none
         """
         configwatch.watch(
             self, on_snapshot, stop, current, poll_seconds, on_read
@@ -229,10 +235,11 @@
     def republish(
         self, snapshot: Snapshot, replaced_change_id: str | None
     ) -> result.Result[revisions.Head, Failure]:
-        """Put a head into a store that was restored to an older one.
+        """Write a snapshot to a store that was restored to an older one.
 
-        :param snapshot: what is to be in force
-        :param over: change id of the head that it replaces, None for none
+        :param snapshot: snapshot to put in force
+        :param replaced_change_id: change id of the head that it replaces,
+            None for none
         :returns: the head that was written
         """
         state = self._read_state()
@@ -240,7 +247,9 @@
             return state
         head = state.ok_value.head
         if (head.change_id if head else None) != replaced_change_id:
-            return result.Err(Failure('another process wrote first'))
+            return result.Err(
+                Failure('another process changed the head first')
+            )
         split = revisions.split(snapshot.document)
         if split.is_err():
             return split.map_err(
@@ -250,15 +259,17 @@
         if written.is_ok():
             return result.Ok(snapshot.head)
         if isinstance(written.err_value, stores.CasConflict):
-            return result.Err(Failure('another process wrote first'))
+            return result.Err(
+                Failure('another process changed the head first')
+            )
         return written.map_err(_convert_failure)
 
     def collect_garbage(self, kept: int = configkeys.KEPT_REVISIONS) -> None:
         """Remove old heads, and chunks that no kept head refers to.
 
-        What fails is left for the next time.
+        Keys whose removal fails remain until the next collection.
 
-        :param kept: how many heads to keep
+        :param kept: number of heads to keep
         """
         state = self._read_state()
         history = self._store.get_range(configkeys.HISTORY)
@@ -330,7 +341,7 @@
         chunks: tuple[revisions.Chunk, ...],
         build: Callable[[revisions.Head | None], revisions.Head],
     ) -> result.Result[revisions.Head, Conflict | Failure] | None:
-        """Try a change once; None when it was not made and may be tried."""
+        """Try a change once; None if it was not applied and can be retried."""
         read = self._read_state()
         if read.is_err():
             return read
@@ -386,16 +397,18 @@
             written = self._store.compare_and_swap(key, 0, chunk.body)
             failure = written.err()
             if isinstance(failure, storefailures.StoreFailure):
-                # A chunk alone changes nothing that is in force.
+                # Without a head that refers to it, a chunk has no effect.
                 failure = attrs.evolve(failure, maybe_applied=False)
                 return result.Err(failure)
         return result.Ok(None)
 
     def _fence_write(self, state: _State) -> result.Err[Failure] | None:
-        """Make a write that may still take effect impossible.
+        """Change the guard so that a delayed write cannot take effect.
+
+        Once the guard has changed, the store refuses a delayed write of
+        the head. Whether it was applied before can be read from the head.
 
-        Once the guard has changed, a late write of the head is refused;
-        whether it was made before shows in the head.
+        :returns: None if the outcome is decided, else the failure
         """
         deadline = time.monotonic() + _FENCE_TIMEOUT_SECONDS
         pause = threading.Event()
@@ -408,7 +421,7 @@
             ):
                 return None
             pause.wait(_FENCE_RETRY_SECONDS)
-        text = 'the store gave no answer; apply again with the same change id'
+        text = 'the store did not answer; apply again with the same change id'
         return result.Err(Failure(text, maybe_applied=True))
 
     def _delete_keys(self, state: _State, keys: list[str]) -> None:
@@ -419,6 +432,8 @@
                 keys[start : start + _DELETE_BATCH],
             )
             if removed.is_err():
-                logging.info('removal of old configuration put off')
+                logging.info(
+                    'removal of unreferenced configuration keys failed'
+                )
                 return
             state = attrs.evolve(state, guard_mod_revision=removed.ok_value)
--- a/packages/adapters/src/dunlintide_adapters/configtypes.py
+++ b/packages/adapters/src/dunlintide_adapters/configtypes.py
@@ -1,4 +1,4 @@
-"""What the configuration store gives and why it may fail."""
+"""Results and failures of the configuration store."""
 
 import attrs
 from dunlintide_core import revisions
@@ -14,6 +14,7 @@
 class Snapshot:
     """One revision of the configuration.
 
+    :ivar head: revision, author and chunk digests
     :ivar document: canonical document that the head describes
     """
 
@@ -23,9 +24,9 @@
 
 @attrs.frozen
 class Conflict:
-    """A change refused because another came first.
+    """A change refused because its base revision is not in force.
 
-    :ivar current: what is in force, None when nothing is
+    :ivar current: configuration in force, None if there is none
     """
 
     current: Snapshot | None
@@ -33,9 +34,9 @@
 
 @attrs.frozen
 class Failure:
-    """A call that did not come through.
+    """A failed call on the configuration store.
 
-    :ivar maybe_applied: whether a change may be in force all the same
+    :ivar maybe_applied: whether the change may have been applied anyway
     """
 
     message: str
--- a/packages/adapters/src/dunlintide_adapters/configwatch.py
+++ b/packages/adapters/src/dunlintide_adapters/configwatch.py
@@ -1,10 +1,10 @@
-"""Follows the configuration in the store; revisions only rise.
+"""Follower of the configuration in the store; revisions only rise.
 
-A watch tells of changes, and a read every few seconds catches one that
-went silent. A store that was restored holds a lower head than the
-processes do: what it lost is written back, and a change that operators
-made on top of the restored head is lifted above what is in force, so
-that all processes take it up.
+A watch reports changes, and a read every few seconds covers a watch that
+has silently failed. A restored store holds a lower head than the processes
+use. The lost revision is then written back. If operators changed the
+configuration on top of the restored head, that change gets a revision above
+the one in use, so that all processes adopt it.
 """
 
 import random
@@ -28,10 +28,10 @@
 
 POLL_SECONDS = 2.0
 
-# One read in this many looks at the head even if its mark is the same.
+# One poll in this many reads the head even if its store revision is the same.
 _FULL_READ_POLLS = 15
 _JOIN_TIMEOUT_SECONDS = 2.0
-# How often a pause looks whether it should end.
+# Interval at which a wait checks for a stop.
 _STOP_CHECK_SECONDS = 0.5
 
 
@@ -40,9 +40,9 @@
 ) -> configtypes.Snapshot | None:
     """Choose what to write to a store that was restored.
 
-    :param held: highest revision that this process has seen
-    :param found: what the store holds
-    :returns: a snapshot to publish, None when the store is in order
+    :param current: highest revision that this process has seen
+    :param stored: snapshot in the store, None if it has none
+    :returns: snapshot to publish, None if the store needs no repair
     """
     if stored is None:
         return current
@@ -58,7 +58,7 @@
 
 
 class _Follower:
-    """Reads the store when it may have changed, and delivers."""
+    """Reads the store when it may have changed and delivers snapshots."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._reads = 0
 
     def poll(self) -> None:
-        """Look whether the head has changed, and take it up."""
+        """Check whether the head has changed, and read it if so."""
         mod_revision = self._configs.read_mod_revision()
         if mod_revision.is_err():
             return
@@ -113,16 +113,21 @@
     ) -> None:
         revision = snapshot.head.revision
         replaced_change_id = stored.head.change_id if stored else None
-        logging.warning('the store fell back; writing revision %d', revision)
+        logging.warning(
+            'store was restored to an older state; writing revision %d',
+            revision,
+        )
         written = self._configs.republish(snapshot, replaced_change_id)
         if written.is_err():
-            logging.warning('revision %d was not written', revision)
+            logging.warning(
+                'writing configuration revision %d failed', revision
+            )
 
 
 def _wait(
     wake: threading.Event, stop: threading.Event, seconds: float
 ) -> None:
-    """Wait for a change, the end of the pause or a stop."""
+    """Wait for a change or a stop, at most ``seconds``."""
     deadline = time.monotonic() + seconds
     while not stop.is_set() and (remaining := deadline - time.monotonic()) > 0:
         if wake.wait(min(remaining, _STOP_CHECK_SECONDS)):
@@ -137,10 +142,10 @@
     poll_seconds: float = POLL_SECONDS,
     on_read: Callable[[int], None] = lambda revision: None,
 ) -> None:
-    """Run the loop of ``ConfigStore.watch``, which says more.
+    """Run the loop of ``ConfigStore.watch``; see there.
 
     :param configs: the ``ConfigStore``
-    :param on_read: called with each revision that the store held
+    :param on_read: called with each revision that was read, 0 for none
     """
     wake = threading.Event()
     watcher = threading.Thread(
--- a/packages/adapters/src/dunlintide_adapters/decisionlog.py
+++ b/packages/adapters/src/dunlintide_adapters/decisionlog.py
@@ -1,7 +1,7 @@
 """Structured log of decisions: JSON lines on standard output.
 
-Lines are written without blocking and at a bounded rate; what exceeds
-either bound is dropped and counted, and the count is logged later.
+Writes do not block, and both the rate and the backlog are bounded. Lines
+beyond either bound are dropped and counted; the count is logged later.
 """
 
 import collections
@@ -13,13 +13,13 @@
 
 __all__ = ['DecisionLog']
 
-# Lines a second that are written on average, and saved up for a burst, so
-# that the log stays a small part of a core.
+# Average rate in lines a second, and size of a burst as seconds of that rate.
+# The rate keeps the log to a small share of a CPU core.
 DEFAULT_LINES_PER_SECOND = 300.0
 _BURST_SECONDS = 3.0
-# Bytes that wait for a slow reader before lines are dropped.
+# Bytes buffered for a slow reader before lines are dropped.
 _MAX_WAITING_BYTES = 256 << 10
-# A line that is due at least this often tells of dropped ones, in seconds.
+# Minimum time between two reports of dropped lines.
 _REPORT_SECONDS = 5.0
 
 
@@ -35,10 +35,10 @@
         output: int = 1,
         rate: float = DEFAULT_LINES_PER_SECOND,
     ) -> None:
-        """Begin to log.
+        """Create a log and make its output non-blocking.
 
-        :param host: host's name, in each line
-        :param output: file descriptor, set not to block
+        :param host: host name, written in each line
+        :param output: file descriptor to write to
         :param rate: lines a second
         """
         self._host = host
@@ -54,9 +54,9 @@
         os.set_blocking(output, False)
 
     def write(self, event: str, **fields: Any) -> None:
-        """Log one line, unless too many were logged just now.
+        """Log one line, or drop it if a bound is exceeded.
 
-        :param event: what was decided or seen
+        :param event: what was decided or observed
         :param fields: inputs of the decision and its outcome
         """
         now = time.monotonic()
@@ -71,7 +71,7 @@
         self._append(event, now, fields)
 
     def write_always(self, event: str, **fields: Any) -> None:
-        """Log one line outside of the rate, for starts, stops and faults."""
+        """Log one line at any rate, for starts, stops and faults."""
         if self._waiting_bytes > _MAX_WAITING_BYTES:
             self.dropped += 1
             return
@@ -85,7 +85,7 @@
         self._waiting_bytes += len(data) + 1
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write buffered lines until the output would block."""
         now = time.monotonic()
         if self.dropped > self._reported_drops and now >= self._next_report_at:
             self._next_report_at = now + _REPORT_SECONDS
@@ -98,7 +98,7 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # Nobody reads any more; there is no other place to tell it.
+                # The reader is gone; there is no other output for an error.
                 written = len(data)
             self._waiting_bytes -= written
             if written < len(data):
@@ -106,10 +106,10 @@
                 return
 
     def _join_lines(self) -> bytes:
-        """Take as many whole lines as a pipe takes in one piece.
+        """Remove and join as many lines as a pipe writes atomically.
 
-        A longer write may be cut at any place by whoever reads the pipe, and
-        the lines behind the cut would be lost to those who look for a cause.
+        A longer write may be split at any byte by the reader of the pipe,
+        and the lines behind the split would be lost for diagnosis.
         """
         lines = [self._waiting.popleft()]
         size = len(lines[0])
--- a/packages/adapters/src/dunlintide_adapters/eventloop.py
+++ b/packages/adapters/src/dunlintide_adapters/eventloop.py
@@ -1,6 +1,6 @@
-"""The one event loop of a process, on a thread of its own.
+"""The event loop of a process, on a thread of its own.
 
-All links share it, so an idle link costs no thread and no polling.
+All links share the loop, so an idle link needs no thread and no polling.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 def is_current() -> bool:
-    """Tell whether the caller runs on the loop's thread."""
+    """Return whether the caller runs on the loop's thread."""
     try:
         return asyncio.get_running_loop() is _get_loop()
     except RuntimeError:
@@ -38,7 +38,7 @@
 
 
 def call_soon(function: Callable[[], Any]) -> None:
-    """Call a function on the loop, soon."""
+    """Schedule a call of a function on the loop."""
     _get_loop().call_soon_threadsafe(function)
 
 
@@ -50,9 +50,11 @@
 def run(coroutine: Coroutine) -> Any:
     """Run a coroutine on the loop and wait for its result.
 
-    :raises RuntimeError: on the loop's own thread, which must not wait
+    :raises RuntimeError: if called on the loop's thread
     """
     if is_current():
         coroutine.close()
-        raise RuntimeError('the event loop must not wait for itself')
+        raise RuntimeError(
+            'a call on the event loop thread cannot wait for the loop'
+        )
     return spawn(coroutine).result()
--- a/packages/adapters/src/dunlintide_adapters/gateway.py
+++ b/packages/adapters/src/dunlintide_adapters/gateway.py
@@ -1,7 +1,7 @@
 """Messages of the etcd v3 JSON gateway that the store client uses.
 
-Bytes are base64 in JSON and 64-bit integers are strings; fields that are
-zero are left out of answers.
+In JSON, bytes are base64 and 64-bit integers are strings. Answers omit
+fields that are zero.
 """
 
 from typing import Iterable
@@ -38,7 +38,11 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """A key as the store holds it."""
+    """A key and its value.
+
+    :ivar mod_revision: store revision of its last change
+    :ivar lease: id of its lease, 0 for none
+    """
 
     key: bytes = b''
     value: bytes = b''
@@ -47,7 +51,7 @@
 
 
 class RangeAnswer(msgspec.Struct, frozen=True):
-    """Answer to a range."""
+    """Answer to a range read."""
 
     header: Header = Header()
     kvs: list[KeyValue] = []
@@ -68,14 +72,18 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Answer to a lease grant."""
+    """Answer to a lease grant.
+
+    :ivar ID: id of the lease
+    :ivar TTL: lifetime without renewal, in seconds
+    """
 
     ID: int = 0
     TTL: int = 0
 
 
 class KeepAlive(msgspec.Struct, frozen=True):
-    """Answer to a lease renewal; a TTL of 0 means that it lapsed."""
+    """Answer to a lease renewal; a TTL of 0 means that the lease expired."""
 
     result: Grant = Grant()
 
@@ -88,7 +96,11 @@
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """Content of one message of a watch."""
+    """Content of one message of a watch.
+
+    :ivar created: whether the watch was opened
+    :ivar canceled: whether the store ended the watch
+    """
 
     header: Header = Header()
     created: bool = False
@@ -103,9 +115,9 @@
 
 
 class Expect(msgspec.Struct, frozen=True):
-    """Condition of a transaction: a key's last change.
+    """Condition of a transaction on the last change of a key.
 
-    :ivar mod_revision: revision of its last change, 0 when absent
+    :ivar mod_revision: store revision of that change, 0 for no such key
     """
 
     key: str
@@ -115,7 +127,7 @@
 class Put(msgspec.Struct, frozen=True):
     """Write of a key.
 
-    :ivar lease: lease whose end removes the key, 0 for none
+    :ivar lease: id of the lease whose end removes the key, 0 for none
     """
 
     key: str
@@ -126,7 +138,7 @@
 class Range(msgspec.Struct, frozen=True):
     """Read of a key, or of the keys in ``[key, end)``.
 
-    :ivar limit: most keys to return, 0 for no limit
+    :ivar limit: maximum number of keys to return, 0 for no limit
     """
 
     key: str
@@ -137,13 +149,13 @@
 def decode(body: bytes, kind: type):
     """Decode an answer.
 
-    :raises msgspec.MsgspecError: when the body does not fit
+    :raises msgspec.MsgspecError: if the body does not match the type
     """
     return msgspec.json.decode(body, type=kind, strict=False)
 
 
 def get_prefix_end(prefix: str) -> bytes:
-    """Give the end of the range of keys that begin with a prefix."""
+    """Return the end of the range of keys that begin with a prefix."""
     start = prefix.encode()
     return start[:-1] + bytes((start[-1] + 1,))
 
@@ -158,12 +170,12 @@
 
 
 def build_range(key: str, end: bytes = b'', keys_only: bool = False) -> bytes:
-    """Build a read of a key, or of the keys in ``[key, end)``."""
+    """Build the read of a key, or of the keys in ``[key, end)``."""
     return msgspec.json.encode(_build_range(key, end, keys_only))
 
 
 def build_limited_range(key_range: Range) -> dict:
-    """Build the body of a read that may be limited."""
+    """Build the body of a read with an optional limit."""
     body = _build_range(key_range.key, key_range.end.encode(), False)
     if key_range.limit:
         body['limit'] = str(key_range.limit)
@@ -193,9 +205,9 @@
     reads: Iterable[str] = (),
     failure_reads: Iterable[Range] = (),
 ) -> bytes:
-    """Build a transaction; a failed condition leaves all undone.
+    """Build a transaction; if a condition fails, nothing is written.
 
-    :param otherwise: what to read when a condition fails
+    :param failure_reads: ranges to read if a condition fails
     """
     operations = [_build_put(put) for put in puts]
     operations += [
@@ -216,7 +228,11 @@
 
 
 def build_lease(lease: int = 0, ttl: int = 0) -> bytes:
-    """Build a call on a lease; a zero field is left out."""
+    """Build a call on a lease; zero fields are omitted.
+
+    :param lease: id of the lease
+    :param ttl: lifetime without renewal, in seconds
+    """
     body = {'ID': str(lease)} if lease else {}
     if ttl:
         body['TTL'] = str(ttl)
@@ -226,7 +242,7 @@
 def build_watch(prefix: str, start_revision: int) -> bytes:
     """Build the request for a watch.
 
-    :param start_revision: first revision to show, 0 for the next one
+    :param start_revision: first revision to report, 0 for the next one
     """
     create = {
         'key': prefix.encode(),
--- a/packages/adapters/src/dunlintide_adapters/hostlist.py
+++ b/packages/adapters/src/dunlintide_adapters/hostlist.py
@@ -1,4 +1,7 @@
-"""The platform's list of hosts, which lags and may be away."""
+"""Client of the platform's host list.
+
+The list lags behind the actual hosts and may be unavailable.
+"""
 
 import enum
 
@@ -19,7 +22,7 @@
 
 
 class HostState(enum.StrEnum):
-    """What the platform says of a host."""
+    """State of a host as listed by the platform."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -29,8 +32,8 @@
 class Host:
     """One host of the list.
 
-    :ivar role: role of the daemon on it
-    :ivar address: ``host:port`` of its link server
+    :ivar role: role of the daemon on the host
+    :ivar address: ``host:port`` of the daemon's link server
     """
 
     name: str
@@ -43,7 +46,7 @@
 
 @attrs.frozen
 class HostListFailure:
-    """Why the list could not be had."""
+    """Reason why the list could not be read."""
 
     message: str
 
@@ -54,13 +57,13 @@
 
 
 class HostList:
-    """Reads the list and keeps the last one.
+    """Reads the list and keeps the last result.
 
-    :ivar hosts: list as last read, empty before the first
+    :ivar hosts: hosts of the last read, empty before the first
     """
 
     def __init__(self, url: str, pool: urllib3.PoolManager) -> None:
-        """Remember the address; use ``from_url`` instead."""
+        """Create a reader; use ``from_url`` instead."""
         self.hosts: tuple[Host, ...] = ()
         self._url = url
         self._pool = pool
@@ -68,7 +71,7 @@
 
     @classmethod
     def from_url(cls, url: str) -> 'HostList':
-        """Build a reader; nothing is sent yet.
+        """Create a reader; nothing is sent yet.
 
         :param url: URL of the list
         """
@@ -81,7 +84,7 @@
         return cls(url, pool)
 
     def poll(self) -> result.Result[tuple[Host, ...], HostListFailure]:
-        """Read the list once; a failure leaves the last one in place."""
+        """Read the list once; after a failure ``hosts`` is unchanged."""
         try:
             answer = self._pool.request('GET', self._url)
         except urllib3.exceptions.HTTPError as error:
--- a/packages/adapters/src/dunlintide_adapters/keepalive.py
+++ b/packages/adapters/src/dunlintide_adapters/keepalive.py
@@ -1,9 +1,9 @@
-"""When a side of a link pings, and when it takes the other for silent.
+"""Keepalive rules of a link: when to ping and when the peer is lost.
 
-A link that carries no work pings at wider intervals, since most links of
-a large fleet are idle at any moment. Work on a link, in either direction,
-brings both sides back to the close interval, and a silence is counted anew
-from then: whoever sends work learns as soon as ever that nobody is there.
+A link that carries no work pings at longer intervals, since most links of
+a large fleet are idle at any moment. Work in either direction returns both
+sides to the short interval and restarts the measurement of silence. So a
+sender of work on an idle link detects a lost peer as fast as on a busy one.
 """
 
 __all__ = [
@@ -11,20 +11,21 @@
     'Keepalive',
 ]
 
-# An idle link pings after so many times the usual quiet time.
+# Ping interval of an idle link, as a multiple of that of a link in use.
 IDLE_PING_FACTOR = 3
-# A link is idle when it has carried no work for so many times that time.
+# A link is idle after this many ping intervals without work.
 _IDLE_AFTER_PINGS = 10
 
 
 class Keepalive:
-    """Signs of life of one link; times are monotonic, in seconds."""
+    """Keepalive state of one link; times are monotonic, in seconds."""
 
     def __init__(self, ping: float, silence: float, now: float) -> None:
-        """Begin idle and heard.
+        """Start with an idle link that has just received data.
 
-        :param ping: quiet time after which a side pings
-        :param silence: silence after which a link in use is lost
+        :param ping: time without a send after which a side pings
+        :param silence: time without a receive after which a link in use
+            counts as lost
         """
         self._ping = ping
         self._silence = silence
@@ -36,19 +37,19 @@
         return now - self._work_at < self._ping * _IDLE_AFTER_PINGS
 
     def note_received(self, now: float) -> None:
-        """Take note of anything that the other side sent."""
+        """Record that the peer sent anything, pings included."""
         self._received_at = now
 
     def note_work(self, now: float) -> None:
-        """Take note of work that this side sent or got."""
+        """Record work that this side sent or received."""
         if not self._is_in_use(now):
             self._active_since = now
         self._work_at = now
 
     def is_ping_due(self, sent_at: float, now: float) -> bool:
-        """Tell whether this side should ping.
+        """Return whether this side should ping.
 
-        :param sent: when it last sent anything
+        :param sent_at: time of its last send of any kind
         """
         interval = self._ping
         if not self._is_in_use(now):
@@ -56,7 +57,7 @@
         return now - sent_at >= interval
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the other side counts as lost."""
+        """Return whether the peer counts as lost."""
         if self._is_in_use(now):
             return (
                 now - max(self._received_at, self._active_since)
--- a/packages/adapters/src/dunlintide_adapters/leaders.py
+++ b/packages/adapters/src/dunlintide_adapters/leaders.py
@@ -1,7 +1,7 @@
-"""Leadership of models in the store: one key a model, on a lease.
+"""Leadership of models: one key for each model in the store, on a lease.
 
-A key is written once in its life, so the revision of that write is the
-fencing number of the term. It rises from term to term.
+A key is written only once before it is removed, so the revision of that
+write serves as the fencing token of the term. It rises from term to term.
 """
 
 import time
@@ -24,9 +24,12 @@
 
 @attrs.frozen
 class Leader:
-    """Who leads a model.
+    """The leader of a model.
 
-    :ivar attempt: names the write, so that its author can settle it
+    :ivar name: name of the leading process
+    :ivar attempt: unique id of the write, by which its author recognises
+        it after a lost answer
+    :ivar fence: fencing token of the term
     """
 
     name: str
@@ -45,27 +48,31 @@
     try:
         record = msgspec.json.decode(value.value, type=_Record)
     except msgspec.MsgspecError:
-        # Not ours to read, but somebody's: nobody else leads.
+        # An unreadable record still holds the key, so no other process
+        # can lead.
         record = _Record('', '')
     return Leader(record.name, record.attempt, value.mod_revision)
 
 
 class Leaders:
-    """Keys and leases of the leaders."""
+    """Reads, acquires and renews leadership."""
 
     def __init__(
         self,
         store: stores.Store,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Remember the store; nothing is sent yet."""
+        """Create an instance; nothing is sent yet.
+
+        :param clock: returns monotonic time in seconds
+        """
         self._store = store
         self._clock = clock
 
     def read(
         self, model: str
     ) -> result.Result[Leader | None, storefailures.StoreFailure]:
-        """Read who leads a model, None for nobody."""
+        """Read the leader of a model; None if it has none."""
         return self._store.get(PREFIX + model).map(_read_leader)
 
     def acquire(
@@ -73,9 +80,9 @@
     ) -> result.Result[leadership.Term | None, storefailures.StoreFailure]:
         """Try to become the leader of a model.
 
-        :param name: of this process
-        :param seconds: time that the lease lives without renewal
-        :returns: the term, None when another process leads
+        :param name: name of this process
+        :param ttl: lifetime of the lease without renewal, in seconds
+        :returns: the term, None if another process leads
         """
         sent_at = self._clock()
         granted = self._store.grant_lease(ttl)
@@ -92,7 +99,7 @@
         if resolved.is_ok() and resolved.ok_value is not None:
             fence = resolved.ok_value.fence
             return result.Ok(leadership.Term(fence, lease, sent_at))
-        # Without its lease a write that is still under way has no effect.
+        # Without the lease, a write that arrives late has no effect.
         self._store.revoke(lease)
         return resolved
 
@@ -102,7 +109,7 @@
         attempt: str,
         error: stores.CasConflict | storefailures.StoreFailure,
     ) -> result.Result[Leader | None, storefailures.StoreFailure]:
-        """Find out whether a write whose answer was lost took effect."""
+        """Determine whether a write whose answer was lost took effect."""
         if isinstance(error, stores.CasConflict):
             return result.Ok(None)
         if not error.maybe_applied:
@@ -118,8 +125,8 @@
     ) -> result.Result[float | None, storefailures.StoreFailure]:
         """Renew the lease of a term.
 
-        :returns: monotonic time just before the renewal was sent, None
-            when the lease has ended and the term with it
+        :returns: monotonic time just before the renewal was sent, None if
+            the lease and so the term have ended
         """
         sent_at = self._clock()
         renewed = self._store.keep_alive(term.lease)
@@ -128,5 +135,5 @@
         )
 
     def resign(self, term: leadership.Term) -> None:
-        """End a term, so that another process need not wait for it."""
+        """End a term, so that another process can lead before it expires."""
         self._store.revoke(term.lease)
--- a/packages/adapters/src/dunlintide_adapters/logs.py
+++ b/packages/adapters/src/dunlintide_adapters/logs.py
@@ -1,8 +1,8 @@
 """Logs of a process: JSON lines, or plain text on a terminal.
 
-No bearer key reaches the output: what follows ``Bearer`` or
-``Authorization`` is masked in the finished line, and so is each word that
-a predicate set with ``mask_keys`` takes for a key.
+Bearer keys are masked in the formatted line: text that follows ``Bearer``
+or ``Authorization``, and each word for which the predicate set with
+``mask_keys`` is true.
 """
 
 import enum
@@ -24,7 +24,7 @@
 ]
 
 MASK = '[masked]'
-# Shorter words are not looked at as keys; callers' keys are longer.
+# Shorter words are not checked; callers' keys are longer.
 MIN_KEY_CHARACTERS = 8
 
 _TEXT_FORMAT = (
@@ -36,8 +36,8 @@
     'filename': 'file',
     'lineno': 'line',
 }
-# A quote may stand escaped, since the finished line is looked at. A header
-# may be shown as "Name: value", as a JSON or Python pair or an assignment.
+# Quotes may be escaped, since the pattern is applied to the formatted line. A
+# header may appear as "Name: value", a JSON or Python pair or an assignment.
 _QUOTE = r'(?:\\*["\'])?'
 _AUTHORIZATION = re.compile(
     r'((?:proxy[-_])?authorization'
@@ -54,7 +54,7 @@
 
 
 class Format(enum.StrEnum):
-    """How log lines look; auto means text on a terminal, else JSON."""
+    """Format of log lines; auto means text on a terminal, else JSON."""
 
     AUTO = 'auto'
     JSON = 'json'
@@ -64,8 +64,8 @@
 def mask_keys(is_key: Callable[[str], bool] | None) -> None:
     """Mask each word of a log line for which ``is_key`` is true.
 
-    :param is_key: for example, whether a word's SHA-256 is a known key
-        hash; None masks by the surrounding text alone
+    :param is_key: for example, a check whether a word's SHA-256 is a known
+        key hash; None masks by the surrounding text alone
     """
     global _is_key
     _is_key = is_key
@@ -84,7 +84,7 @@
 
 
 class _MaskingFormatter(standard_logging.Formatter):
-    """Masks the finished line, so tracebacks and extras are covered."""
+    """Masks the formatted line, which includes tracebacks and extras."""
 
     def __init__(self, formatter: standard_logging.Formatter) -> None:
         super().__init__()
@@ -129,8 +129,8 @@
 ) -> None:
     """Send all logs of the process to standard error.
 
-    Call it before the first log line; absl warns on lines that come
-    earlier. A later call replaces the settings of the one before.
+    Call this before the first log line, as absl warns on earlier ones. A
+    further call replaces the settings.
 
     :param level: debug, info, warning, error or fatal
     :param format: auto, json or text
@@ -144,13 +144,12 @@
         else _build_text_formatter
     )
     if not flags.FLAGS.is_parsed():
-        # The settings come from a file; absl would warn of unparsed flags.
+        # Settings come from a file; absl would warn about unparsed flags.
         flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.python_handler.stream = sys.stderr
     handler.python_handler.setFormatter(_MaskingFormatter(build(fields)))
     logging.use_absl_handler()
-    # It logs what is asked for, query and all, and who asks has its say
-    # in that.
+    # urllib3 logs request targets with their query, and callers choose both.
     standard_logging.getLogger('urllib3').setLevel('ERROR')
     logging.set_verbosity(level)
--- a/packages/adapters/src/dunlintide_adapters/outboxes.py
+++ b/packages/adapters/src/dunlintide_adapters/outboxes.py
@@ -1,4 +1,4 @@
-"""Frames that wait to be written to a link."""
+"""Bounded queue of frames to be written to a link."""
 
 import asyncio
 import threading
@@ -18,9 +18,9 @@
 
 
 class Outbox:
-    """Frames that wait for the writer, bounded in number.
+    """Bounded queue between senders of frames and the writer of a link.
 
-    :ivar taken: monotonic time at which the writer last took some
+    :ivar taken_at: monotonic time at which the writer last took frames
     """
 
     def __init__(self, batch_bytes: int) -> None:
@@ -32,7 +32,7 @@
         self._closed = False
 
     def put(self, frame: link_pb2.Frame) -> bool:
-        """Append a frame; False when closed or full."""
+        """Append a frame; return False if the queue is closed or full."""
         with self._lock:
             if self._closed or len(self._frames) >= MAX_BACKLOG_FRAMES:
                 return False
@@ -43,7 +43,7 @@
         return True
 
     def close(self) -> None:
-        """Let the writer end once it has taken what is queued."""
+        """Refuse further frames; the writer ends after the queued ones."""
         with self._lock:
             self._closed = True
         self._wake()
--- a/packages/adapters/src/dunlintide_adapters/packing.py
+++ b/packages/adapters/src/dunlintide_adapters/packing.py
@@ -1,8 +1,8 @@
-"""Frames in messages of bounded size, and out of them again.
+"""Packing of frames into messages of bounded size, and unpacking.
 
-A message shows that a link is alive only once it is whole, so one must be
-small enough for a slow link to carry it well within the silence; a larger
-frame goes in pieces.
+A message proves that a link is alive only once it has arrived completely.
+So it must be small enough that a slow link transfers it well before the
+peer assumes the link lost. A larger frame is split into pieces.
 """
 
 from typing import Iterable, Iterator
@@ -30,9 +30,9 @@
 def pack(
     frames: Iterable[link_pb2.Frame], batch_bytes: int = BATCH_BYTES
 ) -> Iterator[link_pb2.Envelope]:
-    """Yield frames in messages, as many in each as its size allows.
+    """Yield messages that each hold as many frames as fit.
 
-    :param batch_bytes: a message holds no more than this, or one frame
+    :param batch_bytes: maximum size of a message with several frames
     """
     envelope = link_pb2.Envelope()
     size = 0
@@ -52,17 +52,18 @@
 
 
 class Unpacker:
-    """Puts the pieces of one link's frames together."""
+    """Reassembles the split frames of one link."""
 
     def __init__(self) -> None:
         self._pieces: list[bytes] = []
         self._size = 0
 
     def unpack(self, envelope: link_pb2.Envelope) -> Iterable[link_pb2.Frame]:
-        """Give the frames of a message, a large one with its last piece.
+        """Return the frames of a message; a split one with its last piece.
 
-        :raises ValueError: when a frame is too large
-        :raises google.protobuf.message.DecodeError: when it is none
+        :raises ValueError: if a split frame exceeds ``MAX_FRAME_BYTES``
+        :raises google.protobuf.message.DecodeError: if the joined pieces
+            are not a valid frame
         """
         if not envelope.piece:
             return envelope.frames
--- a/packages/adapters/src/dunlintide_adapters/store.py
+++ b/packages/adapters/src/dunlintide_adapters/store.py
@@ -1,8 +1,8 @@
 """Client of the platform's key-value store (etcd v3 JSON gateway).
 
-No call is repeated here: a write whose answer is lost may have taken
-effect, and only its author can tell by reading. Each call is bounded in
-time, and while the store is down calls fail fast.
+The client never retries a call: a write whose answer is lost may have taken
+effect, and only its author can determine that by a read. Each call is bounded
+in time, and a circuit breaker makes calls fail fast while the store is down.
 """
 
 import threading
@@ -29,7 +29,7 @@
 
 MAX_CONNECTIONS = 8
 MAX_WATCHES = 4
-# Values are at most 1 MB; a read of many keys stays near 4 MB.
+# Keys in one read; values are at most 1 MB, an answer stays near 4 MB.
 READ_BATCH = 16
 
 _OK = 'ok'
@@ -39,10 +39,10 @@
 
 @attrs.frozen
 class CasConflict:
-    """A write that was not made, as a key had changed.
+    """A transaction that wrote nothing because a key had changed.
 
-    :ivar revision: revision of the store when it was refused
-    :ivar ranges: what was asked to be read in this case
+    :ivar revision: revision of the store at the time of the compare
+    :ivar ranges: results of the reads requested for this case
     """
 
     revision: int
@@ -51,9 +51,10 @@
 
 @attrs.frozen
 class Value:
-    """A key and what it holds.
+    """A key and its value.
 
-    :ivar mod_revision: revision of its last change
+    :ivar mod_revision: store revision of its last change
+    :ivar lease: id of its lease, 0 for none
     """
 
     key: str
@@ -66,8 +67,10 @@
 class StoreTiming:
     """Time constants of the client, in seconds.
 
-    :ivar connect: longest time to connect
-    :ivar read: longest silence while an answer is awaited
+    :ivar connect: connect timeout
+    :ivar read: longest time without data while an answer is awaited
+    :ivar breaker: timing of the circuit breaker
+    :ivar watch: timing of watches
     """
 
     connect: float = 0.5
@@ -92,7 +95,7 @@
 
 
 class Store:
-    """A client that many threads may share."""
+    """Client of the store; threads may share it."""
 
     def __init__(
         self,
@@ -100,7 +103,7 @@
         metrics: process_metrics.Metrics | None,
         timing: StoreTiming,
     ) -> None:
-        """Remember the address; use ``from_url`` instead."""
+        """Create a client; use ``from_url`` instead."""
         self.timing = timing
         self._url = url
         self._metrics = metrics
@@ -121,28 +124,28 @@
         metrics: process_metrics.Metrics | None = None,
         timing: StoreTiming = StoreTiming(),
     ) -> 'Store':
-        """Build a client; nothing is sent yet.
+        """Create a client; nothing is sent yet.
 
         :param url: base URL of the gateway
-        :param metrics: counts each call when given
+        :param metrics: counts each call, if given
         """
         return cls(url, metrics, timing)
 
     def close(self) -> None:
-        """End open watches and close idle connections."""
+        """Interrupt open watches and close idle connections."""
         self.interrupt()
         self._pool.close()
         self._watch_pool.close()
 
     def is_down(self) -> bool:
-        """Tell whether calls are failing fast now."""
+        """Return whether the circuit breaker is open."""
         with self._lock:
             return self._circuit.is_open
 
     def get(
         self, key: str
     ) -> result.Result[Value | None, storefailures.StoreFailure]:
-        """Read a key; None when it is absent."""
+        """Read a key; None if it is absent."""
         body = gateway.build_range(key)
         return self._call_range(body).map(
             lambda found: next(iter(found), None)
@@ -151,7 +154,7 @@
     def get_revision(
         self, key: str
     ) -> result.Result[int, storefailures.StoreFailure]:
-        """Read when a key last changed, 0 when it is absent."""
+        """Read the revision of a key's last change, 0 if it is absent."""
         body = gateway.build_range(key, keys_only=True)
         return self._call_range(body).map(
             lambda found: found[0].mod_revision if found else 0
@@ -160,9 +163,9 @@
     def get_range(
         self, prefix: str, keys_only: bool = False
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        """Read all keys that begin with a prefix, in their order.
+        """Read all keys that begin with a prefix, in key order.
 
-        :param keys_only: leave the values out
+        :param keys_only: omit the values
         """
         end = gateway.get_prefix_end(prefix)
         return self._call_range(gateway.build_range(prefix, end, keys_only))
@@ -170,7 +173,7 @@
     def get_page(
         self, key_range: gateway.Range
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        """Read some of the keys of a range, in their order."""
+        """Read the keys of a range up to its limit, in key order."""
         return self._call_range(
             msgspec.json.encode(gateway.build_limited_range(key_range))
         )
@@ -178,7 +181,7 @@
     def get_many(
         self, keys: Iterable[str]
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        """Read keys in few calls; absent ones are left out."""
+        """Read keys in batches; absent keys are omitted."""
         keys = list(keys)
         values: list[Value] = []
         for start in range(0, len(keys), READ_BATCH):
@@ -199,9 +202,10 @@
     ) -> result.Result[int, CasConflict | storefailures.StoreFailure]:
         """Write a key unless it has changed.
 
-        :param expected_mod_revision: its last change, 0 for absent
-        :param lease: lease whose end removes the key
-        :returns: its new mod revision
+        :param expected_mod_revision: revision of its last change, 0 for
+            an absent key
+        :param lease: id of the lease whose end removes the key
+        :returns: revision of this write
         """
         expect = gateway.Expect(key, expected_mod_revision)
         put = gateway.Put(key, value, lease or 0)
@@ -214,10 +218,10 @@
         deletes: Iterable[str] = (),
         failure_reads: Iterable[gateway.Range] = (),
     ) -> result.Result[int, CasConflict | storefailures.StoreFailure]:
-        """Write and delete keys as one, if all conditions hold.
+        """Write and delete keys atomically if all conditions hold.
 
-        :param otherwise: what to read when one does not
-        :returns: revision of the store, and so of the keys written
+        :param failure_reads: ranges to read if a condition fails
+        :returns: revision of the store and of the written keys
         """
         body = gateway.build_txn(expects, puts, deletes, (), failure_reads)
         answer_type = gateway.TxnAnswer
@@ -234,10 +238,10 @@
     def grant_lease(
         self, ttl: int
     ) -> result.Result[int, storefailures.StoreFailure]:
-        """Ask for a lease.
+        """Create a lease.
 
-        :param ttl: seconds that it lives without renewal
-        :returns: its id
+        :param ttl: lifetime without renewal, in seconds
+        :returns: id of the lease
         """
         return self._call_lease('grant', gateway.build_lease(ttl=ttl)).map(
             lambda grant: grant.ID
@@ -248,7 +252,7 @@
     ) -> result.Result[int, storefailures.StoreFailure]:
         """Renew a lease.
 
-        :returns: seconds that it lives from now, 0 when it has lapsed
+        :returns: remaining lifetime in seconds, 0 if the lease has expired
         """
         body = gateway.build_lease(lease)
         return self._call_lease('keepalive', body, gateway.KeepAlive).map(
@@ -269,18 +273,19 @@
         on_event: Callable[[storewatch.WatchEvent], None],
         stop: threading.Event,
     ) -> None:
-        """Tell of changes below a prefix until ``stop`` is set.
+        """Report changes below a prefix until ``stop`` is set.
 
-        Blocks. A watch that is silent for too long is replaced. Set
-        ``stop`` and call ``interrupt`` to end it early.
+        Blocks. A watch that is silent for too long is reopened. To end a
+        watch early, set ``stop`` and call ``interrupt``.
 
-        :param start_revision: first revision for the first connection, 0
-            for changes from now on; later ones show changes from then on
+        :param start_revision: first revision to report on the first
+            connection, 0 for changes from now on; a reopened watch reports
+            changes from the time of reopening
         """
         self._watcher.watch(prefix, start_revision, on_event, stop)
 
     def interrupt(self) -> None:
-        """Cut the watches that are open; each opens again unless stopped."""
+        """Close open watches; each is reopened unless it was stopped."""
         self._watcher.interrupt()
 
     def _build_pool(self, size: int) -> urllib3.HTTPConnectionPool:
@@ -327,7 +332,7 @@
         if not is_admitted:
             failure = storefailures.StoreFailure(
                 storefailures.FailureKind.CIRCUIT_OPEN,
-                'the store is down',
+                'circuit breaker of the store is open',
                 False,
             )
             self._count(label, failure.kind)
@@ -373,8 +378,8 @@
             self._replace_pool()
 
     def _replace_pool(self) -> None:
-        # What has lost track of one connection may have lost all that are
-        # idle; new ones would work.
+        # A network element that lost the state of one connection may have
+        # lost that of all idle connections; new connections still work.
         with self._lock:
             old_pool, self._pool = self._pool, self._build_pool(
                 MAX_CONNECTIONS
--- a/packages/adapters/src/dunlintide_adapters/storefailures.py
+++ b/packages/adapters/src/dunlintide_adapters/storefailures.py
@@ -24,7 +24,7 @@
 
 
 class FailureKind(enum.StrEnum):
-    """Why a call on the store failed."""
+    """Reason why a call on the store failed."""
 
     BUSY = 'busy'
     CIRCUIT_OPEN = 'circuit-open'
@@ -37,10 +37,10 @@
 
 @attrs.frozen
 class StoreFailure:
-    """A call that brought no answer, or a refusal.
+    """A failed call on the store.
 
-    :ivar maybe_applied: whether a write may have taken effect all the
-        same, now or later; False for reads
+    :ivar maybe_applied: whether a write may nevertheless take effect, now
+        or later; False for reads
     """
 
     kind: FailureKind
@@ -49,11 +49,11 @@
 
 
 def classify_error(error: Exception, writes: bool) -> StoreFailure:
-    """Tell what an exception says about a call.
+    """Convert an exception of a call to a failure.
 
-    :param writes: whether the call changes something
+    :param writes: whether the call may change the store
     """
-    # The text of an error may hold more than a log should.
+    # The text of an error may contain data that must not be logged.
     text = type(error).__name__
     if isinstance(error, _NO_CONNECTION):
         return StoreFailure(FailureKind.BUSY, text, False)
@@ -65,9 +65,9 @@
 
 
 def classify_status(status: int, writes: bool) -> StoreFailure:
-    """Tell what an HTTP status other than 200 says about a call.
+    """Convert an HTTP status other than 200 to a failure.
 
-    :param writes: whether the call changes something
+    :param writes: whether the call may change the store
     """
     text = f'HTTP status {status}'
     if status >= _SERVER_ERROR:
--- a/packages/adapters/src/dunlintide_adapters/storewatch.py
+++ b/packages/adapters/src/dunlintide_adapters/storewatch.py
@@ -1,4 +1,4 @@
-"""Watches on the platform's store, replaced when they end or go silent."""
+"""Watches on the platform's store, reopened after an end or silence."""
 
 import contextlib
 import enum
@@ -26,7 +26,7 @@
 
 
 class WatchKind(enum.StrEnum):
-    """What a watch tells."""
+    """Kind of an event of a watch."""
 
     OPENED = 'opened'
     PUT = 'put'
@@ -35,12 +35,13 @@
 
 @attrs.frozen
 class WatchEvent:
-    """News from a watch.
+    """An event of a watch.
 
-    ``OPENED`` comes with each new connection; changes before it may have
-    been missed, so its receiver reads what it watches. The revision may
-    be lower than earlier ones when the store was restored.
-    :ivar revision: revision of the change, or of the store when opened
+    ``OPENED`` is reported for each new connection. Changes before it may
+    have been missed, so the receiver has to read the watched keys. The
+    revision may be lower than earlier ones if the store was restored.
+
+    :ivar revision: revision of the change; for ``OPENED``, of the store
     """
 
     kind: WatchKind
@@ -53,8 +54,8 @@
 class WatchTiming:
     """Time constants of a watch, in seconds.
 
-    :ivar silence: silence after which a watch is replaced
-    :ivar reconnect: longest pause before a watch is opened again
+    :ivar silence: time without data after which a watch is reopened
+    :ivar reconnect: longest pause before a watch is reopened
     """
 
     silence: float = 15.0
@@ -74,11 +75,11 @@
         *lines, partial = (partial + chunk).split(b'\n')
         yield from filter(None, lines)
         if len(partial) > _MAX_MESSAGE_BYTES:
-            raise urllib3.exceptions.ProtocolError('message too large')
+            raise urllib3.exceptions.ProtocolError('watch message too large')
 
 
 class Watcher:
-    """Holds watches open and tells of what they bring."""
+    """Keeps watches open and reports their events."""
 
     def __init__(
         self,
@@ -86,10 +87,10 @@
         timing: WatchTiming,
         count: Callable[[str], None],
     ) -> None:
-        """Remember how to reach the store.
+        """Create a watcher; ``watch`` opens connections.
 
-        :param pool: connections for watches alone
-        :param count: called with how each connection ended
+        :param pool: connections used for watches only
+        :param count: called with the outcome of each connection
         """
         self._pool = pool
         self._timing = timing
@@ -104,7 +105,7 @@
         on_event: Callable[[WatchEvent], None],
         stop: threading.Event,
     ) -> None:
-        """Tell of changes below a prefix until ``stop`` is set.
+        """Report changes below a prefix until ``stop`` is set.
 
         Blocks; see ``Store.watch``.
         """
@@ -117,11 +118,11 @@
                 stop.wait(max_pause * random.uniform(0.1, 1.0))
 
     def interrupt(self) -> None:
-        """Cut the watches that are open; each opens again unless stopped."""
+        """Close open watches; each is reopened unless it was stopped."""
         with self._lock:
             streams = list(self._streams)
         for stream in streams:
-            # It may have ended by itself.
+            # The stream may have ended meanwhile.
             with contextlib.suppress(OSError, ValueError, RuntimeError):
                 stream.shutdown()
 
@@ -164,7 +165,8 @@
         finally:
             with self._lock:
                 self._streams.discard(stream)
-            # A watch has no end, so its connection can't be used again.
+            # The response is not read to its end, so the connection cannot
+            # be reused.
             stream.close()
             stream.release_conn()
 
