--- a/packages/adapters/src/dunlintide_adapters/configstore.py
+++ b/packages/adapters/src/dunlintide_adapters/configstore.py
@@ -1,9 +1,9 @@
-"""The operators' configuration, as the platform's store keeps it.
+"""The operators' configuration in the platform's store.
 
 Chunks are written under their digests, then one transaction replaces the
-head, which makes the change. A second key, the guard, changes whenever
-chunks are removed or a write of unknown outcome has to be ruled out: each
-write of the head also expects the guard that its author read.
+head and so puts the change in force. A second key, the guard, changes
+whenever chunks are removed or a write of unknown outcome has to be fenced
+off: each write of the head also compares the guard that its author read.
 """
 
 import threading
@@ -29,13 +29,13 @@
     'Snapshot',
 ]
 
-# Revisions between two removals of what nothing refers to.
-COLLECT_EVERY = 16
+# Revisions between two collections of unreferenced heads and chunks.
+COLLECT_INTERVAL_REVISIONS = 16
 
 _MAX_ATTEMPTS = 5
-_SETTLE_SECONDS = 10.0
-_SETTLE_PAUSE_SECONDS = 0.1
-# A transaction of etcd holds 128 operations by default.
+_FENCE_TIMEOUT_SECONDS = 10.0
+_FENCE_RETRY_SECONDS = 0.1
+# etcd allows 128 operations in a transaction by default.
 _DELETE_BATCH = 100
 
 
@@ -47,8 +47,8 @@
 @attrs.frozen
 class _State:
     head: revisions.Head | None
-    head_mod: int
-    guard_mod: int
+    head_mod_revision: int
+    guard_mod_revision: int
 
     @property
     def revision(self) -> int:
@@ -57,12 +57,12 @@
     @property
     def expects(self) -> tuple[gateway.Expect, ...]:
         return (
-            gateway.Expect(configkeys.HEAD, self.head_mod),
-            gateway.Expect(configkeys.GUARD, self.guard_mod),
+            gateway.Expect(configkeys.HEAD, self.head_mod_revision),
+            gateway.Expect(configkeys.GUARD, self.guard_mod_revision),
         )
 
 
-def _fail(failure: storefailures.StoreFailure) -> Failure:
+def _convert_failure(failure: storefailures.StoreFailure) -> Failure:
     text = f'store: {failure.kind} ({failure.message})'
     return Failure(text, failure.maybe_applied)
 
@@ -74,7 +74,9 @@
     for value in values:
         decoded = revisions.decode_head(value.value)
         if decoded.is_err():
-            return decoded.map_err(lambda damage: Failure(damage.message))
+            return decoded.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
         heads.append(decoded.ok_value)
     return result.Ok(tuple(heads))
 
@@ -82,29 +84,31 @@
 class ConfigStore:
     """Reads and changes the configuration in the store.
 
-    It keeps the chunks of the document that it read last, so that the
-    next read costs what has changed. Threads may share it.
+    The chunks of the last document read are cached, so that the next read
+    fetches only changed chunks. Threads may share an instance.
     """
 
-    def __init__(self, store: stores.Store, wall: Callable[[], float]) -> None:
-        """Remember the store; use ``from_store`` instead."""
+    def __init__(
+        self, store: stores.Store, wall_clock: Callable[[], float]
+    ) -> None:
+        """Create an instance; use ``from_store`` instead."""
         self._store = store
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._chunks: dict[str, bytes] = {}
 
     @classmethod
     def from_store(
-        cls, store: stores.Store, wall: Callable[[], float] = time.time
+        cls, store: stores.Store, wall_clock: Callable[[], float] = time.time
     ) -> 'ConfigStore':
-        """Build on a client of the store.
+        """Create an instance that uses an existing store client.
 
-        :param wall: gives seconds since the epoch
+        :param wall_clock: returns seconds since the epoch
         """
-        return cls(store, wall)
+        return cls(store, wall_clock)
 
     @classmethod
     def from_url(cls, url: str) -> 'ConfigStore':
-        """Build on a client of its own.
+        """Create an instance with a store client of its own.
 
         :param url: base URL of the store's gateway
         """
@@ -112,47 +116,54 @@
 
     @property
     def store(self) -> stores.Store:
-        """The client that is used."""
+        """Client of the store."""
         return self._store
 
     def read(self) -> result.Result[Snapshot | None, Failure]:
-        """Read what is in force; None when nothing was ever applied."""
-        read: result.Result = result.Err(Failure('not read'))
+        """Read the configuration in force; None if none was ever applied."""
+        read: result.Result = result.Err(Failure('configuration was not read'))
         for _ in range(_MAX_ATTEMPTS):
             state = self._read_state()
             if state.is_err():
                 return state
             if state.ok_value.head is None:
                 return result.Ok(None)
-            # Chunks of a head that is long replaced may be gone.
+            # Chunks of a replaced head may have been collected meanwhile.
             read = self._load(state.ok_value.head)
             if read.is_ok():
                 break
         return read
 
-    def read_mark(self) -> result.Result[int, Failure]:
-        """Read a number that changes with the head, in few bytes."""
+    def read_mod_revision(self) -> result.Result[int, Failure]:
+        """Read the store revision of the last change of the head.
+
+        This transfers fewer bytes than a read of the head.
+        """
         found = self._store.get_revision(configkeys.HEAD)
-        return found.map_err(_fail)
+        return found.map_err(_convert_failure)
 
-    def history(self) -> result.Result[tuple[revisions.Head, ...], Failure]:
-        """List the heads that are kept, the newest first."""
+    def list_history(
+        self,
+    ) -> result.Result[tuple[revisions.Head, ...], Failure]:
+        """List the kept heads, newest first."""
         found = self._store.get_range(configkeys.HISTORY)
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         return _decode_heads(reversed(found.ok_value))
 
     def read_revision(
         self, revision: int
     ) -> result.Result[Snapshot | None, Failure]:
-        """Read an earlier revision; None when it is not kept."""
-        found = self._store.get(configkeys.build_history(revision))
+        """Read an earlier revision; None if it is no longer kept."""
+        found = self._store.get(configkeys.build_history_key(revision))
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         if found.ok_value is None:
             return result.Ok(None)
         heads = _decode_heads([found.ok_value])
-        return heads.and_then(lambda heads: self._load(heads[0], keep=False))
+        return heads.and_then(
+            lambda heads: self._load(heads[0], update_cache=False)
+        )
 
     def apply(
         self,
@@ -163,88 +174,102 @@
         comment: str,
         floor: int = 0,
     ) -> result.Result[revisions.Head, Conflict | Failure]:
-        """Replace the configuration, unless another change came first.
+        """Replace the configuration if ``base_revision`` is in force.
 
-        An answer that is lost is settled: the write is ruled out for
-        good, or found to be in force, before it is tried again.
+        After a lost answer, the write is fenced off or found to be in
+        force before it is tried again.
 
         :param document: canonical document
-        :param base_revision: revision that the change was made from, 0
-            for none
-        :param change_id: unique id of this change; the same id again
-            gives the head that holds it
-        :param floor: highest revision known to any process; the new one
-            is above it, also when the store was restored
-        :returns: the head that holds the change
+        :param base_revision: revision that the change is based on, 0 for
+            none
+        :param change_id: unique id of this change; repeating an applied
+            id returns the current head without another write
+        :param floor: highest revision known to any process; the new
+            revision is higher, even if the store was restored
+        :returns: the head that contains the change
         """
         split = revisions.split(document)
         if split.is_err():
-            return split.map_err(lambda damage: Failure(damage.message))
+            return split.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
         chunks = split.ok_value
 
         def build(parent: revisions.Head | None) -> revisions.Head:
             head = revisions.make_head(
-                parent, chunks, change_id, author, comment, self._wall()
+                parent, chunks, change_id, author, comment, self._wall_clock()
             )
             return attrs.evolve(head, revision=max(head.revision, floor + 1))
 
         for _ in range(_MAX_ATTEMPTS):
-            outcome = self._attempt(base_revision, change_id, chunks, build)
+            outcome = self._try_apply(base_revision, change_id, chunks, build)
             if outcome is not None:
                 return outcome
-        return result.Err(Failure('the configuration kept changing'))
+        return result.Err(
+            Failure('the configuration changed during every attempt')
+        )
 
     def watch(
         self,
         on_snapshot: Callable[[Snapshot], None],
         stop: threading.Event,
-        held: Snapshot | None = None,
+        current: Snapshot | None = None,
         poll_seconds: float = configwatch.POLL_SECONDS,
         on_read: Callable[[int], None] = lambda revision: None,
     ) -> None:
         """Deliver each new revision until ``stop`` is set.
 
-        Blocks; ``on_snapshot`` is called on this thread, never with a
-        lower revision than before. Revisions in between may be skipped.
-        The store is mended when it was restored to an older state.
+        Blocks. ``on_snapshot`` is called on this thread and never with a
+        lower revision than before; intermediate revisions may be skipped.
+        A store that was restored to an older state is repaired.
 
-        :param held: what the process holds already
+        :param current: snapshot that the process uses already, if any
         :param poll_seconds: longest time between two reads, in seconds
-        :param on_read: called with each revision that the store held
+        :param on_read: called with each revision that was read, 0 for
+            none
         """
-        configwatch.watch(self, on_snapshot, stop, held, poll_seconds, on_read)
+        configwatch.watch(
+            self, on_snapshot, stop, current, poll_seconds, on_read
+        )
 
     def republish(
-        self, snapshot: Snapshot, over: str | None
+        self, snapshot: Snapshot, replaced_change_id: str | None
     ) -> result.Result[revisions.Head, Failure]:
-        """Put a head into a store that was restored to an older one.
+        """Write a snapshot to a store that was restored to an older one.
 
-        :param snapshot: what is to be in force
-        :param over: change id of the head that it replaces, None for none
+        :param snapshot: snapshot to put in force
+        :param replaced_change_id: change id of the head that it replaces,
+            None for none
         :returns: the head that was written
         """
         state = self._read_state()
         if state.is_err():
             return state
         head = state.ok_value.head
-        if (head.change_id if head else None) != over:
-            return result.Err(Failure('another process wrote first'))
+        if (head.change_id if head else None) != replaced_change_id:
+            return result.Err(
+                Failure('another process changed the head first')
+            )
         split = revisions.split(snapshot.document)
         if split.is_err():
-            return split.map_err(lambda damage: Failure(damage.message))
+            return split.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
         written = self._write(state.ok_value, split.ok_value, snapshot.head)
         if written.is_ok():
             return result.Ok(snapshot.head)
-        if isinstance(written.err_value, stores.CasLost):
-            return result.Err(Failure('another process wrote first'))
-        return written.map_err(_fail)
+        if isinstance(written.err_value, stores.CasConflict):
+            return result.Err(
+                Failure('another process changed the head first')
+            )
+        return written.map_err(_convert_failure)
 
-    def collect(self, kept: int = configkeys.KEPT_REVISIONS) -> None:
+    def collect_garbage(self, kept: int = configkeys.KEPT_REVISIONS) -> None:
         """Remove old heads, and chunks that no kept head refers to.
 
-        What fails is left for the next time.
+        Keys whose removal fails remain until the next collection.
 
-        :param kept: how many heads to keep
+        :param kept: number of heads to keep
         """
         state = self._read_state()
         history = self._store.get_range(configkeys.HISTORY)
@@ -256,39 +281,43 @@
             logging.error('history: %s', heads.err_value.message)
             return
         current = state.ok_value.head
-        used = {
-            configkeys.build_chunk(digest)
+        used_keys = {
+            configkeys.build_chunk_key(digest)
             for head in (*heads.ok_value, *([current] if current else []))
             for digest in head.chunks
         }
-        stale = [value.key for value in history.ok_value[:-kept]]
-        stale += [
-            value.key for value in chunks.ok_value if value.key not in used
+        stale_keys = [value.key for value in history.ok_value[:-kept]]
+        stale_keys += [
+            value.key
+            for value in chunks.ok_value
+            if value.key not in used_keys
         ]
-        self._remove(state.ok_value, stale)
+        self._delete_keys(state.ok_value, stale_keys)
 
     def _read_state(self) -> result.Result[_State, Failure]:
         found = self._store.get_many((configkeys.HEAD, configkeys.GUARD))
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         values = {value.key: value for value in found.ok_value}
         guard = values.get(configkeys.GUARD)
-        guard_mod = guard.mod_revision if guard else 0
+        guard_mod_revision = guard.mod_revision if guard else 0
         value = values.get(configkeys.HEAD)
         if value is None:
-            return result.Ok(_State(None, 0, guard_mod))
+            return result.Ok(_State(None, 0, guard_mod_revision))
         return _decode_heads([value]).map(
-            lambda heads: _State(heads[0], value.mod_revision, guard_mod)
+            lambda heads: _State(
+                heads[0], value.mod_revision, guard_mod_revision
+            )
         )
 
     def _load(
-        self, head: revisions.Head, keep: bool = True
+        self, head: revisions.Head, update_cache: bool = True
     ) -> result.Result[Snapshot, Failure]:
         known = self._chunks
         missing = revisions.find_missing(head, known)
-        found = self._store.get_many(map(configkeys.build_chunk, missing))
+        found = self._store.get_many(map(configkeys.build_chunk_key, missing))
         if found.is_err():
-            return found.map_err(_fail)
+            return found.map_err(_convert_failure)
         bodies = {
             value.key.removeprefix(configkeys.CHUNKS): value.value
             for value in found.ok_value
@@ -298,19 +327,21 @@
         }
         joined = revisions.join(head, bodies)
         if joined.is_err():
-            return joined.map_err(lambda damage: Failure(damage.message))
-        if keep:
+            return joined.map_err(
+                lambda corruption: Failure(corruption.message)
+            )
+        if update_cache:
             self._chunks = bodies
         return result.Ok(Snapshot(head, joined.ok_value))
 
-    def _attempt(
+    def _try_apply(
         self,
         base_revision: int,
         change_id: str,
         chunks: tuple[revisions.Chunk, ...],
         build: Callable[[revisions.Head | None], revisions.Head],
     ) -> result.Result[revisions.Head, Conflict | Failure] | None:
-        """Try a change once; None when it was not made and may be tried."""
+        """Try a change once; None if it was not applied and can be retried."""
         read = self._read_state()
         if read.is_err():
             return read
@@ -325,71 +356,75 @@
         head = build(state.head)
         written = self._write(state, chunks, head)
         if written.is_ok():
-            if head.revision % COLLECT_EVERY == 0:
-                self.collect()
+            if head.revision % COLLECT_INTERVAL_REVISIONS == 0:
+                self.collect_garbage()
             return result.Ok(head)
         failure = written.err_value
-        if isinstance(failure, stores.CasLost):
+        if isinstance(failure, stores.CasConflict):
             return None
         if not failure.maybe_applied:
-            return result.Err(_fail(failure))
-        return self._rule_out(state)
+            return result.Err(_convert_failure(failure))
+        return self._fence_write(state)
 
     def _write(
         self,
         state: _State,
         chunks: Iterable[revisions.Chunk],
         head: revisions.Head,
-    ) -> result.Result[int, stores.CasLost | storefailures.StoreFailure]:
+    ) -> result.Result[int, stores.CasConflict | storefailures.StoreFailure]:
         written = self._write_chunks(chunks)
         if written.is_err():
             return written
         body = revisions.encode_head(head)
-        kept = configkeys.build_history(head.revision)
+        history_key = configkeys.build_history_key(head.revision)
         puts = (
             gateway.Put(configkeys.HEAD, body),
-            gateway.Put(kept, body),
+            gateway.Put(history_key, body),
         )
         return self._store.transact(state.expects, puts)
 
     def _write_chunks(
         self, chunks: Iterable[revisions.Chunk]
     ) -> result.Result[None, storefailures.StoreFailure]:
-        listed = self._store.get_range(configkeys.CHUNKS, keys_only=True)
-        if listed.is_err():
-            return listed
-        present = {value.key for value in listed.ok_value}
+        listing = self._store.get_range(configkeys.CHUNKS, keys_only=True)
+        if listing.is_err():
+            return listing
+        existing_keys = {value.key for value in listing.ok_value}
         for chunk in chunks:
-            key = configkeys.build_chunk(chunk.digest)
-            if key in present:
+            key = configkeys.build_chunk_key(chunk.digest)
+            if key in existing_keys:
                 continue
             written = self._store.compare_and_swap(key, 0, chunk.body)
             failure = written.err()
             if isinstance(failure, storefailures.StoreFailure):
-                # A chunk alone changes nothing that is in force.
+                # Without a head that refers to it, a chunk has no effect.
                 failure = attrs.evolve(failure, maybe_applied=False)
                 return result.Err(failure)
         return result.Ok(None)
 
-    def _rule_out(self, state: _State) -> result.Err[Failure] | None:
-        """Make a write that may still take effect impossible.
+    def _fence_write(self, state: _State) -> result.Err[Failure] | None:
+        """Change the guard so that a delayed write cannot take effect.
+
+        Once the guard has changed, the store refuses a delayed write of
+        the head. Whether it was applied before can be read from the head.
 
-        Once the guard has changed, a late write of the head is refused;
-        whether it was made before shows in the head.
+        :returns: None if the outcome is decided, else the failure
         """
-        deadline = time.monotonic() + _SETTLE_SECONDS
+        deadline = time.monotonic() + _FENCE_TIMEOUT_SECONDS
         pause = threading.Event()
         while time.monotonic() < deadline:
             fenced = self._store.compare_and_swap(
-                configkeys.GUARD, state.guard_mod, b'settled'
+                configkeys.GUARD, state.guard_mod_revision, b'settled'
             )
-            if fenced.is_ok() or isinstance(fenced.err_value, stores.CasLost):
+            if fenced.is_ok() or isinstance(
+                fenced.err_value, stores.CasConflict
+            ):
                 return None
-            pause.wait(_SETTLE_PAUSE_SECONDS)
-        text = 'the store gave no answer; apply again with the same change id'
+            pause.wait(_FENCE_RETRY_SECONDS)
+        text = 'the store did not answer; apply again with the same change id'
         return result.Err(Failure(text, maybe_applied=True))
 
-    def _remove(self, state: _State, keys: list[str]) -> None:
+    def _delete_keys(self, state: _State, keys: list[str]) -> None:
         for start in range(0, len(keys), _DELETE_BATCH):
             removed = self._store.transact(
                 state.expects,
@@ -397,6 +432,8 @@
                 keys[start : start + _DELETE_BATCH],
             )
             if removed.is_err():
-                logging.info('removal of old configuration put off')
+                logging.info(
+                    'removal of unreferenced configuration keys failed'
+                )
                 return
-            state = attrs.evolve(state, guard_mod=removed.ok_value)
+            state = attrs.evolve(state, guard_mod_revision=removed.ok_value)
--- a/packages/adapters/src/dunlintide_adapters/eventloop.py
+++ b/packages/adapters/src/dunlintide_adapters/eventloop.py
@@ -1,6 +1,6 @@
-"""The one event loop of a process, on a thread of its own.
+"""The event loop of a process, on a thread of its own.
 
-All links share it, so an idle link costs no thread and no polling.
+All links share the loop, so an idle link needs no thread and no polling.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from typing import Any, Callable, Coroutine
 
 __all__ = [
-    'call',
+    'call_soon',
     'is_current',
     'run',
     'spawn',
@@ -18,41 +18,43 @@
 
 
 @functools.cache
-def _find_loop() -> asyncio.AbstractEventLoop:
+def _get_loop() -> asyncio.AbstractEventLoop:
     loop = asyncio.new_event_loop()
 
-    def serve() -> None:
+    def run_loop() -> None:
         asyncio.set_event_loop(loop)
         loop.run_forever()
 
-    threading.Thread(target=serve, name='event-loop', daemon=True).start()
+    threading.Thread(target=run_loop, name='event-loop', daemon=True).start()
     return loop
 
 
 def is_current() -> bool:
-    """Tell whether the caller runs on the loop's thread."""
+    """Return whether the caller runs on the loop's thread."""
     try:
-        return asyncio.get_running_loop() is _find_loop()
+        return asyncio.get_running_loop() is _get_loop()
     except RuntimeError:
         return False
 
 
-def call(function: Callable[[], Any]) -> None:
-    """Call a function on the loop, soon."""
-    _find_loop().call_soon_threadsafe(function)
+def call_soon(function: Callable[[], Any]) -> None:
+    """Schedule a call of a function on the loop."""
+    _get_loop().call_soon_threadsafe(function)
 
 
-def spawn(work: Coroutine) -> futures.Future:
+def spawn(coroutine: Coroutine) -> futures.Future:
     """Run a coroutine on the loop, in the background."""
-    return asyncio.run_coroutine_threadsafe(work, _find_loop())
+    return asyncio.run_coroutine_threadsafe(coroutine, _get_loop())
 
 
-def run(work: Coroutine) -> Any:
+def run(coroutine: Coroutine) -> Any:
     """Run a coroutine on the loop and wait for its result.
 
-    :raises RuntimeError: on the loop's own thread, which must not wait
+    :raises RuntimeError: if called on the loop's thread
     """
     if is_current():
-        work.close()
-        raise RuntimeError('the event loop must not wait for itself')
-    return spawn(work).result()
+        coroutine.close()
+        raise RuntimeError(
+            'a call on the event loop thread cannot wait for the loop'
+        )
+    return spawn(coroutine).result()
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -25,9 +25,9 @@
 
 from dunlintide_adapters import eventloop
 from dunlintide_adapters import guards
+from dunlintide_adapters import keepalive
 from dunlintide_adapters import outboxes
 from dunlintide_adapters import packing
-from dunlintide_adapters import pulse
 from dunlintide_adapters import transports
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_adapters.wire import link_pb2_grpc
@@ -59,7 +59,7 @@
 )
 
 
-# Frames that do not count as use of a link; see ``pulse``.
+# Frames that do not count as use of a link; see ``keepalive``.
 _IDLE_KINDS = frozenset(('hello', 'load', 'ping'))
 
 
@@ -70,7 +70,7 @@
     :ivar ping: time without output after which a side of a link in use
         pings
     :ivar silence: time without input after which a link in use counts as
-        lost; an idle link has longer times, see ``pulse``
+        lost; an idle link has longer times, see ``keepalive``
     :ivar redial: maximum pause before reconnecting
     """
 
@@ -132,7 +132,7 @@
         guard: guards.Guard | None = None,
     ) -> None:
         self.peer: link_pb2.Hello | None = None
-        self._pulse = pulse.Pulse(
+        self._keepalive = keepalive.Keepalive(
             timing.ping, timing.silence, time.monotonic()
         )
         self._handlers = handlers
@@ -147,7 +147,7 @@
     def send(self, frame: link_pb2.Frame) -> bool:
         """Queue a frame; False when the link is closed or its queue full."""
         if frame.WhichOneof('body') not in _IDLE_KINDS:
-            self._pulse.use(time.monotonic())
+            self._keepalive.note_work(time.monotonic())
         return self._outbox.put(frame)
 
     def close(self) -> None:
@@ -159,7 +159,7 @@
         if not self._guard.allows(body):
             return True
         if body not in _IDLE_KINDS:
-            self._pulse.use(time.monotonic())
+            self._keepalive.note_work(time.monotonic())
         if body == 'hello':
             return self._handle_hello(frame.hello)
         return body == 'ping'
@@ -191,7 +191,7 @@
     async def _read(self, stream: AsyncIterable[link_pb2.Envelope]) -> str:
         unpacker = packing.Unpacker()
         async for envelope in stream:
-            self._pulse.hear(time.monotonic())
+            self._keepalive.note_received(time.monotonic())
             try:
                 frames = unpacker.unpack(envelope)
             except (ValueError, message.DecodeError) as error:
@@ -221,9 +221,9 @@
         while True:
             await asyncio.sleep(self._timing.ping / 2)
             now = time.monotonic()
-            if self._pulse.is_silent(now):
+            if self._keepalive.is_silent(now):
                 return 'silent'
-            if self._pulse.is_due(self._outbox.taken, now):
+            if self._keepalive.is_ping_due(self._outbox.taken_at, now):
                 self._sequence += 1
                 ping = link_pb2.Ping(sequence=self._sequence)
                 self._outbox.put(link_pb2.Frame(ping=ping))
--- a/packages/adapters/src/dunlintide_adapters/store.py
+++ b/packages/adapters/src/dunlintide_adapters/store.py
@@ -1,8 +1,8 @@
 """Client of the platform's key-value store (etcd v3 JSON gateway).
 
-No call is repeated here: a write whose answer is lost may have taken
-effect, and only its author can tell by reading. Each call is bounded in
-time, and while the store is down calls fail fast.
+The client never retries a call: a write whose answer is lost may have taken
+effect, and only its author can determine that by a read. Each call is bounded
+in time, and a circuit breaker makes calls fail fast while the store is down.
 """
 
 import threading
@@ -21,7 +21,7 @@
 from dunlintide_adapters import storewatch
 
 __all__ = [
-    'CasLost',
+    'CasConflict',
     'Store',
     'StoreTiming',
     'Value',
@@ -29,20 +29,20 @@
 
 MAX_CONNECTIONS = 8
 MAX_WATCHES = 4
-# Values are at most 1 MB; a read of many keys stays near 4 MB.
+# Keys in one read; values are at most 1 MB, an answer stays near 4 MB.
 READ_BATCH = 16
 
 _OK = 'ok'
-_LOST = 'lost'
+_CONFLICT = 'lost'
 _HEADERS = {'Content-Type': 'application/json'}
 
 
 @attrs.frozen
-class CasLost:
-    """A write that was not made, as a key had changed.
+class CasConflict:
+    """A transaction that wrote nothing because a key had changed.
 
-    :ivar revision: revision of the store when it was refused
-    :ivar ranges: what was asked to be read in this case
+    :ivar revision: revision of the store at the time of the compare
+    :ivar ranges: results of the reads requested for this case
     """
 
     revision: int
@@ -51,9 +51,10 @@
 
 @attrs.frozen
 class Value:
-    """A key and what it holds.
+    """A key and its value.
 
-    :ivar mod_revision: revision of its last change
+    :ivar mod_revision: store revision of its last change
+    :ivar lease: id of its lease, 0 for none
     """
 
     key: str
@@ -66,8 +67,10 @@
 class StoreTiming:
     """Time constants of the client, in seconds.
 
-    :ivar connect: longest time to connect
-    :ivar read: longest silence while an answer is awaited
+    :ivar connect: connect timeout
+    :ivar read: longest time without data while an answer is awaited
+    :ivar breaker: timing of the circuit breaker
+    :ivar watch: timing of watches
     """
 
     connect: float = 0.5
@@ -92,7 +95,7 @@
 
 
 class Store:
-    """A client that many threads may share."""
+    """Client of the store; threads may share it."""
 
     def __init__(
         self,
@@ -100,7 +103,7 @@
         metrics: process_metrics.Metrics | None,
         timing: StoreTiming,
     ) -> None:
-        """Remember the address; use ``from_url`` instead."""
+        """Create a client; use ``from_url`` instead."""
         self.timing = timing
         self._url = url
         self._metrics = metrics
@@ -121,60 +124,64 @@
         metrics: process_metrics.Metrics | None = None,
         timing: StoreTiming = StoreTiming(),
     ) -> 'Store':
-        """Build a client; nothing is sent yet.
+        """Create a client; nothing is sent yet.
 
         :param url: base URL of the gateway
-        :param metrics: counts each call when given
+        :param metrics: counts each call, if given
         """
         return cls(url, metrics, timing)
 
     def close(self) -> None:
-        """End open watches and close idle connections."""
+        """Interrupt open watches and close idle connections."""
         self.interrupt()
         self._pool.close()
         self._watch_pool.close()
 
     def is_down(self) -> bool:
-        """Tell whether calls are failing fast now."""
+        """Return whether the circuit breaker is open."""
         with self._lock:
             return self._circuit.is_open
 
     def get(
         self, key: str
     ) -> result.Result[Value | None, storefailures.StoreFailure]:
-        """Read a key; None when it is absent."""
+        """Read a key; None if it is absent."""
         body = gateway.build_range(key)
-        return self._range(body).map(lambda found: next(iter(found), None))
+        return self._call_range(body).map(
+            lambda found: next(iter(found), None)
+        )
 
     def get_revision(
         self, key: str
     ) -> result.Result[int, storefailures.StoreFailure]:
-        """Read when a key last changed, 0 when it is absent."""
+        """Read the revision of a key's last change, 0 if it is absent."""
         body = gateway.build_range(key, keys_only=True)
-        return self._range(body).map(
+        return self._call_range(body).map(
             lambda found: found[0].mod_revision if found else 0
         )
 
     def get_range(
         self, prefix: str, keys_only: bool = False
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        """Read all keys that begin with a prefix, in their order.
+        """Read all keys that begin with a prefix, in key order.
 
-        :param keys_only: leave the values out
+        :param keys_only: omit the values
         """
-        end = gateway.end_prefix(prefix)
-        return self._range(gateway.build_range(prefix, end, keys_only))
+        end = gateway.get_prefix_end(prefix)
+        return self._call_range(gateway.build_range(prefix, end, keys_only))
 
     def get_page(
-        self, span: gateway.Range
+        self, key_range: gateway.Range
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        """Read some of the keys of a range, in their order."""
-        return self._range(msgspec.json.encode(gateway.build_page(span)))
+        """Read the keys of a range up to its limit, in key order."""
+        return self._call_range(
+            msgspec.json.encode(gateway.build_limited_range(key_range))
+        )
 
     def get_many(
         self, keys: Iterable[str]
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        """Read keys in few calls; absent ones are left out."""
+        """Read keys in batches; absent keys are omitted."""
         keys = list(keys)
         values: list[Value] = []
         for start in range(0, len(keys), READ_BATCH):
@@ -192,12 +199,13 @@
         expected_mod_revision: int,
         value: bytes,
         lease: int | None = None,
-    ) -> result.Result[int, CasLost | storefailures.StoreFailure]:
+    ) -> result.Result[int, CasConflict | storefailures.StoreFailure]:
         """Write a key unless it has changed.
 
-        :param expected_mod_revision: its last change, 0 for absent
-        :param lease: lease whose end removes the key
-        :returns: its new mod revision
+        :param expected_mod_revision: revision of its last change, 0 for
+            an absent key
+        :param lease: id of the lease whose end removes the key
+        :returns: revision of this write
         """
         expect = gateway.Expect(key, expected_mod_revision)
         put = gateway.Put(key, value, lease or 0)
@@ -208,34 +216,34 @@
         expects: Iterable[gateway.Expect],
         puts: Iterable[gateway.Put] = (),
         deletes: Iterable[str] = (),
-        otherwise: Iterable[gateway.Range] = (),
-    ) -> result.Result[int, CasLost | storefailures.StoreFailure]:
-        """Write and delete keys as one, if all conditions hold.
+        failure_reads: Iterable[gateway.Range] = (),
+    ) -> result.Result[int, CasConflict | storefailures.StoreFailure]:
+        """Write and delete keys atomically if all conditions hold.
 
-        :param otherwise: what to read when one does not
-        :returns: revision of the store, and so of the keys written
+        :param failure_reads: ranges to read if a condition fails
+        :returns: revision of the store and of the written keys
         """
-        body = gateway.build_txn(expects, puts, deletes, (), otherwise)
-        kind = gateway.TxnAnswer
-        called = self._call('txn', '/v3/kv/txn', body, kind, writes=True)
-        if called.is_err():
-            return called
-        answer = called.ok_value
+        body = gateway.build_txn(expects, puts, deletes, (), failure_reads)
+        answer_type = gateway.TxnAnswer
+        reply = self._call('txn', '/v3/kv/txn', body, answer_type, writes=True)
+        if reply.is_err():
+            return reply
+        answer = reply.ok_value
         revision = answer.header.revision
         if answer.succeeded:
             return result.Ok(revision)
-        self._count('txn', _LOST)
-        return result.Err(CasLost(revision, _read_responses(answer)))
+        self._count('txn', _CONFLICT)
+        return result.Err(CasConflict(revision, _read_responses(answer)))
 
     def grant_lease(
         self, ttl: int
     ) -> result.Result[int, storefailures.StoreFailure]:
-        """Ask for a lease.
+        """Create a lease.
 
-        :param ttl: seconds that it lives without renewal
-        :returns: its id
+        :param ttl: lifetime without renewal, in seconds
+        :returns: id of the lease
         """
-        return self._lease('grant', gateway.build_lease(ttl=ttl)).map(
+        return self._call_lease('grant', gateway.build_lease(ttl=ttl)).map(
             lambda grant: grant.ID
         )
 
@@ -244,10 +252,10 @@
     ) -> result.Result[int, storefailures.StoreFailure]:
         """Renew a lease.
 
-        :returns: seconds that it lives from now, 0 when it has lapsed
+        :returns: remaining lifetime in seconds, 0 if the lease has expired
         """
         body = gateway.build_lease(lease)
-        return self._lease('keepalive', body, gateway.KeepAlive).map(
+        return self._call_lease('keepalive', body, gateway.KeepAlive).map(
             lambda answer: answer.result.TTL
         )
 
@@ -256,7 +264,7 @@
     ) -> result.Result[None, storefailures.StoreFailure]:
         """End a lease and remove its keys."""
         body = gateway.build_lease(lease)
-        return self._lease('revoke', body).map(lambda _: None)
+        return self._call_lease('revoke', body).map(lambda _: None)
 
     def watch(
         self,
@@ -265,18 +273,19 @@
         on_event: Callable[[storewatch.WatchEvent], None],
         stop: threading.Event,
     ) -> None:
-        """Tell of changes below a prefix until ``stop`` is set.
+        """Report changes below a prefix until ``stop`` is set.
 
-        Blocks. A watch that is silent for too long is replaced. Set
-        ``stop`` and call ``interrupt`` to end it early.
+        Blocks. A watch that is silent for too long is reopened. To end a
+        watch early, set ``stop`` and call ``interrupt``.
 
-        :param start_revision: first revision for the first connection, 0
-            for changes from now on; later ones show changes from then on
+        :param start_revision: first revision to report on the first
+            connection, 0 for changes from now on; a reopened watch reports
+            changes from the time of reopening
         """
         self._watcher.watch(prefix, start_revision, on_event, stop)
 
     def interrupt(self) -> None:
-        """Cut the watches that are open; each opens again unless stopped."""
+        """Close open watches; each is reopened unless it was stopped."""
         self._watcher.interrupt()
 
     def _build_pool(self, size: int) -> urllib3.HTTPConnectionPool:
@@ -296,61 +305,68 @@
         if self._metrics is not None:
             self._metrics.store_calls.labels(kind, outcome).inc()
 
-    def _range(
+    def _call_range(
         self, body: bytes
     ) -> result.Result[tuple[Value, ...], storefailures.StoreFailure]:
-        kind = gateway.RangeAnswer
-        called = self._call('range', '/v3/kv/range', body, kind)
-        return called.map(lambda found: tuple(map(_make_value, found.kvs)))
+        answer_type = gateway.RangeAnswer
+        reply = self._call('range', '/v3/kv/range', body, answer_type)
+        return reply.map(lambda found: tuple(map(_make_value, found.kvs)))
 
-    def _lease(
-        self, action: str, body: bytes, kind: type = gateway.Grant
+    def _call_lease(
+        self, action: str, body: bytes, answer_type: type = gateway.Grant
     ) -> result.Result:
         return self._call(
-            'lease', f'/v3/lease/{action}', body, kind, writes=True
+            'lease', f'/v3/lease/{action}', body, answer_type, writes=True
         )
 
     def _call(
-        self, label: str, path: str, body: bytes, kind: type, writes=False
+        self,
+        label: str,
+        path: str,
+        body: bytes,
+        answer_type: type,
+        writes=False,
     ) -> result.Result:
         with self._lock:
-            admitted = self._circuit.admit(time.monotonic())
-        if not admitted:
+            is_admitted = self._circuit.admit(time.monotonic())
+        if not is_admitted:
             failure = storefailures.StoreFailure(
                 storefailures.FailureKind.CIRCUIT_OPEN,
-                'the store is down',
+                'circuit breaker of the store is open',
                 False,
             )
             self._count(label, failure.kind)
             return result.Err(failure)
         started = time.monotonic()
-        called = self._exchange(path, body, kind, writes)
-        self._settle(called)
+        reply = self._send(path, body, answer_type, writes)
+        self._update_circuit(reply)
         if self._metrics is not None:
-            spent = time.monotonic() - started
-            self._metrics.store_seconds.labels(label).observe(spent)
-        outcome = called.err_value.kind if called.is_err() else _OK
+            elapsed = time.monotonic() - started
+            self._metrics.store_seconds.labels(label).observe(elapsed)
+        outcome = reply.err_value.kind if reply.is_err() else _OK
         self._count(label, outcome)
-        return called
+        return reply
 
-    def _exchange(
-        self, path: str, body: bytes, kind: type, writes: bool
+    def _send(
+        self, path: str, body: bytes, answer_type: type, writes: bool
     ) -> result.Result:
         try:
             answer = self._pool.request(
                 'POST', path, body=body, pool_timeout=self.timing.read
             )
         except urllib3.exceptions.HTTPError as error:
-            return result.Err(storefailures.classify(error, writes))
+            return result.Err(storefailures.classify_error(error, writes))
         if answer.status != 200:
-            return result.Err(storefailures.refuse(answer.status, writes))
+            return result.Err(
+                storefailures.classify_status(answer.status, writes)
+            )
         try:
-            return result.Ok(gateway.decode(answer.data, kind))
+            return result.Ok(gateway.decode(answer.data, answer_type))
         except msgspec.MsgspecError as error:
-            return result.Err(storefailures.classify(error, writes))
+            return result.Err(storefailures.classify_error(error, writes))
 
-    def _settle(self, called: result.Result) -> None:
-        kind = called.err_value.kind if called.is_err() else None
+    def _update_circuit(self, reply: result.Result) -> None:
+        kind = reply.err_value.kind if reply.is_err() else None
         with self._lock:
             if kind is None or kind is storefailures.FailureKind.REFUSED:
                 self._circuit.succeed()
@@ -362,8 +378,10 @@
             self._replace_pool()
 
     def _replace_pool(self) -> None:
-        # What has lost track of one connection may have lost all that are
-        # idle; new ones would work.
+        # A network element that lost the state of one connection may have
+        # lost that of all idle connections; new connections still work.
         with self._lock:
-            old, self._pool = self._pool, self._build_pool(MAX_CONNECTIONS)
-        old.close()
+            old_pool, self._pool = self._pool, self._build_pool(
+                MAX_CONNECTIONS
+            )
+        old_pool.close()
--- a/packages/daemon/src/dunlintide_daemon/gateway/process.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/process.py
@@ -348,7 +348,7 @@
         state.settings = kept
         state.retry_budgets.clear()
         if self._store.address != settings.store:
-            self._store.move(settings.store)
+            self._store.change_address(settings.store)
         state.log.write_always('settings reloaded', ignored=ignored)
 
     async def _shut_down(self) -> None:
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -179,13 +179,13 @@
     ) -> None:
         state = self._state
         exchange = stream.exchange
-        relayed = requests.Relayed(
+        relayed = requests.RelayOptions(
             endpoint=run.first,
-            left=exchange.deadline - state.now,
+            remaining=exchange.deadline - state.now,
             team=exchange.team,
             hops=run.hops,
             priority=exchange.priority,
-            after=stream.sequence.last_id,
+            last_event_id=stream.sequence.last_id,
         )
         exchange.sends += 1
         exchange.runs += 1
@@ -209,7 +209,7 @@
         self._send(stream, run, connection)
         try:
             head = await self._read_head(stream, run, connection)
-            verdict = requests.judge(head)
+            verdict = requests.read_answer_headers(head)
             self._state.record_rate_limit(
                 run.first.name, verdict.rate_limit, run.began
             )
@@ -218,7 +218,7 @@
             if verdict.not_run:
                 exchange.runs -= 1
                 self._blame_refusal(stream, run, verdict)
-                where = verdict.culprit or run.first.address
+                where = verdict.faulty_address or run.first.address
                 reason = f'refused with {head.status} by {where}'
                 raise runends.RunEnded(False, reason)
             if head.status != 200:
@@ -236,14 +236,14 @@
     # Conclusions from the end of a run about endpoints.
 
     def _blame_refusal(
-        self, stream: Stream, run: _Run, verdict: requests.Verdict
+        self, stream: Stream, run: _Run, verdict: requests.AnswerHeaders
     ) -> None:
         """Blame a refusal on the endpoint named in it, else on the first."""
         state = self._state
         exchange = stream.exchange
         culprit = run.first
         for hop in run.hops:
-            if hop.endpoint.address == verdict.culprit:
+            if hop.endpoint.address == verdict.faulty_address:
                 culprit = hop.endpoint
         # A full endpoint may accept the request a moment later; a dead one
         # will not.
