--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -299,7 +299,9 @@
             if fleet_roster.map_entries() != entries:
                 entries = fleet_roster.map_entries()
                 self._limits.entry_links.update(fleet_roster.hosts)
-                self._claims.update_owners(self._owners.update(fleet_roster.hosts))
+                self._claims.update_owners(
+                    self._owners.update(fleet_roster.hosts)
+                )
             self._fleet.drop_idle(now)
             self.done.wait(pause)
 
--- a/packages/daemon/src/dunlintide_daemon/gateway/follower.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/follower.py
@@ -193,7 +193,9 @@
     async def _watch(self) -> bool:
         drain = self._state.settings.drain
         watched = await self._store.watch(
-            listings.ALL_KEYS_PREFIX, self._revision, drain * WATCH_TIMEOUT_FRACTION
+            listings.ALL_KEYS_PREFIX,
+            self._revision,
+            drain * WATCH_TIMEOUT_FRACTION,
         )
         if watched.is_err():
             refusal = watched.err_value
