--- a/packages/daemon/src/dunlintide_daemon/agent/hedging.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/hedging.py
@@ -183,7 +183,9 @@
         if not remaining:
             return  # The call is about to time out.
         self._first_steps.add_call(call.first_step_sessions)
-        hedged = self._engine.run_steps(call.steps, remaining, anew=True)
+        hedged = self._engine.run_steps(
+            call.steps, remaining, new_connection=True
+        )
         if hedged.is_ok():
             call.settled.wait(GRACE_SECONDS)
         if hedged.is_err() or not self._calls.settle(call):
@@ -195,5 +197,5 @@
         # The first steps stay recorded: the first call may still deliver them,
         # and the driver ends the record when that call returns.
         # Other idle connections may be silent as well, so all are renewed.
-        self._engine.renew()
+        self._engine.reset_connections()
         self._complete(call, hedged.ok_value)
