--- a/features/steps/affinity.py
+++ b/features/steps/affinity.py
@@ -50,7 +50,7 @@
 
     def tell_held(self, team, words):
         """Whole prompt blocks at the start that the engine holds."""
-        tokens = self.cache.tell_cached(team, words)
+        tokens = self.cache.count_cached(team, words)
         return tokens * _WORD // affinity.BLOCK_CHARACTERS
 
 
@@ -174,7 +174,7 @@
 
 @behave.when('what the engine holds is read anew')
 def read_anew(context):
-    sequence, blocks = context.engine.cache.list_held()
+    sequence, blocks = context.engine.cache.list_blocks()
     held = [_convert(block) for block in blocks]
     context.engine.view.replace(sequence, held)
 
--- a/features/steps/claims.py
+++ b/features/steps/claims.py
@@ -68,17 +68,17 @@
 
 @behave.given('the claim store loses the next {count:d} answers')
 def lose_answers(context, count):
-    context.standin.gate.change(faults.Fault(drop_answers=count))
+    context.standin.fault_injector.change(faults.Fault(drop_answers=count))
 
 
 @behave.given('the claim store is down')
 def go_down(context):
-    context.standin.gate.change(faults.Fault(down=True))
+    context.standin.fault_injector.change(faults.Fault(down=True))
 
 
 @behave.when('the claim store is back')
 def come_back(context):
-    context.standin.gate.change(faults.Fault(down=False))
+    context.standin.fault_injector.change(faults.Fault(down=False))
 
 
 @behave.given(
@@ -207,7 +207,7 @@
     'the writer binds {count:d} keys from 100 threads with a slow store'
 )
 def bind_slowly(context, count):
-    context.standin.gate.change(faults.Fault(slow_seconds=0.05))
+    context.standin.fault_injector.change(faults.Fault(slow_seconds=0.05))
     with futures.ThreadPoolExecutor(100) as pool:
         jobs = [
             pool.submit(
--- a/features/steps/edge.py
+++ b/features/steps/edge.py
@@ -68,7 +68,7 @@
 def check_events(context, name, count):
     answer = context.callers[name].read_answer()
     assert answer.status == 200, answer.status
-    assert answer.whole, 'the answer is cut'
+    assert answer.is_complete, 'the answer is cut'
     expected = b''.join(
         b'id: %d\ndata: %s-%d\n\n' % (number, name.encode(), number)
         for number in range(1, count + 1)
@@ -145,7 +145,7 @@
 def check_call(context, name, status):
     answer = context.answers[name]
     assert answer.status == status, answer.status
-    assert answer.whole
+    assert answer.is_complete
     assert answer.body == b'answer to ' + name.encode()
     assert len(context.scene.fleet.list_runs(name)) == 1
 
--- a/features/steps/edge_faults.py
+++ b/features/steps/edge_faults.py
@@ -176,7 +176,7 @@
 @behave.then('each of them was answered whole')
 def check_whole(context):
     for answer in context.answers:
-        assert answer.status == 200 and answer.whole, answer.status
+        assert answer.status == 200 and answer.is_complete, answer.status
 
 
 @behave.when('one engine of its chain stands still')
@@ -194,7 +194,7 @@
 def tell_births(context):
     scene = context.scene
     for engine in scene.list_engines():
-        scene.run(engine.begin_again())
+        scene.run(engine.restart_with_same_id())
     scene.wait_for_layers()
 
     def check():
@@ -214,7 +214,7 @@
     )
     (run,) = fleet.list_runs('s-1')
     context.engine = fleet.find(run.hops[-1][0])
-    context.scene.run(context.engine.begin_again())
+    context.scene.run(context.engine.restart_with_same_id())
 
 
 @behave.then("the entry's log says that the run was abandoned")
@@ -232,7 +232,7 @@
 def drain_one(context):
     scene = context.scene
     context.leaving = scene.list_services()[0]
-    scene.run(context.leaving.list_itself('draining'))
+    scene.run(context.leaving.write_entry('draining'))
     edge_lookups.wait_for_leaving(context)
 
 
@@ -245,7 +245,7 @@
 def crash_engine(context):
     scene = context.scene
     context.engine = scene.list_engines()[0]
-    scene.run(context.engine.crash(listed=False))
+    scene.run(context.engine.crash(keep_entry=False))
     scene.run(context.engine.start())
 
 
@@ -309,7 +309,7 @@
 
     context.dead = max(local, key=lambda each: len(list_alone(each)))
     assert list_alone(context.dead), [each.layers for each in local]
-    context.scene.run(context.dead.crash(listed=True))
+    context.scene.run(context.dead.crash(keep_entry=True))
 
 
 @behave.then(
--- a/features/steps/edge_platform.py
+++ b/features/steps/edge_platform.py
@@ -15,13 +15,13 @@
 def move_route(context, prefix, name):
     configuration = operators.make_configuration(9)
     context.scene.configure(
-        operators.rename_service(configuration, prefix, name)
+        operators.set_route_service(configuration, prefix, name)
     )
 
 
 @behave.when('the operator writes a configuration that can\'t be read')
 def break_configuration(context):
-    context.scene.configure(operators.make_broken_configuration(11))
+    context.scene.configure(operators.make_invalid_configuration(11))
 
 
 @behave.when('the operator removes the route "{prefix}"')
@@ -42,7 +42,7 @@
     scene = context.scene
     scene.store.faults.silent = True
     context.leaving = scene.list_services()[0]
-    scene.run(context.leaving.list_itself('draining'))
+    scene.run(context.leaving.write_entry('draining'))
     scene.store.compact()
     scene.store.faults.silent = False
 
--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -272,7 +272,7 @@
 )
 def fill_memory(context, old, new, count):
     for name in (old, new):
-        assert context.kv.make_room(name, count) == 0
+        assert context.kv.preempt_for(name, count) == 0
         assert run_positions(context, name, 0, count).error is None
 
 
@@ -281,11 +281,11 @@
     'next step'
 )
 def check_preempted(context, old, count, new):
-    assert context.kv.make_room(new, count) is None
-    assert context.kv.make_room(old, count) == 0
+    assert context.kv.preempt_for(new, count) is None
+    assert context.kv.preempt_for(old, count) == 0
     assert run_positions(context, old, 9, count).error is None
     assert context.kv.preempted == 1
-    assert context.kv.make_room(new, 1) is None
+    assert context.kv.preempt_for(new, 1) is None
 
 
 @behave.when('the stand-in\'s session "{name}" is freed')
@@ -295,7 +295,7 @@
 
 @behave.then('"{name}" goes on after {count:d} positions have been run again')
 def check_recomputed(context, name, count):
-    assert context.kv.make_room(name, 1) == count
+    assert context.kv.preempt_for(name, 1) == count
     assert run_positions(context, name, count, 1).error is None
     assert context.kv.used == count + 1
 
--- a/features/steps/placement_orders.py
+++ b/features/steps/placement_orders.py
@@ -196,7 +196,7 @@
 
 @behave.when('the store of the leaders is away')
 def lose_store(context):
-    context.store.gate.change(faults.Fault(down=True))
+    context.store.fault_injector.change(faults.Fault(down=True))
 
 
 class Candidate:
--- a/features/steps/ratelimits.py
+++ b/features/steps/ratelimits.py
@@ -86,7 +86,7 @@
         if answer.status == 503:
             assert float(answer.headers['retry-after']) > 0
         else:
-            assert answer.status == 200 and answer.whole, answer
+            assert answer.status == 200 and answer.is_complete, answer
 
 
 @behave.when('no {kind} names a limit any more')
--- a/features/steps/standin_reference.py
+++ b/features/steps/standin_reference.py
@@ -13,7 +13,10 @@
     """Run a model over spans of positions, its layers cut in ranges."""
     edges = [0, *sorted(cuts), LAYERS]
     ranges = [
-        (reference.get_constants(MODEL, '1', low, high), [0] * (high - low))
+        (
+            reference.get_layer_weights(MODEL, '1', low, high),
+            [0] * (high - low),
+        )
         for low, high in zip(edges, edges[1:])
     ]
     final = []
@@ -44,7 +47,7 @@
 
 def run_variant(order, words):
     """Run layers in the given order; gives the id of the token."""
-    right = reference.get_constants(MODEL, '1', 0, LAYERS)
+    right = reference.get_layer_weights(MODEL, '1', 0, LAYERS)
     constants = tuple(right[layer] for layer in order)
     span = reference.embed(reference.tokenize(' '.join(words)))
     final = reference.run_layers(constants, [0] * len(order), span)[-1]
--- a/features/steps/standins.py
+++ b/features/steps/standins.py
@@ -140,7 +140,7 @@
         '--crash_word=BOOM',
     )
     context.process = engine
-    constants = reference.get_constants('copy-7b', '1', 0, 4)
+    constants = reference.get_layer_weights('copy-7b', '1', 0, 4)
     for prompt, crashes in (('not BOOM', False), ('BOOM it goes', True)):
         inputs = reference.embed(reference.tokenize(prompt))
         values = reference.run_layers(constants, [0] * 4, inputs)
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -67,7 +67,7 @@
 
 @behave.when('the store drops the next answer')
 def drop_answer(context):
-    context.standin.gate.change(faults.Fault(drop_answers=1))
+    context.standin.fault_injector.change(faults.Fault(drop_answers=1))
 
 
 @behave.then('the write fails and may have been applied')
@@ -109,12 +109,12 @@
 @behave.when('the store hangs')
 def hang(context):
     context.store.get(KEY).unwrap()
-    context.standin.gate.change(faults.Fault(hang=True))
+    context.standin.fault_injector.change(faults.Fault(hang=True))
 
 
 @behave.then('the next call after the hang succeeds')
 def check_next_call(context):
-    context.standin.gate.change(faults.Fault(hang=False))
+    context.standin.fault_injector.change(faults.Fault(hang=False))
     assert context.store.get(KEY).is_ok()
 
 
--- a/features/steps/storeeras.py
+++ b/features/steps/storeeras.py
@@ -29,7 +29,9 @@
 
 @behave.given('the store makes a copy')
 def make_copy(context):
-    context.scene.loop.loop.call_soon_threadsafe(context.scene.store.copy)
+    context.scene.loop.loop.call_soon_threadsafe(
+        context.scene.store.make_backup
+    )
 
 
 @behave.given('an empty copy of what entries wrote')
@@ -41,8 +43,8 @@
         'two entries are listed and one leads',
     )
     context.fence = max(_list_fences(scene))
-    scene.store.copy()
-    made = scene.store._copy
+    scene.store.make_backup()
+    made = scene.store._backup
     for key in (*scene.store.list_keys(ENTRIES), LEADER):
         del made.items[key]
     made.leases.clear()
@@ -66,7 +68,7 @@
 def _come_back(context, seconds):
     scene = context.scene
     scene.store.faults.away = True
-    scene.run(scene.store.come_back())
+    scene.run(scene.store.restore_backup())
     time.sleep(seconds)
     scene.store.faults.away = False
 
@@ -74,7 +76,7 @@
 @behave.when('the store comes back from the copy after {seconds:f} s')
 def come_back(context, seconds):
     _come_back(context, seconds)
-    context.scene.run(context.scene.store.write_again())
+    context.scene.run(context.scene.store.rewrite_platform_keys())
 
 
 @behave.when(
@@ -153,9 +155,9 @@
         lambda: all(leaving <= list_usable(each) for each in scene.entries),
         'both are listed',
     )
-    scene.store.copy()
+    scene.store.make_backup()
     scene.run(scene.store.remove(gone.key))
-    scene.run(draining.list_itself('draining'))
+    scene.run(draining.write_entry('draining'))
     scene.wait_until(
         lambda: not any(leaving & list_usable(each) for each in scene.entries),
         'both are known to leave',
--- a/features/steps/storemodel.py
+++ b/features/steps/storemodel.py
@@ -199,11 +199,11 @@
 
     async def _start(self):
         self.store = stores.Store()
-        self.sweeper = self.loop.create_task(self.store._sweep())
+        self.sweeper = self.loop.create_task(self.store._expire_leases())
         await self._configure()
         for name in RUNNERS:
             await self._list(name, 'ready')
-        self.store.copy()
+        self.store.make_backup()
         self.entries = [_Entry(name, self.store, self.loop) for name in NAMES]
         self.ended = []
         await asyncio.sleep(SETTLE_SECONDS)
@@ -258,7 +258,7 @@
 
     @stateful.rule()
     def copy(self):
-        self.store.copy()
+        self.store.make_backup()
 
     @stateful.rule(
         seconds=strategies.sampled_from((0.05, 0.5, 2.5)),
@@ -267,12 +267,12 @@
     def drill(self, seconds, later):
         async def come_back():
             self.store.faults.away = True
-            await self.store.come_back()
+            await self.store.restore_backup()
             await asyncio.sleep(seconds)
             self.store.faults.away = False
             await asyncio.sleep(later)
             self.check_leaving()
-            await self.store.write_again()
+            await self.store.rewrite_platform_keys()
 
         self.run(come_back())
 
--- a/packages/cli/src/dunlintide_cli/changes.py
+++ b/packages/cli/src/dunlintide_cli/changes.py
@@ -48,8 +48,8 @@
     comment: str
 
 
-def _find_laggards(
-    urls: Sequence[str], revision: int, until: float
+def _list_unconfirmed(
+    urls: Sequence[str], revision: int, deadline: float
 ) -> list[str]:
     """Wait for a revision; list the daemons that did not confirm it."""
     waiting = {url: 'not asked' for url in urls}
@@ -59,21 +59,21 @@
             if state.is_err():
                 waiting[url] = str(state.err_value)
                 continue
-            held = state.ok_value.revision
-            if held is None:
+            reported = state.ok_value.revision
+            if reported is None:
                 waiting[url] = f'{url}: tells no revision'
-            elif held >= revision:
+            elif reported >= revision:
                 del waiting[url]
             else:
-                waiting[url] = f'{url}: still at revision {held}'
-        if time.monotonic() >= until:
+                waiting[url] = f'{url}: still at revision {reported}'
+        if time.monotonic() >= deadline:
             break
         if waiting:
             time.sleep(_POLL_SECONDS)
     return list(waiting.values())
 
 
-class _Changer(commands.Command):
+class _ChangeCommand(commands.Command):
     """Applies a change and waits until it is in force."""
 
     def read_wait(self) -> result.Result[float | None, str]:
@@ -91,7 +91,7 @@
             return result.Err('--wait needs the daemons, as --admin URL')
         return result.Ok(seconds)
 
-    def find_floor(self) -> int:
+    def find_highest_revision(self) -> int:
         """Give the highest revision that a daemon holds.
 
         The new revision has to be above it, also when the store was
@@ -105,7 +105,7 @@
                 output.print_error(f'dunlintide: warning: {state.err_value}')
         return floor
 
-    def change(
+    def apply_change(
         self,
         store: configstore.ConfigStore,
         change: _Change,
@@ -119,7 +119,7 @@
             change_id,
             self.option('author') or getpass.getuser(),
             self.option('comment') or change.comment,
-            floor=self.find_floor(),
+            floor=self.find_highest_revision(),
         )
         if applied.is_ok():
             return self._confirm(applied.ok_value, wait)
@@ -133,25 +133,27 @@
             )
         return self.fail(f'{failure.message}; nothing was changed')
 
-    def note_accepted(self, head: revisions.Head) -> None:
+    def on_accepted(self, head: revisions.Head) -> None:
         """Do what a command does once its change is accepted."""
 
     def _confirm(self, head: revisions.Head, wait: float | None) -> int:
-        self.note_accepted(head)
+        self.on_accepted(head)
         if self.as_json:
             output.print_json(head)
         else:
             output.print_text(f'revision {head.revision} is accepted')
         if wait is None:
             return output.ExitCode.OK
-        until = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         asked = self.option('admin')
-        late = _find_laggards(asked, head.revision, until)
-        for text in late:
+        unconfirmed = _list_unconfirmed(asked, head.revision, deadline)
+        for text in unconfirmed:
             output.print_error(f'dunlintide: {text}')
-        if late:
-            done = len(asked) - len(late)
-            output.print_error(f'in force at {done} of {len(asked)} daemons')
+        if unconfirmed:
+            confirmed = len(asked) - len(unconfirmed)
+            output.print_error(
+                f'in force at {confirmed} of {len(asked)} daemons'
+            )
             return output.ExitCode.FAILED
         if not self.as_json:
             output.print_text('it is in force at every daemon asked')
@@ -177,10 +179,10 @@
             # The base is no longer kept, so show the whole distance.
             old = change.document
         output.print_text(revisions.diff_documents(old, new))
-        return output.ExitCode.LOST_RACE
+        return output.ExitCode.CONFLICT
 
 
-class Apply(_Changer):
+class Apply(_ChangeCommand):
     """``rules apply``."""
 
     name = 'rules apply'
@@ -215,7 +217,7 @@
         draft: documents.Draft,
         wait: float | None,
     ) -> int:
-        base = self._find_base()
+        base = self._read_base()
         if base.is_err():
             return self.reject(base.err_value)
         current = store.read()
@@ -230,30 +232,30 @@
         revision = base.ok_value
         if revision is None:
             revision = snapshot.head.revision if snapshot else 0
-        return self.change(store, _Change(document, revision, ''), wait)
+        return self.apply_change(store, _Change(document, revision, ''), wait)
 
-    def note_accepted(self, head: revisions.Head) -> None:
+    def on_accepted(self, head: revisions.Head) -> None:
         """Let the next change of the same file start from this one."""
         file = self.argument('file')
-        replaced = files.replace_base(file, head.revision)
+        replaced = files.update_base_comment(file, head.revision)
         if replaced.is_err():
             output.print_error(f'dunlintide: {replaced.err_value}')
 
-    def _find_base(self) -> result.Result[int | None, str]:
+    def _read_base(self) -> result.Result[int | None, str]:
         given = self.option('base')
         if given:
             if not given.isdecimal():
                 return result.Err(f'--base: expected a revision, got {given}')
             return result.Ok(int(given))
         text = files.read_text(self.argument('file'))
-        return text.map(files.find_base).map_err(_describe_problems)
+        return text.map(files.parse_base_revision).map_err(_describe_problems)
 
 
 def _describe_problems(problems: list[jsonc.Problem]) -> str:
     return '\n'.join(str(problem) for problem in problems)
 
 
-class Rollback(_Changer):
+class Rollback(_ChangeCommand):
     """``rules rollback``."""
 
     name = 'rules rollback'
@@ -289,4 +291,4 @@
         base = current.ok_value.head.revision
         comment = f'roll back to revision {revision}'
         change = _Change(earlier.ok_value.document, base, comment)
-        return self.change(store, change, wait)
+        return self.apply_change(store, change, wait)
--- a/packages/cli/src/dunlintide_cli/checking.py
+++ b/packages/cli/src/dunlintide_cli/checking.py
@@ -22,7 +22,7 @@
     'Explain',
 ]
 
-_MAX_WANTED = 4
+_MAX_LISTED_VALUES = 4
 
 
 class Check(commands.Command):
@@ -46,7 +46,7 @@
 
     def _read_endpoints(
         self,
-    ) -> result.Result[list[fleet.Endpoint] | None, daemons.Unreachable]:
+    ) -> result.Result[list[fleet.Endpoint] | None, daemons.CallError]:
         found: list[fleet.Endpoint] = []
         for url in self.option('admin'):
             read = daemons.read_state(url)
@@ -59,19 +59,21 @@
         return result.Ok(found if self.option('admin') else None)
 
 
-def _describe_miss(miss: matching.Mismatch) -> str:
+def _describe_mismatch(miss: matching.Mismatch) -> str:
     wanted = miss.wanted
     if not isinstance(wanted, tuple):
         wanted = (wanted,)
-    listed = ', '.join(map(schemas.describe_value, wanted[:_MAX_WANTED]))
-    if len(wanted) > _MAX_WANTED:
-        listed += f' and {len(wanted) - _MAX_WANTED} more'
+    listed = ', '.join(
+        map(schemas.describe_value, wanted[:_MAX_LISTED_VALUES])
+    )
+    if len(wanted) > _MAX_LISTED_VALUES:
+        listed += f' and {len(wanted) - _MAX_LISTED_VALUES} more'
     found = schemas.describe_value(miss.found)
     written = configuration.name_condition(miss.condition)
     return f'{written} is {listed}, but the request has {found}'
 
 
-def _list_unknown(
+def _list_unknown_names(
     source: configuration.Configuration, query: matching.Query
 ) -> Iterator[str]:
     for kind, items in (
@@ -87,7 +89,7 @@
             yield f'unknown {written} "{name}"{hint}'
 
 
-class Explain(sources.Reader):
+class Explain(sources.ReadCommand):
     """``rules explain``."""
 
     name = 'rules explain'
@@ -122,7 +124,7 @@
         source = self._read_rules()
         if source.is_err():
             return source.err_value
-        for text in _list_unknown(source.ok_value, query):
+        for text in _list_unknown_names(source.ok_value, query):
             output.print_error(f'dunlintide: warning: {text}')
         found = matching.explain(source.ok_value.rules, query)
         if self.as_json:
@@ -144,13 +146,15 @@
         if document is None:
             return result.Err(self.fail('the daemon shows no rules'))
         decoded = documents.decode_configuration(json.dumps(document))
-        return decoded.map_err(lambda damage: self.fail(damage.message))
+        return decoded.map_err(lambda error: self.fail(error.message))
 
     def _build_query(self) -> result.Result[matching.Query, str]:
         if not self.option('member'):
             return result.Err('give the --member that sends the request')
-        both = bool(self.option('model')) == bool(self.option('service'))
-        if both and not self.option('host'):
+        not_exactly_one = bool(self.option('model')) == bool(
+            self.option('service')
+        )
+        if not_exactly_one and not self.option('host'):
             return result.Err('give either --model or --service')
         numbers: dict[str, int] = {}
         for name in ('priority', 'prompt-tokens'):
@@ -180,7 +184,7 @@
     def _print(self, found: matching.Explanation) -> None:
         if found.misses:
             rows = [
-                (miss.position, miss.rule, _describe_miss(miss))
+                (miss.position, miss.rule, _describe_mismatch(miss))
                 for miss in found.misses
             ]
             output.print_table(('rule', 'name', 'does not match'), rows)
--- a/packages/cli/src/dunlintide_cli/commands.py
+++ b/packages/cli/src/dunlintide_cli/commands.py
@@ -17,7 +17,7 @@
     'STORE',
     'STORE_VARIABLE',
     'Command',
-    'Misuse',
+    'UsageError',
     'build_option',
 ]
 
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Misuse:
+class UsageError:
     """What is wrong with the arguments or the environment."""
 
     message: str
@@ -60,21 +60,21 @@
         """Whether JSON was asked for."""
         return self.option('json')
 
-    def open_store(self) -> result.Result[configstore.ConfigStore, Misuse]:
+    def open_store(self) -> result.Result[configstore.ConfigStore, UsageError]:
         """Open the store that the options or the environment name."""
         url = self.option('store') or os.environ.get(STORE_VARIABLE)
         if not url:
             text = f'no store: give --store URL or set {STORE_VARIABLE}'
-            return result.Err(Misuse(text))
+            return result.Err(UsageError(text))
         return result.Ok(configstore.ConfigStore.from_url(url))
 
     def fail(self, message: object) -> int:
         """Print why the command failed and give its exit code."""
         output.print_error(f'dunlintide: {message}')
-        if isinstance(message, Misuse):
+        if isinstance(message, UsageError):
             return output.ExitCode.BAD_INPUT
         return output.ExitCode.FAILED
 
     def reject(self, message: object) -> int:
         """Print what is wrong with the arguments and give the exit code."""
-        return self.fail(Misuse(str(message)))
+        return self.fail(UsageError(str(message)))
--- a/packages/cli/src/dunlintide_cli/daemons.py
+++ b/packages/cli/src/dunlintide_cli/daemons.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     'State',
-    'Unreachable',
+    'CallError',
     'drain',
     'read_state',
     'read_states',
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Unreachable:
+class CallError:
     """Why a daemon gave no usable answer."""
 
     url: str
@@ -53,7 +53,7 @@
     dump: Mapping[str, Any]
 
     @property
-    def shared(self) -> Mapping[str, Any]:
+    def fleet_state(self) -> Mapping[str, Any]:
         """The daemon's replica of the fleet's state, empty without one."""
         section = self.dump.get('state')
         return section if isinstance(section, dict) else {}
@@ -66,13 +66,13 @@
         """
         section = self.dump.get('configuration')
         if not isinstance(section, dict):
-            return self.shared.get('revision')
+            return self.fleet_state.get('revision')
         revision = section.get('revision')
         return revision if isinstance(revision, int) else 0
 
     def list_endpoints(
         self,
-    ) -> result.Result[list[fleet.Endpoint], Unreachable]:
+    ) -> result.Result[list[fleet.Endpoint], CallError]:
         """List the endpoints that an entry knows of.
 
         :returns: the endpoints, or that the dump does not tell them
@@ -83,14 +83,14 @@
             return result.Ok(cattrs.structure(plain, list[fleet.Endpoint]))
         except (KeyError, TypeError, cattrs.BaseValidationError):
             text = 'its dump tells no endpoints; name an entry'
-            return result.Err(Unreachable(self.url, text))
+            return result.Err(CallError(self.url, text))
 
 
 def _call(
     method: str, url: str, path: str, expected: tuple[int, ...]
-) -> result.Result[dict, Unreachable]:
+) -> result.Result[dict, CallError]:
     if not url.startswith(('http://', 'https://')):
-        return result.Err(Unreachable(url, 'expected a URL with http://'))
+        return result.Err(CallError(url, 'expected a URL with http://'))
     try:
         answer = urllib3.request(
             method,
@@ -100,13 +100,13 @@
         )
         body = json.loads(answer.data)
     except (urllib3.exceptions.HTTPError, ValueError) as error:
-        return result.Err(Unreachable(url, str(error)))
+        return result.Err(CallError(url, str(error)))
     if answer.status not in expected or not isinstance(body, dict):
-        return result.Err(Unreachable(url, f'status {answer.status}'))
+        return result.Err(CallError(url, f'status {answer.status}'))
     return result.Ok(body)
 
 
-def read_state(url: str) -> result.Result[State, Unreachable]:
+def read_state(url: str) -> result.Result[State, CallError]:
     """Ask a daemon for its state.
 
     :param url: base URL of its operators' port
@@ -125,7 +125,7 @@
 
 def read_states(
     urls: Sequence[str],
-) -> list[result.Result[State, Unreachable]]:
+) -> list[result.Result[State, CallError]]:
     """Ask several daemons at once.
 
     :param urls: base URLs of their operators' ports
@@ -135,7 +135,7 @@
         return list(pool.map(read_state, urls))
 
 
-def drain(url: str) -> result.Result[None, Unreachable]:
+def drain(url: str) -> result.Result[None, CallError]:
     """Tell a daemon to finish what it has and to stop.
 
     :param url: base URL of its operators' port
--- a/packages/cli/src/dunlintide_cli/files.py
+++ b/packages/cli/src/dunlintide_cli/files.py
@@ -9,24 +9,24 @@
 from dunlintide_core import jsonc
 
 __all__ = [
-    'build_base_mark',
-    'find_base',
+    'format_base_comment',
+    'parse_base_revision',
     'read_draft',
     'read_text',
-    'replace_base',
+    'update_base_comment',
 ]
 
-_BASE_MARK = re.compile(r'\s*// revision (\d+)\b')
+_BASE_COMMENT = re.compile(r'\s*// revision (\d+)\b')
 
 
-def build_base_mark(revision: int) -> str:
+def format_base_comment(revision: int) -> str:
     """Write the comment that tells of which revision a text is a copy."""
     return f'// revision {revision}'
 
 
-def find_base(text: str) -> int | None:
+def parse_base_revision(text: str) -> int | None:
     """Find the revision that the first line of a text names, if any."""
-    found = _BASE_MARK.match(text)
+    found = _BASE_COMMENT.match(text)
     return int(found[1]) if found else None
 
 
@@ -42,19 +42,19 @@
         return result.Err([jsonc.Problem(path, 1, 1, '', text)])
 
 
-def replace_base(path: str, revision: int) -> result.Result[bool, str]:
+def update_base_comment(path: str, revision: int) -> result.Result[bool, str]:
     """Bring the revision that a file's first line names up to date.
 
     :returns: whether the file names one, or why it cannot be written
     """
     text = read_text(path).unwrap_or('')
-    found = _BASE_MARK.match(text)
+    found = _BASE_COMMENT.match(text)
     if not found:
         return result.Ok(False)
     try:
-        mark = build_base_mark(revision)
+        comment = format_base_comment(revision)
         pathlib.Path(path).write_text(
-            mark + text[found.end() :], encoding='utf-8'
+            comment + text[found.end() :], encoding='utf-8'
         )
     except OSError as error:
         return result.Err(str(error))
--- a/packages/cli/src/dunlintide_cli/output.py
+++ b/packages/cli/src/dunlintide_cli/output.py
@@ -30,7 +30,7 @@
     OK = 0
     FAILED = 1
     BAD_INPUT = 2
-    LOST_RACE = 3
+    CONFLICT = 3
 
 
 def _make_console(*, errors: bool = False) -> consoles.Console:
--- a/packages/cli/src/dunlintide_cli/processes.py
+++ b/packages/cli/src/dunlintide_cli/processes.py
@@ -41,7 +41,7 @@
 
 
 def _describe(
-    url: str, read: result.Result[daemons.State, daemons.Unreachable]
+    url: str, read: result.Result[daemons.State, daemons.CallError]
 ) -> dict[str, Any]:
     row = {'url': url, 'name': '', 'ready': False, 'revision': None}
     if read.is_err():
@@ -52,7 +52,7 @@
         'ready': state.ready,
         'revision': state.revision,
         'reasons': list(state.reasons),
-        'warnings': _list_warnings(state.shared),
+        'warnings': _list_warnings(state.fleet_state),
     }
 
 
@@ -117,8 +117,8 @@
 
     def handle(self) -> int:
         """Start the drain; the daemon stops when its work is done."""
-        told = daemons.drain(self.argument('url'))
-        if told.is_err():
-            return self.fail(told.err_value)
+        drained = daemons.drain(self.argument('url'))
+        if drained.is_err():
+            return self.fail(drained.err_value)
         output.print_text('draining: it takes no new work and then stops')
         return output.ExitCode.OK
--- a/packages/cli/src/dunlintide_cli/reading.py
+++ b/packages/cli/src/dunlintide_cli/reading.py
@@ -28,7 +28,7 @@
     return moment.isoformat(' ', 'seconds')
 
 
-class Show(sources.Reader):
+class Show(sources.ReadCommand):
     """``rules show``."""
 
     name = 'rules show'
@@ -54,7 +54,9 @@
         if self.as_json:
             output.print_json({'head': snapshot.head, 'document': document})
         else:
-            output.print_text(files.build_base_mark(snapshot.head.revision))
+            output.print_text(
+                files.format_base_comment(snapshot.head.revision)
+            )
             output.print_json(document)
         return output.ExitCode.OK
 
@@ -63,12 +65,12 @@
     ) -> result.Result[configstore.Snapshot | None, object]:
         return self.open_store().and_then(
             lambda store: store.read_revision(revision).map_err(
-                lambda fault: fault.message
+                lambda error: error.message
             )
         )
 
 
-class Diff(sources.Reader):
+class Diff(sources.ReadCommand):
     """``rules diff``."""
 
     name = 'rules diff'
@@ -91,7 +93,7 @@
         return output.ExitCode.OK
 
 
-class History(sources.Reader):
+class History(sources.ReadCommand):
     """``rules history``."""
 
     name = 'rules history'
@@ -101,7 +103,7 @@
     def handle(self) -> int:
         """Print a row for each revision."""
         read = self.open_store().and_then(
-            lambda store: store.history().map_err(lambda fault: fault.message)
+            lambda store: store.history().map_err(lambda error: error.message)
         )
         if read.is_err():
             return self.fail(read.err_value)
@@ -131,7 +133,7 @@
         }
 
 
-class Teams(sources.Reader):
+class Teams(sources.ReadCommand):
     """``members``."""
 
     name = 'members'
@@ -149,8 +151,8 @@
             output.print_json(teams)
             return output.ExitCode.OK
         rows = [
-            (one['name'], one['keys'], ', '.join(one['rules']))
-            for one in teams
+            (team_row['name'], team_row['keys'], ', '.join(team_row['rules']))
+            for team_row in teams
         ]
         output.print_table(('member', 'keys', 'rules that name it'), rows)
         return output.ExitCode.OK
--- a/packages/cli/src/dunlintide_cli/sources.py
+++ b/packages/cli/src/dunlintide_cli/sources.py
@@ -13,7 +13,7 @@
 __all__ = [
     'FILE',
     'OPTIONAL_FILE',
-    'Reader',
+    'ReadCommand',
 ]
 
 FILE = helpers.argument('file', 'Document, JSON with comments.')
@@ -22,7 +22,7 @@
 )
 
 
-class Reader(commands.Command):
+class ReadCommand(commands.Command):
     """Reads a file, or what is in force."""
 
     def read_current(
@@ -30,7 +30,7 @@
     ) -> result.Result[configstore.Snapshot | None, object]:
         """Read what is in force from the store."""
         return self.open_store().and_then(
-            lambda store: store.read().map_err(lambda fault: fault.message)
+            lambda store: store.read().map_err(lambda error: error.message)
         )
 
     def read_source(
@@ -51,4 +51,4 @@
         if current.ok_value is None:
             return result.Ok(configuration.Configuration())
         decoded = documents.decode_configuration(current.ok_value.document)
-        return decoded.map_err(lambda damage: self.fail(damage.message))
+        return decoded.map_err(lambda error: self.fail(error.message))
--- a/packages/standins/src/dunlintide_standins/engine/batching.py
+++ b/packages/standins/src/dunlintide_standins/engine/batching.py
@@ -14,7 +14,7 @@
 
 __all__ = ['Batcher', 'Load', 'Timing']
 
-_SMOOTHING = 0.2
+_SMOOTHING_FACTOR = 0.2
 _RATE_WINDOW_SECONDS = 1.0
 _HANG_POLL_SECONDS = 0.05
 _STOP_POLL_SECONDS = 1.0
@@ -56,12 +56,12 @@
     """Steps of one HTTP call, and their results as they come."""
 
     results: list[messages.Result | None]
-    left: int
+    remaining: int
     done: threading.Event = attrs.Factory(threading.Event)
 
 
 @attrs.define(eq=False)
-class _Work:
+class _QueuedStep:
     call: _Call
     index: int
     step: messages.Step
@@ -70,8 +70,8 @@
     def finish(self, result: messages.Result) -> None:
         """Hand in the result; the last one ends the call."""
         self.call.results[self.index] = result
-        self.call.left -= 1
-        if not self.call.left:
+        self.call.remaining -= 1
+        if not self.call.remaining:
             self.call.done.set()
 
 
@@ -87,15 +87,15 @@
         sessions: session_store.Sessions,
         cache: caches.PrefixCache,
         timing: Timing,
-        hangs: Callable[[], bool],
+        is_hanging: Callable[[], bool],
     ) -> None:
         self.slow_factor = 1.0
         self.lock = threading.Lock()
         self._sessions = sessions
         self._cache = cache
         self._timing = timing
-        self._hangs = hangs
-        self._waiting: list[_Work] = []
+        self._is_hanging = is_hanging
+        self._waiting: list[_QueuedStep] = []
         self._arrived = threading.Condition()
         self._stopped = False
         self._step_seconds = 0.0
@@ -121,18 +121,20 @@
         :returns: a result for each, None when the engine was stopped
         """
         call = _Call([None] * len(steps), len(steps))
-        works = []
+        new_steps = []
         for index, step in enumerate(steps):
             activations = self._read_input(step)
-            work = _Work(call, index, step, activations)
+            queued_step = _QueuedStep(call, index, step, activations)
             if activations:
-                works.append(work)
+                new_steps.append(queued_step)
             else:
-                work.finish(messages.fail(step, messages.Code.BAD_STEP))
+                queued_step.finish(
+                    messages.build_failure(step, messages.ErrorCode.BAD_STEP)
+                )
         with self._arrived:
-            self._waiting += works
+            self._waiting += new_steps
             self._arrived.notify()
-        while call.left and not call.done.wait(_STOP_POLL_SECONDS):
+        while call.remaining and not call.done.wait(_STOP_POLL_SECONDS):
             if self._stopped:
                 return None
         return call.results
@@ -154,15 +156,17 @@
         )
         return reference.embed(token_ids + (step.tokens or []))
 
-    def _take(self) -> list[_Work]:
+    def _take_batch(self) -> list[_QueuedStep]:
         """Wait for steps and take what one batch holds, by priority."""
         with self._arrived:
             while not self._waiting and not self._stopped:
                 self._arrived.wait()
-            self._waiting.sort(key=lambda work: work.step.priority)
+            self._waiting.sort(
+                key=lambda queued_step: queued_step.step.priority
+            )
             size = 0
-            for index, work in enumerate(self._waiting):
-                size += len(work.activations)
+            for index, queued_step in enumerate(self._waiting):
+                size += len(queued_step.activations)
                 if index and size > self._timing.max_tokens:
                     break
             else:
@@ -171,54 +175,56 @@
             del self._waiting[:index]
             return batch
 
-    def _compute(self, batch: list[_Work]) -> tuple[list, int]:
+    def _compute(self, batch: list[_QueuedStep]) -> tuple[list, int]:
         """Run a batch; gives the results and the tokens to pay for."""
         results = []
         tokens = 0
         with self.lock:
-            for work in batch:
-                step = work.step
-                again = 0
+            for queued_step in batch:
+                step = queued_step.step
+                to_recompute = 0
                 if self._timing.preempts:
-                    count = len(work.activations)
-                    again = self._sessions.make_room(step.session, count)
-                if again is None:
-                    code = messages.Code.KV_WAIT
-                    results.append(messages.fail(step, code))
+                    count = len(queued_step.activations)
+                    to_recompute = self._sessions.preempt_for(
+                        step.session, count
+                    )
+                if to_recompute is None:
+                    code = messages.ErrorCode.KV_WAIT
+                    results.append(messages.build_failure(step, code))
                     continue
-                tokens += again
-                result = self._sessions.run(step, work.activations)
+                tokens += to_recompute
+                result = self._sessions.run(step, queued_step.activations)
                 results.append(result)
                 tokens += result.count
                 if result.count and not step.position:
                     tokens -= self._cache.match(
-                        step.session, step.cache_salt, work.activations
+                        step.session, step.cache_salt, queued_step.activations
                     )
         return results, tokens
 
     def _run(self) -> None:
         while not self._stopped:
-            batch = self._take()
+            batch = self._take_batch()
             started = time.monotonic()
             results, tokens = self._compute(batch)
-            self._note_load(started)
+            self._record_load(started)
             seconds = self._timing.base + self._timing.per_token * tokens
             end = started + seconds * self.slow_factor
             time.sleep(max(0.0, end - time.monotonic()))
-            while self._hangs() and not self._stopped:
+            while self._is_hanging() and not self._stopped:
                 time.sleep(_HANG_POLL_SECONDS)
-            self._note_step(started, sum(item.count for item in results))
-            for work, result in zip(batch, results):
-                work.finish(result)
+            self._record_step(started, sum(item.count for item in results))
+            for queued_step, result in zip(batch, results):
+                queued_step.finish(result)
 
-    def _note_step(self, started: float, tokens: int) -> None:
+    def _record_step(self, started: float, tokens: int) -> None:
         now = time.monotonic()
         change = now - started - self._step_seconds
-        self._step_seconds += _SMOOTHING * change
+        self._step_seconds += _SMOOTHING_FACTOR * change
         self._finished.append((now, tokens))
-        self._note_load(now)
+        self._record_load(now)
 
-    def _note_load(self, now: float) -> None:
+    def _record_load(self, now: float) -> None:
         finished = self._finished
         while finished and finished[0][0] < now - _RATE_WINDOW_SECONDS:
             finished.popleft()
@@ -247,6 +253,6 @@
             self._trim_loads(time.monotonic())
             return self._loads[0][1]
 
-    def note_change(self) -> None:
+    def record_load(self) -> None:
         """Record the load after a change outside of a batch."""
-        self._note_load(time.monotonic())
+        self._record_load(time.monotonic())
--- a/packages/standins/src/dunlintide_standins/engine/cache.py
+++ b/packages/standins/src/dunlintide_standins/engine/cache.py
@@ -42,8 +42,8 @@
 ) -> Iterator[tuple[int, int]]:
     """Give each whole block's name and the prefix's length to its end."""
     digest = xxhash.xxh64(salt.encode())
-    whole = len(activations) // BLOCK_TOKENS * BLOCK_TOKENS
-    for start in range(0, whole, BLOCK_TOKENS):
+    complete_tokens = len(activations) // BLOCK_TOKENS * BLOCK_TOKENS
+    for start in range(0, complete_tokens, BLOCK_TOKENS):
         block = activations[start : start + BLOCK_TOKENS]
         digest.update(struct.pack(f'<{BLOCK_TOKENS}Q', *block))
         yield digest.intdigest(), start + BLOCK_TOKENS
@@ -124,7 +124,7 @@
         self.misses += len(activations) - cached
         return cached
 
-    def tell_cached(self, salt: str, activations: list[int]) -> int:
+    def count_cached(self, salt: str, activations: list[int]) -> int:
         """Count a prompt's leading tokens that are held, changing nothing."""
         cached = 0
         for key, end in _hash_blocks(salt, activations):
@@ -138,12 +138,12 @@
         while self._blocks:
             self._evict()
 
-    def list_held(self) -> tuple[int, list[Event]]:
+    def list_blocks(self) -> tuple[int, list[Event]]:
         """List the blocks that are held, and the last sequence number."""
         return self._sequence, list(self._blocks.values())
 
     @property
-    def published(self) -> int:
+    def last_sequence(self) -> int:
         """Number of the last event, published or lost."""
         return self._sequence
 
--- a/packages/standins/src/dunlintide_standins/engine/loading.py
+++ b/packages/standins/src/dunlintide_standins/engine/loading.py
@@ -12,16 +12,16 @@
 _READ_BYTES = 65_536
 _HTTP_OK = 200
 # Longest silence of the weight store in the middle of a layer.
-_SILENCE_SECONDS = 30.0
+_READ_TIMEOUT_SECONDS = 30.0
 
 
 def _list_layers(
-    held: session_store.Holding, order: messages.Order
+    current: session_store.Holding, order: messages.Order
 ) -> list[int]:
     """List the ordered layers that are not held already."""
     layers = set(range(order.layer_start, order.layer_end))
-    if (held.model, held.version) == (order.model, order.version):
-        layers -= set(range(held.layer_start, held.layer_end))
+    if (current.model, current.version) == (order.model, order.version):
+        layers -= set(range(current.layer_start, current.layer_end))
     return sorted(layers)
 
 
@@ -36,17 +36,19 @@
         self.lock = threading.Lock()
         self._url = weights_url
         self._http = urllib3.PoolManager(
-            retries=False, timeout=urllib3.Timeout(read=_SILENCE_SECONDS)
+            retries=False, timeout=urllib3.Timeout(read=_READ_TIMEOUT_SECONDS)
         )
 
-    def load(self, held: session_store.Holding, order: messages.Order) -> bool:
+    def load(
+        self, current: session_store.Holding, order: messages.Order
+    ) -> bool:
         """Read all ordered layers; False when one could not be read."""
         if not self._url:
             return True
         try:
             return all(
                 self._read(f'{order.model}/{order.version}/{layer}')
-                for layer in _list_layers(held, order)
+                for layer in _list_layers(current, order)
             )
         except urllib3.exceptions.HTTPError:
             return False
--- a/packages/standins/src/dunlintide_standins/engine/messages.py
+++ b/packages/standins/src/dunlintide_standins/engine/messages.py
@@ -7,15 +7,15 @@
 import msgspec
 
 __all__ = [
-    'Code',
-    'Held',
+    'ErrorCode',
+    'HoldingStatus',
     'Order',
     'Result',
     'State',
     'Step',
     'Steps',
     'Token',
-    'fail',
+    'build_failure',
     'pack',
     'unpack',
 ]
@@ -23,7 +23,7 @@
 ACTIVATION_BYTES = 8
 
 
-class Code(enum.StrEnum):
+class ErrorCode(enum.StrEnum):
     """Why a step didn't run."""
 
     BAD_STEP = 'bad-step'
@@ -79,7 +79,7 @@
     count: int
     activations: bytes | None = None
     token: Token | None = None
-    error: Code | None = None
+    error: ErrorCode | None = None
 
 
 class Order(msgspec.Struct):
@@ -93,7 +93,7 @@
     layer_count: int = 0
 
 
-class Held(msgspec.Struct):
+class HoldingStatus(msgspec.Struct):
     """What the engine holds and the highest fencing number it has seen."""
 
     model: str
@@ -119,7 +119,7 @@
     inputs: list[int]
 
 
-def fail(step: Step, code: Code) -> Result:
+def build_failure(step: Step, code: ErrorCode) -> Result:
     """Build the result of a step that didn't run."""
     return Result(step.session, step.epoch, step.position, 0, error=code)
 
--- a/packages/standins/src/dunlintide_standins/engine/server.py
+++ b/packages/standins/src/dunlintide_standins/engine/server.py
@@ -23,7 +23,7 @@
 
 _CRASH_STATUS = 1
 _SESSIONS = '/v1/sessions/'
-_KEPT_ORDERS = 1000
+_MAX_ORDERS = 1000
 
 
 def exit_process() -> None:
@@ -103,7 +103,7 @@
     def __init__(self, config: Config, crash: Callable[[], None]) -> None:
         self._config = config
         self._crash = crash
-        self._gate = faults.Gate()
+        self._fault_injector = faults.FaultInjector()
         holding = session_store.Holding(
             config.model, config.version, config.layer_start, config.layer_end
         )
@@ -125,17 +125,20 @@
             config.preempts,
         )
         self._batcher = batching.Batcher(
-            self._sessions, self._cache, timing, lambda: self._gate.hang
+            self._sessions,
+            self._cache,
+            timing,
+            lambda: self._fault_injector.hang,
         )
         self._fail_rate = 0.0
         self._failures = random.Random(config.seed)
         self._fence = 0
         self._layer_count = 0
-        self._loading = loading.Loader(config.weights_url)
+        self._loader = loading.Loader(config.weights_url)
         self._orders: list[messages.Order] = []
         self._routes: dict[tuple[str, str], web.Handler] = {
             ('POST', '/v1/steps'): self._run_steps,
-            ('POST', '/v1/orders'): self._take_order,
+            ('POST', '/v1/orders'): self._execute_order,
             ('GET', '/v1/orders'): self._show_orders,
             ('GET', '/v1/holding'): self._show_holding,
             ('GET', '/v1/load'): self._show_load,
@@ -171,9 +174,9 @@
             return self._control(request)
         if request.path == '/runs':
             return self._show_runs(request)
-        stopped = self._gate.enter()
-        if stopped is not None:
-            return stopped
+        intercepted = self._fault_injector.intercept()
+        if intercepted is not None:
+            return intercepted
         if request.path.startswith(_SESSIONS):
             return self._handle_session(request)
         answer = self._routes.get((request.method, request.path))
@@ -182,14 +185,14 @@
     def _control(self, request: web.Request) -> web.Answer:
         if request.method == 'POST':
             control = web.decode_json(request, _Control)
-            self._gate.change(control)
+            self._fault_injector.change(control)
             if control.slow_factor is not None:
                 self._batcher.slow_factor = control.slow_factor
             if control.fail_rate is not None:
                 self._fail_rate = control.fail_rate
             if control.crash:
                 self._crash()
-                return web.dropped()
+                return web.drop_connection()
         cache = {
             'cache_hits': self._cache.hits,
             'cache_misses': self._cache.misses,
@@ -199,50 +202,50 @@
             'preempted': self._sessions.preempted,
             'recomputed': self._sessions.recomputed,
         }
-        return web.json_answer(self._gate.state() | cache)
+        return web.json_answer(self._fault_injector.state() | cache)
 
-    def _is_marked(self, step: messages.Step) -> bool:
+    def _triggers_crash(self, step: messages.Step) -> bool:
         if step.prompt is None:
-            return self._begins_marked(step)
+            return self._starts_with_crash_word(step)
         marker = self._config.crash_marker
         return bool(marker) and marker in step.prompt
 
-    def _begins_marked(self, step: messages.Step) -> bool:
+    def _starts_with_crash_word(self, step: messages.Step) -> bool:
         """Tell a marked prompt by its activations, all that comes here."""
         word = self._config.crash_word
         if not word or step.position or not step.activations:
             return False
-        held = self._sessions.holding
-        marked = reference.compute_first(
-            word, held.model, held.version, held.layer_start
+        current = self._sessions.holding
+        crash_prompts = reference.compute_first_activation(
+            word, current.model, current.version, current.layer_start
         )
         first = step.activations[: messages.ACTIVATION_BYTES]
-        return messages.unpack(first) == [marked]
+        return messages.unpack(first) == [crash_prompts]
 
     def _run_steps(self, request: web.Request) -> web.Answer:
         steps = web.decode_json(request, messages.Steps).steps
-        marked = [
+        crash_prompts = [
             step.prompt or self._config.crash_word
             for step in steps
-            if self._is_marked(step)
+            if self._triggers_crash(step)
         ]
-        if marked:
-            self._leave_records(marked)
+        if crash_prompts:
+            self._print_runs(crash_prompts)
             self._crash()
-            return web.dropped()
-        failed, steps = self._fail_some(steps)
+            return web.drop_connection()
+        failed, steps = self._inject_failures(steps)
         results = self._batcher.run(steps)
-        if results is None or self._gate.drop_answer():
-            return web.dropped()
+        if results is None or self._fault_injector.should_drop_answer():
+            return web.drop_connection()
         return web.json_answer({'results': failed + results})
 
-    def _leave_records(self, prompts: list[str]) -> None:
+    def _print_runs(self, prompts: list[str]) -> None:
         """Print the record of runs, which ends with the process."""
         with self._batcher.lock:
-            left = {'crashed_by': prompts, 'runs': self._sessions.runs()}
-        print(msgspec.json.encode(left).decode(), flush=True)
+            record = {'crashed_by': prompts, 'runs': self._sessions.runs()}
+        print(msgspec.json.encode(record).decode(), flush=True)
 
-    def _fail_some(
+    def _inject_failures(
         self, steps: list[messages.Step]
     ) -> tuple[list[messages.Result], list[messages.Step]]:
         """Part the steps that are made to fail from those to run."""
@@ -251,7 +254,9 @@
         for step in steps:
             first = step.position == 0
             if first and self._failures.random() < self._fail_rate:
-                failed.append(messages.fail(step, messages.Code.INJECTED))
+                failed.append(
+                    messages.build_failure(step, messages.ErrorCode.INJECTED)
+                )
             else:
                 rest.append(step)
         return failed, rest
@@ -270,7 +275,7 @@
             return _refuse('since and limit must be numbers', 400)
         with self._batcher.lock:
             events = self._cache.read_events(int(since))[: int(limit)]
-            last = self._cache.published
+            last = self._cache.last_sequence
         return web.json_answer({'sequence': last, 'events': events})
 
     def _show_cache(self, request: web.Request) -> web.Answer:
@@ -278,7 +283,7 @@
         if not limit.isdecimal():
             return _refuse('limit must be a number', 400)
         with self._batcher.lock:
-            last, blocks = self._cache.list_held()
+            last, blocks = self._cache.list_blocks()
         newest = blocks[-int(limit) :]
         return web.json_answer({'sequence': last, 'blocks': newest})
 
@@ -289,7 +294,7 @@
         if request.method == 'DELETE' and not action:
             with self._batcher.lock:
                 self._sessions.free(session_id)
-            self._batcher.note_change()
+            self._batcher.record_load()
             return web.json_answer({})
         if request.method == 'POST' and action == 'export':
             return self._export(session_id)
@@ -299,7 +304,7 @@
 
     def _export(self, session_id: str) -> web.Answer:
         with self._batcher.lock:
-            state = self._sessions.export(session_id)
+            state = self._sessions.export_state(session_id)
         if state is None:
             return _refuse('no such session', 404)
         return web.json_answer(_Exported(msgspec.msgpack.encode(state)))
@@ -308,33 +313,33 @@
         data = web.decode_json(request, _Exported).state
         state = msgspec.msgpack.decode(data, type=messages.State)
         with self._batcher.lock:
-            taken = self._sessions.take(session_id, state)
-        self._batcher.note_change()
-        return web.json_answer({}) if taken else _refuse('no fit', 409)
+            imported = self._sessions.import_state(session_id, state)
+        self._batcher.record_load()
+        return web.json_answer({}) if imported else _refuse('no fit', 409)
 
-    def _is_old(self, order: messages.Order) -> bool:
+    def _is_stale_order(self, order: messages.Order) -> bool:
         """Check an order's fence; the batcher's lock is held."""
         if self._config.checks_fence and order.fence < self._fence:
             return True
         self._fence = max(self._fence, order.fence)
         return False
 
-    def _take_order(self, request: web.Request) -> web.Answer:
+    def _execute_order(self, request: web.Request) -> web.Answer:
         order = web.decode_json(request, messages.Order)
-        with self._loading.lock:
+        with self._loader.lock:
             with self._batcher.lock:
-                if self._is_old(order):
+                if self._is_stale_order(order):
                     return _refuse('old fencing number', 409)
-                held = self._sessions.holding
+                current = self._sessions.holding
             # The old layers are served until the new ones are here.
-            if not self._loading.load(held, order):
+            if not self._loader.load(current, order):
                 return _refuse('the weight store failed', 503)
-            self._hold(order)
-        if self._gate.drop_answer():
-            return web.dropped()
+            self._load_layers(order)
+        if self._fault_injector.should_drop_answer():
+            return web.drop_connection()
         return web.json_answer({})
 
-    def _hold(self, order: messages.Order) -> None:
+    def _load_layers(self, order: messages.Order) -> None:
         with self._batcher.lock:
             holding = session_store.Holding(
                 order.model, order.version, order.layer_start, order.layer_end
@@ -343,17 +348,17 @@
             self._layer_count = order.layer_count
             self._cache.clear()
             self._orders.append(order)
-            del self._orders[:-_KEPT_ORDERS]
+            del self._orders[:-_MAX_ORDERS]
 
     def _show_holding(self, _request: web.Request) -> web.Answer:
         with self._batcher.lock:
-            held = messages.Held(
+            current = messages.HoldingStatus(
                 **attrs.asdict(self._sessions.holding),
                 layer_count=self._layer_count,
                 fence=self._fence,
-                loading=self._loading.lock.locked(),
+                loading=self._loader.lock.locked(),
             )
-        return web.json_answer(held)
+        return web.json_answer(current)
 
     def _show_orders(self, _request: web.Request) -> web.Answer:
         return web.json_answer(self._orders)
--- a/packages/standins/src/dunlintide_standins/engine/sessions.py
+++ b/packages/standins/src/dunlintide_standins/engine/sessions.py
@@ -27,9 +27,9 @@
     layer_end: int
 
     @property
-    def constants(self) -> tuple[int, ...]:
+    def weights(self) -> tuple[int, ...]:
         """Weights of the layers."""
-        return reference.get_constants(
+        return reference.get_layer_weights(
             self.model, self.version, self.layer_start, self.layer_end
         )
 
@@ -61,9 +61,9 @@
     prompt_tokens: int
     layers: list[int]
     inputs: list[int]
-    order: int
+    admission_index: int
     run: Run | None = None
-    swapped: bool = False
+    is_preempted: bool = False
 
 
 class Sessions:
@@ -82,7 +82,7 @@
         self._stop_modulus = stop_modulus
         self._sessions: dict[str, _Session] = {}
         self._runs: collections.deque[Run] = collections.deque(maxlen=MAX_RUNS)
-        self._orders = itertools.count()
+        self._admission_indexes = itertools.count()
         self.preempted = 0
         self.recomputed = 0
 
@@ -105,7 +105,7 @@
         session = self._sessions.pop(session_id, None)
         if session is None:
             return False
-        self.used -= 0 if session.swapped else session.position
+        self.used -= 0 if session.is_preempted else session.position
         return True
 
     def runs(self) -> list[dict[str, Any]]:
@@ -125,27 +125,27 @@
         self._runs.append(run)
         return run
 
-    def _admit(
+    def _find_session(
         self, step: messages.Step
-    ) -> Result[_Session | None, messages.Code]:
+    ) -> Result[_Session | None, messages.ErrorCode]:
         """Find the session that a step goes on with, None for a new one."""
         holding = self.holding
         if step.layers not in (None, (holding.layer_start, holding.layer_end)):
-            return Err(messages.Code.LAYERS)
+            return Err(messages.ErrorCode.LAYERS)
         session = self._sessions.get(step.session)
         if session is not None and step.epoch < session.epoch:
-            return Err(messages.Code.STALE_EPOCH)
+            return Err(messages.ErrorCode.STALE_EPOCH)
         if session is None or step.epoch > session.epoch:
             if step.position == 0:
                 return Ok(None)
         if session is None:
-            return Err(messages.Code.POSITION)
+            return Err(messages.ErrorCode.POSITION)
         # Only once an epoch: asked for again, a step must not run again.
         newer = step.epoch > session.epoch
         if step.truncate and newer and step.position < session.position:
             self._truncate(session, step.position)
         if step.position != session.position:
-            return Err(messages.Code.POSITION)
+            return Err(messages.ErrorCode.POSITION)
         return Ok(session)
 
     def _truncate(self, session: _Session, position: int) -> None:
@@ -154,13 +154,13 @@
         session.position = position
         del session.inputs[position:]
         session.layers = [0] * len(session.layers)
-        constants = self.holding.constants
-        reference.run_layers(constants, session.layers, session.inputs)
+        weights = self.holding.weights
+        reference.run_layers(weights, session.layers, session.inputs)
 
     def _fits(self, session: _Session | None, step, count: int) -> bool:
         old = self._sessions.get(step.session)
         freed = 0
-        if session is None and old is not None and not old.swapped:
+        if session is None and old is not None and not old.is_preempted:
             freed = old.position
         return self.used - freed + count <= self._kv_tokens
 
@@ -169,12 +169,13 @@
         if session is None:
             return []
         return [
-            one
-            for one in self._sessions.values()
-            if not one.swapped and one.order > session.order
+            other
+            for other in self._sessions.values()
+            if not other.is_preempted
+            and other.admission_index > session.admission_index
         ]
 
-    def make_room(self, session_id: str, count: int) -> int | None:
+    def preempt_for(self, session_id: str, count: int) -> int | None:
         """Preempt the newest sessions until a step of one fits.
 
         What was preempted is run again before its next step.
@@ -182,29 +183,29 @@
             has to wait for older sessions
         """
         session = self._sessions.get(session_id)
-        again = 0
-        if session is not None and session.swapped:
-            again = session.position
+        to_recompute = 0
+        if session is not None and session.is_preempted:
+            to_recompute = session.position
         newer = self._list_newer(session)
         free = self._kv_tokens - self.used
-        possible = free + sum(one.position for one in newer)
-        if possible < count + again:
-            alone = possible == self._kv_tokens
+        obtainable = free + sum(other.position for other in newer)
+        if obtainable < count + to_recompute:
+            has_no_older = obtainable == self._kv_tokens
             # One that never fits is refused by the step itself.
-            return 0 if alone and not again else None
-        newer.sort(key=lambda one: one.order)
-        while self.used + count + again > self._kv_tokens:
+            return 0 if has_no_older and not to_recompute else None
+        newer.sort(key=lambda other: other.admission_index)
+        while self.used + count + to_recompute > self._kv_tokens:
             newest = newer.pop()
-            newest.swapped = True
+            newest.is_preempted = True
             self.used -= newest.position
             self.preempted += 1
-        if again:
-            session.swapped = False
-            self.used += again
-            self.recomputed += again
-        return again
+        if to_recompute:
+            session.is_preempted = False
+            self.used += to_recompute
+            self.recomputed += to_recompute
+        return to_recompute
 
-    def _open(
+    def _open_session(
         self, session: _Session | None, step: messages.Step, count: int
     ) -> _Session:
         if session is None:
@@ -219,7 +220,7 @@
                 prompt_tokens,
                 [0] * layers,
                 [],
-                next(self._orders),
+                next(self._admission_indexes),
             )
             self._sessions[step.session] = session
         if session.run is None or session.epoch != step.epoch:
@@ -235,19 +236,19 @@
         :param activations: input of the first layer held here
         """
         count = len(activations)
-        admitted = self._admit(step)
+        admitted = self._find_session(step)
         if admitted.is_err():
-            return messages.fail(step, admitted.unwrap_err())
+            return messages.build_failure(step, admitted.unwrap_err())
         if not self._fits(admitted.unwrap(), step, count):
-            return messages.fail(step, messages.Code.KV_FULL)
-        session = self._open(admitted.unwrap(), step, count)
-        constants = self.holding.constants
-        values = reference.run_layers(constants, session.layers, activations)
+            return messages.build_failure(step, messages.ErrorCode.KV_FULL)
+        session = self._open_session(admitted.unwrap(), step, count)
+        weights = self.holding.weights
+        values = reference.run_layers(weights, session.layers, activations)
         session.inputs += activations
         session.position += count
         self.used += count
         session.run.positions += count
-        session.run.layer_steps += count * len(constants)
+        session.run.layer_steps += count * len(weights)
         return self._answer(step, session, values)
 
     def _answer(
@@ -268,7 +269,7 @@
         )
         return result
 
-    def export(self, session_id: str) -> messages.State | None:
+    def export_state(self, session_id: str) -> messages.State | None:
         """Copy the KV state of a session, None for an unknown one."""
         session = self._sessions.get(session_id)
         if session is None:
@@ -285,22 +286,25 @@
             list(session.inputs),
         )
 
-    def take(self, session_id: str, state: messages.State) -> bool:
+    def import_state(self, session_id: str, state: messages.State) -> bool:
         """Import a session; False when it doesn't fit the engine.
 
         One that is here already in a newer epoch is kept.
         """
-        held = self._sessions.get(session_id)
-        if held is not None and held.epoch > state.epoch:
+        existing = self._sessions.get(session_id)
+        if existing is not None and existing.epoch > state.epoch:
             return False
-        same = attrs.astuple(self.holding) == (
+        same_layers = attrs.astuple(self.holding) == (
             state.model,
             state.version,
             state.layer_start,
             state.layer_end,
         )
-        freed = held.position if held is not None else 0
-        if not same or self.used - freed + state.position > self._kv_tokens:
+        freed = existing.position if existing is not None else 0
+        if (
+            not same_layers
+            or self.used - freed + state.position > self._kv_tokens
+        ):
             return False
         self.free(session_id)
         self._sessions[session_id] = _Session(
@@ -309,7 +313,7 @@
             state.prompt_tokens,
             state.layers,
             state.inputs,
-            next(self._orders),
+            next(self._admission_indexes),
         )
         self.used += state.position
         return True
--- a/packages/standins/src/dunlintide_standins/faults.py
+++ b/packages/standins/src/dunlintide_standins/faults.py
@@ -7,7 +7,7 @@
 
 from dunlintide_standins import web
 
-__all__ = ['Fault', 'Gate']
+__all__ = ['Fault', 'FaultInjector']
 
 _HANG_POLL_SECONDS = 0.05
 
@@ -28,7 +28,7 @@
     drop_answers: int | None = None
 
 
-class Gate:
+class FaultInjector:
     """Holds the faults that are on and applies them to calls."""
 
     def __init__(self) -> None:
@@ -59,22 +59,22 @@
             'drop_answers': self._drops,
         }
 
-    def enter(self) -> web.Answer | None:
+    def intercept(self) -> web.Answer | None:
         """Let a call in, or give the answer that stops it.
 
         A call that hung is never run, also when the fault ends.
         """
         if self.down:
-            return web.dropped()
+            return web.drop_connection()
         if self.hang:
             while self.hang and not self.down:
                 time.sleep(_HANG_POLL_SECONDS)
-            return web.dropped()
+            return web.drop_connection()
         if self.slow_seconds > 0:
             time.sleep(self.slow_seconds)
         return None
 
-    def drop_answer(self) -> bool:
+    def should_drop_answer(self) -> bool:
         """Tell whether the answer of a call that ran is to be lost."""
         with self._lock:
             if self._drops <= 0:
--- a/packages/standins/src/dunlintide_standins/fleet/callers.py
+++ b/packages/standins/src/dunlintide_standins/fleet/callers.py
@@ -27,7 +27,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 class Caller:
--- a/packages/standins/src/dunlintide_standins/fleet/operators.py
+++ b/packages/standins/src/dunlintide_standins/fleet/operators.py
@@ -4,15 +4,15 @@
 from typing import Any
 
 __all__ = [
-    'CARDS',
+    'ACCELERATOR_MB',
     'HOST',
     'KEY',
     'LAYERS',
     'LAYER_MB',
-    'make_broken_configuration',
+    'make_invalid_configuration',
     'make_configuration',
     'remove_routes',
-    'rename_service',
+    'set_route_service',
     'shuffle_routes',
 ]
 
@@ -21,13 +21,13 @@
 HOST = 'screens.example'
 LAYERS = 12
 LAYER_MB = 1000.0
-CARDS = {'large': 9000.0, 'small': 5000.0}
+ACCELERATOR_MB = {'large': 9000.0, 'small': 5000.0}
 
 Configuration = dict[str, Any]
 
 
 def _make_route(
-    name: str, prefix: str, kind: str, service: str, **more: Any
+    name: str, prefix: str, kind: str, service: str, **fields: Any
 ) -> Configuration:
     route = {
         'name': name,
@@ -41,7 +41,7 @@
         'max_attempts': 2,
         'public': False,
     }
-    route.update(more)
+    route.update(fields)
     return route
 
 
@@ -67,7 +67,7 @@
         'pipe_mbps': 16000.0,
         'kinds': [
             {'name': name, 'size_mb': size, 'pace': 2.0, 'read_factor': 3.0}
-            for name, size in CARDS.items()
+            for name, size in ACCELERATOR_MB.items()
         ],
     }
     return {
@@ -105,12 +105,12 @@
     }
 
 
-def make_broken_configuration(version: int) -> Configuration:
+def make_invalid_configuration(version: int) -> Configuration:
     """Build a configuration whose route lacks nearly all it needs."""
     return {'version': version, 'route_list': [{'name': 'x'}]}
 
 
-def rename_service(
+def set_route_service(
     configuration: Configuration, prefix: str, service: str
 ) -> Configuration:
     """Send the requests of a route to another service."""
@@ -131,8 +131,8 @@
 
 
 def shuffle_routes(
-    configuration: Configuration, draw: random.Random
+    configuration: Configuration, rng: random.Random
 ) -> Configuration:
     """List the routes in another order, which changes nothing."""
-    draw.shuffle(configuration['route_list'])
+    rng.shuffle(configuration['route_list'])
     return configuration
--- a/packages/standins/src/dunlintide_standins/fleet/runners.py
+++ b/packages/standins/src/dunlintide_standins/fleet/runners.py
@@ -19,7 +19,7 @@
     'Runner',
 ]
 
-_numbers = itertools.count(1)
+_id_numbers = itertools.count(1)
 
 
 @attrs.define
@@ -51,7 +51,7 @@
     order_delay: float = 0.0
     rate_limit: float | None = None
 
-    def take(self, name: str) -> bool:
+    def consume(self, name: str) -> bool:
         """Use up one of a count."""
         left = getattr(self, name)
         if left > 0:
@@ -90,7 +90,7 @@
     return hops
 
 
-def sign(name: str, body: bytes) -> str:
+def compute_stamp(name: str, body: bytes) -> str:
     """Build the signature of an answer."""
     return hashlib.sha256(name.encode() + body).hexdigest()[:16]
 
@@ -138,22 +138,22 @@
 
     async def start(self) -> None:
         """Begin a life with a new id, and be listed."""
-        self.name = f'i-{next(_numbers):06x}'
+        self.name = f'i-{next(_id_numbers):06x}'
         self.layers = None
         self.orders = 0
         self.crashed = False
         self._server = await wire.listen(self._handle, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
-        await self.list_itself()
+        await self.write_entry()
 
-    async def begin_again(self) -> None:
+    async def restart_with_same_id(self) -> None:
         """Begin another life under the same id, empty."""
         self.born = int(time.time() * 1000)
         self.layers = None
         self.orders = 0
-        await self.list_itself()
+        await self.write_entry()
 
-    async def list_itself(self, state: str = 'ready') -> None:
+    async def write_entry(self, state: str = 'ready') -> None:
         """Write its entry."""
         self._seq += 1
         entry: dict[str, Any] = {
@@ -177,7 +177,7 @@
                 entry['layers'] = [held]
         await self.fleet.store.report(self.key, entry)
 
-    async def crash(self, listed: bool = True) -> None:
+    async def crash(self, keep_entry: bool = True) -> None:
         """End at once.
 
         :param listed: whether its entry stays for now
@@ -186,7 +186,7 @@
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
-        if not listed:
+        if not keep_entry:
             await self.fleet.store.remove(self.key)
 
     async def _handle(
@@ -210,9 +210,9 @@
         if request.path == '/report':
             await channel.answer(200, json.dumps(self._report()).encode())
         elif request.path == '/order':
-            await self._take_order(json.loads(request.body), channel)
+            await self._handle_order(json.loads(request.body), channel)
         else:
-            await self._take_request(request, channel)
+            await self._handle_request(request, channel)
 
     def _report(self) -> dict[str, Any]:
         held = []
@@ -232,33 +232,35 @@
             report['born'] = self.born
         return report
 
-    async def _take_order(self, order: dict, channel: wire.Channel) -> None:
-        if self.faults.take('lose_orders'):
+    async def _handle_order(self, order: dict, channel: wire.Channel) -> None:
+        if self.faults.consume('lose_orders'):
             await asyncio.sleep(self.faults.order_delay)
-            await self._carry_out(order)
+            await self._execute_order(order)
             await asyncio.sleep(3600)
-        await channel.answer(await self._carry_out(order))
+        await channel.answer(await self._execute_order(order))
 
-    async def _carry_out(self, order: dict) -> int:
+    async def _execute_order(self, order: dict) -> int:
         if order.get('precondition', self.orders) != self.orders:
             return 409
         self.orders += 1
         span = order['from'], order['to']
-        most = self.fleet.count_most(self.kind)
-        if span[1] - span[0] > most:
+        max_layers = self.fleet.compute_max_layers(self.kind)
+        if span[1] - span[0] > max_layers:
             self.overloaded = True
             return 400
         self.layers = span
-        await self.list_itself()
+        await self.write_entry()
         return 202
 
-    async def _refuse(self, channel: wire.Channel, culprit: str = '') -> None:
+    async def _refuse(
+        self, channel: wire.Channel, unready_address: str = ''
+    ) -> None:
         headers = {'Not-Executed': '1'}
-        if culprit:
-            headers['At-Server'] = culprit
+        if unready_address:
+            headers['At-Server'] = unready_address
         await channel.answer(503, b'', headers)
 
-    async def _take_request(
+    async def _handle_request(
         self, request: wire.Request, channel: wire.Channel
     ) -> None:
         headers = request.headers
@@ -271,9 +273,9 @@
             return
         hops = parse_hops(headers.get('hop-count', ''))
         if self.kind:
-            culprit = self._find_culprit(hops)
-            if culprit:
-                await self._refuse(channel, culprit)
+            unready_address = self._find_unready_hop(hops)
+            if unready_address:
+                await self._refuse(channel, unready_address)
                 return
         after = int(headers.get('last-event-id', 0))
         run = Run(
@@ -294,7 +296,7 @@
             run.ended = run.ended or 'cancelled'
             raise
 
-    def _find_culprit(self, hops: list[tuple[str, int, int]]) -> str:
+    def _find_unready_hop(self, hops: list[tuple[str, int, int]]) -> str:
         """Find the part of a chain that does not hold its layers."""
         for address, first, last in hops:
             runner = self.fleet.find(address)
@@ -303,7 +305,7 @@
                 return address
         return ''
 
-    async def _wait_for_parts(self, run: Run) -> None:
+    async def _wait_for_hops(self, run: Run) -> None:
         """Stand still while a part of the chain does, or is dead."""
         while any(
             runner is not None and (runner.faults.stall or runner.crashed)
@@ -318,13 +320,13 @@
         headers = {
             'Attempt-Id': run.request,
             'Content-Type': 'text/event-stream',
-            'Server-Stamp': sign(self.name, run.request.encode()),
+            'Server-Stamp': compute_stamp(self.name, run.request.encode()),
         }
-        await self._wait_for_parts(run)
+        await self._wait_for_hops(run)
         await channel.send(channel.build_head(200, headers, None))
         for number in range(run.after + 1, count + 1):
             await asyncio.sleep(self.fleet.event_seconds)
-            await self._wait_for_parts(run)
+            await self._wait_for_hops(run)
             if self.faults.stall_after == run.events:
                 await asyncio.sleep(3600)
             data = b'id: %d\ndata: %s-%d\n\n' % (
@@ -332,7 +334,7 @@
                 run.request.encode(),
                 number,
             )
-            if run.events == 2 and self.faults.take('cut'):
+            if run.events == 2 and self.faults.consume('cut'):
                 half = data[: len(data) // 2]
                 await channel.send(b'%x\r\n%b\r\n' % (len(half), half))
                 run.ended = 'cut'
@@ -347,30 +349,30 @@
         self, request: wire.Request, channel: wire.Channel, run: Run
     ) -> None:
         await asyncio.sleep(self.fleet.call_seconds)
-        await self._wait_for_parts(
+        await self._wait_for_hops(
             Run('', '', {}, [(self.address, 0, 0)], 0, 0.0)
         )
         body = b'answer to ' + run.request.encode()
         run.ended = 'ok'
-        if self.faults.take('lose'):
+        if self.faults.consume('lose'):
             channel.reset()
             return
         headers = {
             'Attempt-Id': run.request,
-            'Server-Stamp': sign(self.name, body),
+            'Server-Stamp': compute_stamp(self.name, body),
         }
-        if self.faults.take('fail'):
+        if self.faults.consume('fail'):
             run.ended = 'failed'
             await channel.answer(500, b'broken', headers)
             return
-        if self.faults.take('unframed'):
+        if self.faults.consume('unframed'):
             head = channel.build_head(200, headers, 0)
             head = head.replace(b'Content-Length: 0\r\n', b'')
             await channel.send(head + body)
             channel.close()
             return
         await channel.answer(200, body, headers)
-        if self.faults.take('extra'):
+        if self.faults.consume('extra'):
             headers['Attempt-Id'] = 'another'
             await channel.answer(200, b'not yours', headers)
 
@@ -387,15 +389,15 @@
     store: stores.Store
     layers: int
     layer_mb: float
-    cards: dict[str, float]
+    accelerator_mb: dict[str, float]
     slots: int = 16
     event_seconds: float = 0.01
     call_seconds: float = 0.02
     runners: list[Runner] = attrs.field(factory=list)
 
-    def count_most(self, kind: str) -> int:
+    def compute_max_layers(self, kind: str) -> int:
         """Tell how many layers a card holds at most."""
-        return int(self.cards[kind] // self.layer_mb)
+        return int(self.accelerator_mb[kind] // self.layer_mb)
 
     def find(self, address: str) -> Runner | None:
         """Find the runner at an address."""
--- a/packages/standins/src/dunlintide_standins/fleet/store.py
+++ b/packages/standins/src/dunlintide_standins/fleet/store.py
@@ -14,8 +14,8 @@
 
 __all__ = ['Faults', 'Store']
 
-_PAGE = 50
-_SWEEP_SECONDS = 0.05
+_PAGE_ENTRIES = 50
+_EXPIRY_POLL_SECONDS = 0.05
 
 
 @attrs.define
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class _Copy:
+class _Backup:
     """What the store comes back with after a drill."""
 
     revision: int
@@ -80,19 +80,19 @@
         self._leases: dict[int, _Lease] = {}
         self._next_lease = 100
         self._history: list[dict[str, Any]] = []
-        self._compacted = 5
+        self._compacted_revision = 5
         self._changed = asyncio.Condition()
         # Values that the operator and the runners wrote last, None for a key
         # that they removed; they write them again after a drill.
-        self._platform: dict[str, str | None] = {}
-        self._copy: _Copy | None = None
+        self._platform_values: dict[str, str | None] = {}
+        self._backup: _Backup | None = None
 
     async def start(self) -> None:
         """Listen, and expire leases in the background."""
         server = await wire.listen(self._handle)
         self.port = server.sockets[0].getsockname()[1]
         self._server = server
-        self._sweeper = asyncio.ensure_future(self._sweep())
+        self._expiry_task = asyncio.ensure_future(self._expire_leases())
 
     # What the platform itself does.
 
@@ -102,7 +102,7 @@
         if isinstance(data, str):
             data = data.encode()
         value = base64.b64encode(data).decode()
-        self._platform[key] = value
+        self._platform_values[key] = value
         async with self._changed:
             self.revision += 1
             self._set(key, value, lease)
@@ -120,7 +120,7 @@
             if {**held, 'seq': 0} == {**entry, 'seq': 0}:
                 data = json.dumps(entry).encode()
                 item.value = base64.b64encode(data).decode()
-                self._platform[key] = item.value
+                self._platform_values[key] = item.value
                 return
         await self.put(key, entry)
 
@@ -130,7 +130,7 @@
 
     async def remove(self, key: str) -> None:
         """Remove a key as the platform does."""
-        self._platform[key] = None
+        self._platform_values[key] = None
         await self._remove(key)
 
     async def _remove(self, key: str) -> None:
@@ -152,38 +152,38 @@
     def compact(self) -> None:
         """Forget the history."""
         self._history.clear()
-        self._compacted = self.revision
+        self._compacted_revision = self.revision
 
-    def copy(self) -> None:
+    def make_backup(self) -> None:
         """Make the copy from which the store comes back."""
-        self._copy = _Copy(
+        self._backup = _Backup(
             self.revision,
             copy_module.deepcopy(self._items),
             copy_module.deepcopy(self._leases),
             self._next_lease,
         )
 
-    async def come_back(self) -> None:
+    async def restore_backup(self) -> None:
         """Come back from the copy; revisions and leases are given out again.
 
         Calls that wait are cut.
         """
-        made = self._copy
+        backup = self._backup
         async with self._changed:
             self.era += 1
-            self.revision = self._compacted = made.revision
-            self._items = copy_module.deepcopy(made.items)
-            self._leases = copy_module.deepcopy(made.leases)
-            self._next_lease = made.next_lease
+            self.revision = self._compacted_revision = backup.revision
+            self._items = copy_module.deepcopy(backup.items)
+            self._leases = copy_module.deepcopy(backup.leases)
+            self._next_lease = backup.next_lease
             self._history.clear()
             self._changed.notify_all()
         now = time.monotonic()
         for lease in self._leases.values():
             lease.expires = max(lease.expires, now + lease.ttl)
 
-    async def write_again(self) -> None:
+    async def rewrite_platform_keys(self) -> None:
         """Let the operator and the runners write what was lost."""
-        for key, value in list(self._platform.items()):
+        for key, value in list(self._platform_values.items()):
             item = self._items.get(key)
             if value is None:
                 await self._remove(key)
@@ -208,9 +208,9 @@
         item = self._items[key]
         return {'key': key, **attrs.asdict(item)}
 
-    async def _sweep(self) -> None:
+    async def _expire_leases(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_SECONDS)
+            await asyncio.sleep(_EXPIRY_POLL_SECONDS)
             now = time.monotonic()
             ended = [
                 number
@@ -218,9 +218,9 @@
                 if lease.expires <= now
             ]
             for number in ended:
-                await self._end_lease(number)
+                await self._revoke_lease(number)
 
-    async def _end_lease(self, number: int) -> bool:
+    async def _revoke_lease(self, number: int) -> bool:
         if self._leases.pop(number, None) is None:
             return False
         keys = [
@@ -282,11 +282,11 @@
         if path == '/kv-txn':
             return await self._write(body)
         if path == '/kv-lease':
-            return self._begin_lease(body)
+            return self._grant_lease(body)
         number = int(path.rsplit('/', 1)[1])
         if path.startswith('/kv-keep/'):
-            return self._keep_lease(number)
-        ended = await self._end_lease(number)
+            return self._renew_lease(number)
+        ended = await self._revoke_lease(number)
         return (200, {}) if ended else (404, {})
 
     def _read_key(self, key: str) -> tuple[int, dict]:
@@ -302,8 +302,8 @@
             if after is None or key > after
         ]
         return 200, {
-            'entries': [self._describe(key) for key in keys[:_PAGE]],
-            'truncated': len(keys) > _PAGE,
+            'entries': [self._describe(key) for key in keys[:_PAGE_ENTRIES]],
+            'truncated': len(keys) > _PAGE_ENTRIES,
             'current_rev': self.revision,
         }
 
@@ -317,8 +317,10 @@
     async def _watch(self, query: dict[str, str]) -> tuple[int, dict]:
         prefix, after = query['prefix'], int(query['after'])
         wait = int(query['wait_ms']) / 1000
-        unknown = after > self.revision
-        if unknown or (after < self._compacted and after != self.revision):
+        is_future = after > self.revision
+        if is_future or (
+            after < self._compacted_revision and after != self.revision
+        ):
             return 410, {}
         era = self.era
         async with self._changed:
@@ -356,13 +358,13 @@
             self._changed.notify_all()
         return 200, {'revision': self.revision}
 
-    def _begin_lease(self, body: dict) -> tuple[int, dict]:
+    def _grant_lease(self, body: dict) -> tuple[int, dict]:
         self._next_lease += 1
         ttl = body['ttl_ms'] / 1000
         self._leases[self._next_lease] = _Lease(ttl, time.monotonic() + ttl)
         return 200, {'lease': self._next_lease, 'ttl_ms': body['ttl_ms']}
 
-    def _keep_lease(self, number: int) -> tuple[int, dict]:
+    def _renew_lease(self, number: int) -> tuple[int, dict]:
         lease = self._leases.get(number)
         if lease is None:
             return 404, {}
--- a/packages/standins/src/dunlintide_standins/fleet/wire.py
+++ b/packages/standins/src/dunlintide_standins/fleet/wire.py
@@ -15,7 +15,7 @@
 ]
 
 # How often an answering side looks whether its caller is gone, in seconds.
-_END_SECONDS = 0.02
+_DISCONNECT_POLL_SECONDS = 0.02
 
 
 @attrs.frozen
@@ -113,10 +113,12 @@
     return Request(method, target, headers, body)
 
 
-async def _watch_end(reader: asyncio.StreamReader, task: asyncio.Task) -> None:
+async def _cancel_on_disconnect(
+    reader: asyncio.StreamReader, task: asyncio.Task
+) -> None:
     """Cancel an answer when its caller closes the connection."""
     while not reader.at_eof():
-        await asyncio.sleep(_END_SECONDS)
+        await asyncio.sleep(_DISCONNECT_POLL_SECONDS)
     task.cancel()
 
 
@@ -130,7 +132,7 @@
         while not channel.closed:
             request = await _read(reader)
             task = asyncio.ensure_future(handle(request, channel))
-            watch = asyncio.ensure_future(_watch_end(reader, task))
+            watch = asyncio.ensure_future(_cancel_on_disconnect(reader, task))
             try:
                 await task
             finally:
--- a/packages/standins/src/dunlintide_standins/hosts.py
+++ b/packages/standins/src/dunlintide_standins/hosts.py
@@ -62,7 +62,7 @@
         self._lag_seconds = lag_seconds
         self._shown = hosts
         self._pending: deque[tuple[float, list[Host]]] = deque()
-        self._gate = faults.Gate()
+        self._fault_injector = faults.FaultInjector()
         self._lock = threading.Lock()
         self._server = web.Server(listen, self._handle)
         self.port = self._server.port
@@ -91,8 +91,8 @@
     def change(self, hosts: list[Host]) -> None:
         """Replace the list, to show after the lag."""
         with self._lock:
-            due = time.monotonic() + self._lag_seconds
-            self._pending.append((due, hosts))
+            shown_at = time.monotonic() + self._lag_seconds
+            self._pending.append((shown_at, hosts))
 
     def read(self) -> list[Host]:
         """Give the hosts as the list shows them now."""
@@ -105,20 +105,20 @@
     def _control(self, request: web.Request) -> web.Answer:
         if request.method == 'POST':
             control = web.decode_json(request, _Control)
-            self._gate.change(control)
+            self._fault_injector.change(control)
             if control.lag_seconds is not None:
                 self._lag_seconds = control.lag_seconds
             if control.hosts is not None:
                 self.change(control.hosts)
         state = {'lag_seconds': self._lag_seconds}
-        return web.json_answer(self._gate.state() | state)
+        return web.json_answer(self._fault_injector.state() | state)
 
     def _handle(self, request: web.Request) -> web.Answer:
         if request.path == '/control':
             return self._control(request)
-        stopped = self._gate.enter()
-        if stopped is not None:
-            return stopped
+        intercepted = self._fault_injector.intercept()
+        if intercepted is not None:
+            return intercepted
         if request.path != '/hosts':
             return web.json_answer({'error': 'no such path'}, 404)
         return web.json_answer(_Listing(self.read()))
--- a/packages/standins/src/dunlintide_standins/reference.py
+++ b/packages/standins/src/dunlintide_standins/reference.py
@@ -12,10 +12,10 @@
 
 __all__ = [
     'Token',
-    'compute_first',
+    'compute_first_activation',
     'embed',
     'expected_tokens',
-    'get_constants',
+    'get_layer_weights',
     'make_token',
     'run_layers',
     'tokenize',
@@ -74,7 +74,7 @@
 
 
 @functools.lru_cache(maxsize=64)
-def get_constants(
+def get_layer_weights(
     model: str, version: str, start: int, end: int
 ) -> tuple[int, ...]:
     """Give the weights of the layers ``[start, end)``, one number each."""
@@ -84,16 +84,16 @@
     )
 
 
-def _run_layer(constant: int, state: int, values: list[int]) -> int:
+def _run_layer(weight: int, state: int, values: list[int]) -> int:
     for index, value in enumerate(values):
-        mixed = ((value ^ state) * _MIX_OUTPUT + constant) & _MASK
+        mixed = ((value ^ state) * _MIX_OUTPUT + weight) & _MASK
         values[index] = mixed ^ (mixed >> _FOLD_BITS)
         state = (state * _MIX_STATE + value) & _MASK
     return state
 
 
 def run_layers(
-    constants: tuple[int, ...], states: list[int], activations: list[int]
+    weights: tuple[int, ...], states: list[int], activations: list[int]
 ) -> list[int]:
     """Run layers over a span of positions.
 
@@ -102,16 +102,18 @@
     :returns: activations behind the last of the layers
     """
     values = list(activations)
-    for layer, constant in enumerate(constants):
-        states[layer] = _run_layer(constant, states[layer], values)
+    for layer, weight in enumerate(weights):
+        states[layer] = _run_layer(weight, states[layer], values)
     return values
 
 
-def compute_first(word: str, model: str, version: str, layers: int) -> int:
+def compute_first_activation(
+    word: str, model: str, version: str, layers: int
+) -> int:
     """Give the activation of a prompt's first word behind some layers."""
-    constants = get_constants(model, version, 0, layers)
+    weights = get_layer_weights(model, version, 0, layers)
     inputs = embed(tokenize(word))
-    return run_layers(constants, [0] * layers, inputs)[0]
+    return run_layers(weights, [0] * layers, inputs)[0]
 
 
 def make_token(
@@ -146,12 +148,12 @@
 
     :param layers: number of layers of the model
     """
-    constants = get_constants(model, version, 0, layers)
+    weights = get_layer_weights(model, version, 0, layers)
     states = [0] * layers
     span = tokenize(prompt)
     tokens: list[Token] = []
     while not tokens or tokens[-1].finish_reason is None:
-        final = run_layers(constants, states, embed(span))[-1]
+        final = run_layers(weights, states, embed(span))[-1]
         token = make_token(final, len(tokens), max_tokens, stop_modulus)
         tokens.append(token)
         span = [token.id]
--- a/packages/standins/src/dunlintide_standins/relay.py
+++ b/packages/standins/src/dunlintide_standins/relay.py
@@ -62,7 +62,7 @@
 
 
 @attrs.define(eq=False)
-class _Lane:
+class _Stream:
     """One direction of one connection.
 
     :ivar flowing: cleared while the lane is held in silence
@@ -71,7 +71,7 @@
     direction: Direction
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    flowing: asyncio.Event = attrs.field(factory=asyncio.Event)
+    not_stalled: asyncio.Event = attrs.field(factory=asyncio.Event)
     chunks: asyncio.Queue = attrs.field(
         factory=lambda: asyncio.Queue(_MAX_CHUNKS)
     )
@@ -79,15 +79,15 @@
 
 @attrs.define(eq=False)
 class _Connection:
-    lanes: tuple[_Lane, _Lane]
+    streams: tuple[_Stream, _Stream]
 
     def abort(self) -> None:
         """Reset both ends."""
-        for lane in self.lanes:
-            lane.writer.transport.abort()
+        for stream in self.streams:
+            stream.writer.transport.abort()
 
 
-def _select(direction: Direction, wanted: Direction) -> bool:
+def _includes(direction: Direction, wanted: Direction) -> bool:
     return wanted in (Direction.BOTH, direction)
 
 
@@ -140,22 +140,22 @@
         self._accepted += 1
         dialled = asyncio.open_connection(*_split_address(self.target))
         try:
-            far = await asyncio.wait_for(dialled, _CONNECT_SECONDS)
+            target_pair = await asyncio.wait_for(dialled, _CONNECT_SECONDS)
         except (OSError, asyncio.TimeoutError):
             writer.transport.abort()
             return
-        lanes = (
-            _Lane(Direction.FORWARD, reader, far[1]),
-            _Lane(Direction.BACKWARD, far[0], writer),
+        streams = (
+            _Stream(Direction.FORWARD, reader, target_pair[1]),
+            _Stream(Direction.BACKWARD, target_pair[0], writer),
         )
-        connection = _Connection(lanes)
+        connection = _Connection(streams)
         if not self._stalls_new:
-            for lane in lanes:
-                lane.flowing.set()
+            for stream in streams:
+                stream.not_stalled.set()
         self._connections.add(connection)
         try:
-            tasks = [self._read(lane) for lane in lanes]
-            tasks += [self._write(lane) for lane in lanes]
+            tasks = [self._read(stream) for stream in streams]
+            tasks += [self._write(stream) for stream in streams]
             await asyncio.gather(*tasks)
         except (OSError, asyncio.CancelledError):
             pass  # One end or the relay is gone, and so is the connection.
@@ -163,49 +163,53 @@
             self._connections.discard(connection)
             connection.abort()
 
-    async def _read(self, lane: _Lane) -> None:
+    async def _read(self, stream: _Stream) -> None:
         data = b'more'
         while data:
-            data = await lane.reader.read(_CHUNK_BYTES)
-            await lane.flowing.wait()
-            due = time.monotonic() + self._delays[lane.direction]
-            await lane.chunks.put((due, data))
+            data = await stream.reader.read(_CHUNK_BYTES)
+            await stream.not_stalled.wait()
+            due = time.monotonic() + self._delays[stream.direction]
+            await stream.chunks.put((due, data))
 
-    async def _write(self, lane: _Lane) -> None:
+    async def _write(self, stream: _Stream) -> None:
         while True:
-            due, data = await lane.chunks.get()
+            due, data = await stream.chunks.get()
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            rate = self._rates[lane.direction]
+            rate = self._rates[stream.direction]
             if rate:
                 await asyncio.sleep(len(data) / rate)
-            await lane.flowing.wait()
+            await stream.not_stalled.wait()
             if not data:
-                if lane.writer.can_write_eof():
-                    lane.writer.write_eof()
+                if stream.writer.can_write_eof():
+                    stream.writer.write_eof()
                 return
-            lane.writer.write(data)
-            await lane.writer.drain()
+            stream.writer.write(data)
+            await stream.writer.drain()
 
-    async def _hold(self, direction: Direction, new: bool) -> None:
+    async def _stall_connections(
+        self, direction: Direction, new: bool
+    ) -> None:
         self._stalls_new = new
         for connection in self._connections:
-            for lane in connection.lanes:
-                if _select(lane.direction, direction):
-                    lane.flowing.clear()
+            for stream in connection.streams:
+                if _includes(stream.direction, direction):
+                    stream.not_stalled.clear()
 
-    async def _flow(self) -> None:
+    async def _resume_connections(self) -> None:
         self._stalls_new = False
         for connection in self._connections:
-            for lane in connection.lanes:
-                lane.flowing.set()
+            for stream in connection.streams:
+                stream.not_stalled.set()
 
-    async def _abort(self) -> None:
+    async def _reset_connections(self) -> None:
         for connection in list(self._connections):
             connection.abort()
 
     async def _count(self) -> Counts:
         held = sum(
-            not all(lane.flowing.is_set() for lane in connection.lanes)
+            not all(
+                stream.not_stalled.is_set() for stream in connection.streams
+            )
             for connection in self._connections
         )
         return Counts(self._accepted, len(self._connections), held)
@@ -217,15 +221,15 @@
 
         :param new: whether connections that come later are held too
         """
-        self._run(self._hold(direction, new))
+        self._run(self._stall_connections(direction, new))
 
     def resume(self) -> None:
         """Let held connections go on, with what they held."""
-        self._run(self._flow())
+        self._run(self._resume_connections())
 
     def cut(self) -> None:
         """Reset the open connections."""
-        self._run(self._abort())
+        self._run(self._reset_connections())
 
     def shape(
         self,
@@ -240,7 +244,7 @@
         :param rate: bytes a second of each connection, 0 for no limit
         """
         for each in (Direction.FORWARD, Direction.BACKWARD):
-            if _select(each, direction):
+            if _includes(each, direction):
                 self._delays[each] = delay
                 self._rates[each] = rate
 
--- a/packages/standins/src/dunlintide_standins/service.py
+++ b/packages/standins/src/dunlintide_standins/service.py
@@ -69,7 +69,7 @@
         self._delay_seconds = config.delay_seconds
         self._fail_rate = config.fail_rate
         self._rng = random.Random(config.seed)
-        self._gate = faults.Gate()
+        self._fault_injector = faults.FaultInjector()
         self._lock = threading.Lock()
         self._count = 0
         self._runs: deque[Run] = deque(maxlen=MAX_RUNS)
@@ -104,9 +104,9 @@
             return self._control(request)
         if request.method == 'GET' and request.path == '/runs':
             return web.json_answer(self.runs())
-        stopped = self._gate.enter()
-        if stopped is not None:
-            return stopped
+        intercepted = self._fault_injector.intercept()
+        if intercepted is not None:
+            return intercepted
         if request.method == 'GET' and request.path == '/healthz':
             return web.json_answer({})
         return self._serve(request)
@@ -114,7 +114,7 @@
     def _control(self, request: web.Request) -> web.Answer:
         if request.method == 'POST':
             control = web.decode_json(request, _Control)
-            self._gate.change(control)
+            self._fault_injector.change(control)
             if control.delay_seconds is not None:
                 self._delay_seconds = control.delay_seconds
             if control.fail_rate is not None:
@@ -124,7 +124,7 @@
             'fail_rate': self._fail_rate,
             'runs': self._count,
         }
-        return web.json_answer(self._gate.state() | state)
+        return web.json_answer(self._fault_injector.state() | state)
 
     def _record(self, request: web.Request) -> tuple[Run, bool]:
         """Record a run; also tells whether it is to fail."""
@@ -147,11 +147,11 @@
         run, fails = self._record(request)
         if self._crash_marker and self._crash_marker in request.body:
             self._crash()
-            return web.dropped()
+            return web.drop_connection()
         if self._delay_seconds > 0:
             time.sleep(self._delay_seconds)
-        if self._gate.drop_answer():
-            return web.dropped()
+        if self._fault_injector.should_drop_answer():
+            return web.drop_connection()
         body = attrs.asdict(run)
         if fails:
             return web.json_answer({'error': 'failed at random'} | body, 500)
--- a/packages/standins/src/dunlintide_standins/store/calls.py
+++ b/packages/standins/src/dunlintide_standins/store/calls.py
@@ -106,7 +106,7 @@
     return body
 
 
-def _holds(state: states.State, compare: messages.Compare) -> bool:
+def _is_satisfied(state: states.State, compare: messages.Compare) -> bool:
     name = _TARGET[compare.target]
     actual = getattr(state.get(compare.key), name)
     return _COMPARE[compare.result](actual, getattr(compare, name))
@@ -126,12 +126,12 @@
 
 def run_txn(state: states.State, call: messages.Txn, revision: int) -> Body:
     """Run a transaction as one revision."""
-    holds = all(_holds(state, compare) for compare in call.compare)
-    operations = call.success if holds else call.failure
+    satisfied = all(_is_satisfied(state, compare) for compare in call.compare)
+    operations = call.success if satisfied else call.failure
     responses = [_run(state, step, revision) for step in operations]
     state.commit(revision)
     body: Body = {}
-    if holds:
+    if satisfied:
         body['succeeded'] = True
     if responses:
         # Answers inside a transaction carry only its revision.
--- a/packages/standins/src/dunlintide_standins/store/leases.py
+++ b/packages/standins/src/dunlintide_standins/store/leases.py
@@ -84,10 +84,10 @@
         while not self._stopped.wait(_SWEEP_SECONDS):
             now = time.monotonic()
             with self._state.changed:
-                lapsed = [
+                expired = [
                     lease_id
                     for lease_id, lease in self._leases.items()
                     if lease.expires <= now
                 ]
-                for lease_id in lapsed:
+                for lease_id in expired:
                     self.revoke(lease_id)
--- a/packages/standins/src/dunlintide_standins/store/messages.py
+++ b/packages/standins/src/dunlintide_standins/store/messages.py
@@ -26,7 +26,7 @@
     'decode',
 ]
 
-_HUMP = re.compile(r'(?<=[a-z])[A-Z]')
+_CAMEL_CAPITAL = re.compile(r'(?<=[a-z])[A-Z]')
 
 
 class Range(msgspec.Struct):
@@ -114,13 +114,15 @@
     create_request: WatchCreate
 
 
-def _snake(data: Any) -> Any:
+def _to_snake_case(data: Any) -> Any:
     if isinstance(data, list):
-        return [_snake(item) for item in data]
+        return [_to_snake_case(item) for item in data]
     if not isinstance(data, dict):
         return data
     return {
-        _HUMP.sub(lambda hump: '_' + hump[0].lower(), name): _snake(item)
+        _CAMEL_CAPITAL.sub(
+            lambda capital: '_' + capital[0].lower(), name
+        ): _to_snake_case(item)
         for name, item in data.items()
     }
 
@@ -130,5 +132,5 @@
 
     :raises msgspec.ValidationError: when it doesn't fit the type
     """
-    data = _snake(web.decode_json(request, Any))
+    data = _to_snake_case(web.decode_json(request, Any))
     return msgspec.convert(data, kind, strict=False)
--- a/packages/standins/src/dunlintide_standins/store/server.py
+++ b/packages/standins/src/dunlintide_standins/store/server.py
@@ -52,9 +52,9 @@
 
     def __init__(self, listen: str) -> None:
         self.state = states.State()
-        self.gate = faults.Gate()
+        self.fault_injector = faults.FaultInjector()
         self._leases = leases.Leases(self.state)
-        self._watches = watches.Watches(self.state, self.gate)
+        self._watches = watches.Watches(self.state, self.fault_injector)
         self._counts: collections.Counter[str] = collections.Counter()
         self._routes: dict[str, tuple[str, Callable]] = {
             '/v3/kv/range': ('range', self._range),
@@ -91,7 +91,10 @@
         kinds = {kind for kind, _ in self._routes.values()}
         counts = {kind: self._counts[kind] for kind in sorted(kinds)}
         watching = self._watches.open
-        return self.gate.state() | {'counts': counts, 'watching': watching}
+        return self.fault_injector.state() | {
+            'counts': counts,
+            'watching': watching,
+        }
 
     def _handle(self, request: web.Request) -> web.Answer:
         if request.path.startswith('/control'):
@@ -102,8 +105,8 @@
         kind, answer = route
         with self.state.changed:
             self._counts[kind] += 1
-        stopped = self.gate.enter()
-        return stopped or answer(request)
+        intercepted = self.fault_injector.intercept()
+        return intercepted or answer(request)
 
     def _control(self, request: web.Request) -> web.Answer:
         with self.state.changed:
@@ -113,7 +116,7 @@
                 self.state.restore()
             elif request.method == 'POST':
                 control = web.decode_json(request, _Control)
-                self.gate.change(control)
+                self.fault_injector.change(control)
                 if control.silence_watches:
                     self._watches.silence()
                 self.state.changed.notify_all()
@@ -135,11 +138,11 @@
             self.state.commit(before + 1)
             body['header'] = calls.header(self.state)
             changed = self.state.revision > before
-        if changed and self.gate.drop_answer():
-            return web.dropped()
+        if changed and self.fault_injector.should_drop_answer():
+            return web.drop_connection()
         return web.json_answer(body)
 
-    def _find_lease_error(self, *puts: messages.Put | None) -> bool:
+    def _has_unknown_lease(self, *puts: messages.Put | None) -> bool:
         named = {put.lease for put in puts if put is not None and put.lease}
         return not all(self._leases.exists(lease) for lease in named)
 
@@ -149,7 +152,7 @@
         if checked.is_err():
             return _refuse(checked.unwrap_err(), _INVALID_ARGUMENT)
         with self.state.changed:
-            if self._find_lease_error(call):
+            if self._has_unknown_lease(call):
                 return _refuse(_NO_LEASE, _NOT_FOUND, 404)
             return self._write(call, calls.put)
 
@@ -164,7 +167,7 @@
             return _refuse(checked.unwrap_err(), _INVALID_ARGUMENT)
         puts = [step.request_put for step in call.success + call.failure]
         with self.state.changed:
-            if self._find_lease_error(*puts):
+            if self._has_unknown_lease(*puts):
                 return _refuse(_NO_LEASE, _NOT_FOUND, 404)
             return self._write(call, calls.run_txn)
 
@@ -192,4 +195,4 @@
 
     def _watch(self, request: web.Request) -> web.Answer:
         call = messages.decode(request, messages.Watch)
-        return web.Answer(parts=self._watches.follow(call.create_request))
+        return web.Answer(parts=self._watches.stream(call.create_request))
--- a/packages/standins/src/dunlintide_standins/store/state.py
+++ b/packages/standins/src/dunlintide_standins/store/state.py
@@ -126,8 +126,8 @@
         removed = self.find(start, end)
         for pair in removed:
             del self._pairs[pair.key]
-            gone = KeyValue(pair.key, mod_revision=revision)
-            self._history.append(Event(revision, gone, pair))
+            tombstone = KeyValue(pair.key, mod_revision=revision)
+            self._history.append(Event(revision, tombstone, pair))
         return removed
 
     def commit(self, revision: int) -> None:
@@ -136,13 +136,13 @@
             self.revision = revision
             self.changed.notify_all()
 
-    def oldest(self) -> int:
+    def get_oldest_revision(self) -> int:
         """Give the first revision from which changes are still known."""
         if len(self._history) < MAX_HISTORY:
             return 1
         return self._history[0].revision + 1
 
-    def since(self, revision: int) -> list[Event]:
+    def list_events(self, revision: int) -> list[Event]:
         """Give the changes from a revision on, in order."""
         events: list[Event] = []
         for event in reversed(self._history):
--- a/packages/standins/src/dunlintide_standins/store/watches.py
+++ b/packages/standins/src/dunlintide_standins/store/watches.py
@@ -35,11 +35,13 @@
     :ivar open: number of watches that are open now
     """
 
-    def __init__(self, state: states.State, gate: faults.Gate) -> None:
+    def __init__(
+        self, state: states.State, fault_injector: faults.FaultInjector
+    ) -> None:
         self.open = 0
         self._state = state
-        self._gate = gate
-        self._silenced = 0
+        self._fault_injector = fault_injector
+        self._last_silenced = 0
         self._opened = 0
         self._closed = False
 
@@ -52,7 +54,7 @@
     def silence(self) -> None:
         """Send nothing more on the watches open now, nor close them."""
         with self._state.changed:
-            self._silenced = self._opened
+            self._last_silenced = self._opened
 
     def _poll(
         self, call: messages.WatchCreate, start: int
@@ -62,12 +64,12 @@
         if state.revision < start:
             state.changed.wait(_POLL_SECONDS)
         # Nothing is delivered while the store hangs, and nothing is lost.
-        if self._gate.hang:
+        if self._fault_injector.hang:
             state.changed.wait(_POLL_SECONDS)
             return None, start
         events = [
             _describe(event, call.prev_kv)
-            for event in state.since(start)
+            for event in state.list_events(start)
             if states.contains(event.current.key, call.key, call.range_end)
         ]
         after = max(start, state.revision + 1)
@@ -76,25 +78,25 @@
         answer = {'header': calls.header(state), 'watch_id': _WATCH_ID}
         return _encode(answer | {'events': events}), after
 
-    def _follow(
+    def _stream_messages(
         self, call: messages.WatchCreate, number: int, generation: int
     ) -> Iterator[bytes | None]:
         state = self._state
         start = call.start_revision or state.revision + 1
         answer = {'header': calls.header(state), 'watch_id': _WATCH_ID}
         yield _encode(answer | {'created': True})
-        if start < state.oldest():
-            compacted = {'compact_revision': str(state.oldest())}
+        if start < state.get_oldest_revision():
+            compacted = {'compact_revision': str(state.get_oldest_revision())}
             yield _encode(answer | {'canceled': True} | compacted)
             return
-        while not self._gate.down and not self._closed:
+        while not self._fault_injector.down and not self._closed:
             with state.changed:
                 if state.generation != generation:
                     return
                 message, start = self._poll(call, start)
-            yield None if number <= self._silenced else message
+            yield None if number <= self._last_silenced else message
 
-    def follow(self, call: messages.WatchCreate) -> Iterator[bytes | None]:
+    def stream(self, call: messages.WatchCreate) -> Iterator[bytes | None]:
         """Give the messages of one watch, None where there is nothing."""
         state = self._state
         with state.changed:
@@ -106,7 +108,7 @@
             call.key, call.range_end, start, call.prev_kv
         )
         try:
-            yield from self._follow(call, number, generation)
+            yield from self._stream_messages(call, number, generation)
         finally:
             with state.changed:
                 self.open -= 1
--- a/packages/standins/src/dunlintide_standins/web.py
+++ b/packages/standins/src/dunlintide_standins/web.py
@@ -27,7 +27,7 @@
     'Request',
     'Server',
     'decode_json',
-    'dropped',
+    'drop_connection',
     'json_answer',
 ]
 
@@ -80,7 +80,7 @@
     return Answer(status, msgspec.json.encode(data))
 
 
-def dropped() -> Answer:
+def drop_connection() -> Answer:
     """Build the answer that closes the connection instead."""
     return Answer(drop=True)
 
@@ -120,7 +120,7 @@
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
             return json_answer({'error': str(error)}, 400)
 
-    def _caller_is_gone(self) -> bool:
+    def _is_disconnected(self) -> bool:
         readable, _, _ = select.select([self.connection], [], [], 0)
         if not readable:
             return False
@@ -130,7 +130,7 @@
         chunked = answer.length is None
         for part in answer.parts:
             if part is None:
-                if self._caller_is_gone():
+                if self._is_disconnected():
                     raise ConnectionResetError
                 continue
             self.wfile.write(
@@ -198,7 +198,7 @@
         if not isinstance(sys.exception(), OSError):
             logging.exception('a call failed')
 
-    def cut(self) -> None:
+    def shutdown_connections(self) -> None:
         """Shut every open connection."""
         with self._lock:
             connections = list(self._open)
@@ -233,4 +233,4 @@
         """Free the port and shut every connection, answered or not."""
         self._listener.shutdown()
         self._listener.server_close()
-        self._listener.cut()
+        self._listener.shutdown_connections()
--- a/packages/standins/src/dunlintide_standins/weights.py
+++ b/packages/standins/src/dunlintide_standins/weights.py
@@ -35,7 +35,7 @@
     bytes_per_second: float | None = None
 
 
-class _Pacer:
+class _RateLimiter:
     """Shares a rate among all who send.
 
     :ivar rate: bytes a second
@@ -65,8 +65,8 @@
         self, listen: str, layer_bytes: int, bytes_per_second: float
     ) -> None:
         self._layer_bytes = layer_bytes
-        self._pacer = _Pacer(bytes_per_second)
-        self._gate = faults.Gate()
+        self._rate_limiter = _RateLimiter(bytes_per_second)
+        self._fault_injector = faults.FaultInjector()
         self._lock = threading.Lock()
         self._counts: collections.Counter[str] = collections.Counter()
         self._server = web.Server(listen, self._handle)
@@ -89,26 +89,26 @@
         left = self._layer_bytes
         while left:
             part = bytes(min(left, _PART_BYTES))
-            self._pacer.wait(len(part))
+            self._rate_limiter.wait(len(part))
             yield part
             left -= len(part)
 
     def _control(self, request: web.Request) -> web.Answer:
         if request.method == 'POST':
             control = web.decode_json(request, _Control)
-            self._gate.change(control)
+            self._fault_injector.change(control)
             if control.bytes_per_second is not None:
-                self._pacer.rate = control.bytes_per_second
+                self._rate_limiter.rate = control.bytes_per_second
         with self._lock:
             reads = {'reads': dict(self._counts)}
-        return web.json_answer(self._gate.state() | reads)
+        return web.json_answer(self._fault_injector.state() | reads)
 
     def _handle(self, request: web.Request) -> web.Answer:
         if request.path == '/control':
             return self._control(request)
-        stopped = self._gate.enter()
-        if stopped is not None:
-            return stopped
+        intercepted = self._fault_injector.intercept()
+        if intercepted is not None:
+            return intercepted
         match request.path.strip('/').split('/'):
             case [head, model, version, layer] if (
                 head == _WEIGHTS and layer.isdecimal()
--- a/packages/trials/src/dunlintide_trials/cases/claims.py
+++ b/packages/trials/src/dunlintide_trials/cases/claims.py
@@ -52,7 +52,7 @@
     store = standin.Store.from_config(standin.Config('127.0.0.1:0'))
     store.start()
     try:
-        store.gate.change(faults.Fault(slow_seconds=STORE_SECONDS))
+        store.fault_injector.change(faults.Fault(slow_seconds=STORE_SECONDS))
         yield store
     finally:
         store.stop()
--- a/packages/trials/src/dunlintide_trials/edge/faults.py
+++ b/packages/trials/src/dunlintide_trials/edge/faults.py
@@ -122,15 +122,15 @@
     """Let the store come back later from a copy made now."""
     store = field.scene.store
     field.note_store()
-    field.scene.loop.loop.call_soon_threadsafe(store.copy)
+    field.scene.loop.loop.call_soon_threadsafe(store.make_backup)
 
     def heal() -> None:
         field.note_store()
         store.faults.away = True
-        field.scene.run(store.come_back())
+        field.scene.run(store.restore_backup())
         time.sleep(draw.uniform(*DRILL_SECONDS))
         store.faults.away = False
-        field.scene.run(store.write_again())
+        field.scene.run(store.rewrite_platform_keys())
 
     return heal
 
@@ -140,7 +140,7 @@
     runner = draw.choice(field.scene.fleet.runners)
     if not field.take(runner):
         return _do_nothing
-    field.scene.run(runner.crash(listed=draw.random() < 0.5))
+    field.scene.run(runner.crash(keep_entry=draw.random() < 0.5))
 
     def heal() -> None:
         field.scene.run(field.scene.store.remove(runner.key))
@@ -156,10 +156,10 @@
     if not field.take(runner):
         return _do_nothing
     field.note_drain(runner)
-    field.scene.run(runner.list_itself('draining'))
+    field.scene.run(runner.write_entry('draining'))
 
     def heal() -> None:
-        field.scene.run(runner.crash(listed=False))
+        field.scene.run(runner.crash(keep_entry=False))
         field.scene.run(runner.start())
         field.give_back(runner)
 
--- a/packages/trials/src/dunlintide_trials/edge/field.py
+++ b/packages/trials/src/dunlintide_trials/edge/field.py
@@ -220,7 +220,7 @@
         except (OSError, ValueError, IndexError):
             return False
         asked.status = answer.status
-        asked.whole = answer.whole
+        asked.whole = answer.is_complete
         asked.body = answer.body
         closes = answer.headers.get('connection') == 'close'
-        return answer.whole and not closes
+        return answer.is_complete and not closes
--- a/packages/trials/src/dunlintide_trials/edge/scene.py
+++ b/packages/trials/src/dunlintide_trials/edge/scene.py
@@ -145,7 +145,10 @@
         self.run(self.store.start())
         self.store_address = f'127.0.0.1:{self.store.port}'
         self.fleet = runners.Fleet(
-            self.store, operators.LAYERS, operators.LAYER_MB, operators.CARDS
+            self.store,
+            operators.LAYERS,
+            operators.LAYER_MB,
+            operators.ACCELERATOR_MB,
         )
 
     def run(self, work):
--- a/packages/trials/src/dunlintide_trials/people.py
+++ b/packages/trials/src/dunlintide_trials/people.py
@@ -28,7 +28,7 @@
     document = copy.deepcopy(field.running.rules)
     document['rules'][-1]['name'] = f'default-{operator}-{base}'
     path = field.folder / f'rules-{operator}.jsonc'
-    mark = files.build_base_mark(base)
+    mark = files.format_base_comment(base)
     path.write_text(f'{mark}\n{json.dumps(document)}')
     store = field.running.plan.store.url
     try:
@@ -39,7 +39,7 @@
         field.notes.append('race: a command took too long')
         return
     if report.exit_code == 0:
-        accepted.append(files.find_base(path.read_text()) or 0)
+        accepted.append(files.parse_base_revision(path.read_text()) or 0)
 
 
 def race_operators(field: fields.Field) -> fields.Heal | None:
