--- a/packages/cli/src/dunlintide_cli/changes.py
+++ b/packages/cli/src/dunlintide_cli/changes.py
@@ -1,4 +1,4 @@
-"""Commands that change the rules: apply and rollback."""
+"""Commands that change the configuration: apply and rollback."""
 
 import getpass
 import time
@@ -51,7 +51,12 @@
 def _list_unconfirmed(
     urls: Sequence[str], revision: int, deadline: float
 ) -> list[str]:
-    """Wait for a revision; list the daemons that did not confirm it."""
+    """Poll daemons until all have a revision; list those that do not.
+
+    :param urls: base URLs of the operators' ports
+    :param deadline: monotonic time at which polling ends, in seconds
+    :returns: a message for each daemon without the revision
+    """
     waiting = {url: 'not asked' for url in urls}
     while waiting:
         asked = list(waiting)
@@ -74,10 +79,10 @@
 
 
 class _ChangeCommand(commands.Command):
-    """Applies a change and waits until it is in force."""
+    """Base of commands that apply a change and wait until it is in force."""
 
     def read_wait(self) -> result.Result[float | None, str]:
-        """Read how long to wait, in seconds."""
+        """Return the value of ``--wait`` in seconds, None without it."""
         text = self.option('wait')
         if not text:
             return result.Ok(None)
@@ -88,14 +93,14 @@
         if not 0 <= seconds < float('inf'):
             return result.Err(f'--wait: expected seconds, got {text}')
         if not self.option('admin'):
-            return result.Err('--wait needs the daemons, as --admin URL')
+            return result.Err('--wait requires at least one --admin URL')
         return result.Ok(seconds)
 
     def find_highest_revision(self) -> int:
-        """Give the highest revision that a daemon holds.
+        """Return the highest revision that a daemon reports.
 
-        The new revision has to be above it, also when the store was
-        restored to an older state.
+        The new revision must exceed it even if the store was restored from
+        an older backup.
         """
         floor = 0
         for state in daemons.read_states(self.option('admin')):
@@ -111,7 +116,7 @@
         change: _Change,
         wait: float | None,
     ) -> int:
-        """Apply a change, print what became of it and give the exit code."""
+        """Apply a change, print the result and return the exit code."""
         change_id = str(uuid_utils.uuid7())
         applied = store.apply(
             change.document,
@@ -134,7 +139,7 @@
         return self.fail(f'{failure.message}; nothing was changed')
 
     def on_accepted(self, head: revisions.Head) -> None:
-        """Do what a command does once its change is accepted."""
+        """Handle acceptance of the change; does nothing by default."""
 
     def _confirm(self, head: revisions.Head, wait: float | None) -> int:
         self.on_accepted(head)
@@ -176,7 +181,7 @@
         old = base.document if base else b''
         new = current.document if current else b''
         if base is None and change.base:
-            # The base is no longer kept, so show the whole distance.
+            # The base revision was deleted: compare the new document instead.
             old = change.document
         output.print_text(revisions.diff_documents(old, new))
         return output.ExitCode.CONFLICT
@@ -235,7 +240,7 @@
         return self.apply_change(store, _Change(document, revision, ''), wait)
 
     def on_accepted(self, head: revisions.Head) -> None:
-        """Let the next change of the same file start from this one."""
+        """Record the accepted revision as the base of the document file."""
         file = self.argument('file')
         replaced = files.update_base_comment(file, head.revision)
         if replaced.is_err():
@@ -287,7 +292,7 @@
             if read.is_err():
                 return self.fail(read.err_value.message)
         if earlier.ok_value is None or current.ok_value is None:
-            return self.fail(f'revision {revision} is not kept')
+            return self.fail(f'revision {revision} is no longer in the store')
         base = current.ok_value.head.revision
         comment = f'roll back to revision {revision}'
         change = _Change(earlier.ok_value.document, base, comment)
--- a/packages/cli/src/dunlintide_cli/checking.py
+++ b/packages/cli/src/dunlintide_cli/checking.py
@@ -1,4 +1,4 @@
-"""Commands that judge a document: check and explain."""
+"""Commands that evaluate a document: check and explain."""
 
 import json
 from typing import Iterator
@@ -93,7 +93,7 @@
     """``rules explain``."""
 
     name = 'rules explain'
-    description = 'Tell which rule decides a request, and why.'
+    description = 'Show which rule applies to a request, and why.'
     arguments = [sources.OPTIONAL_FILE]
     options = [
         commands.JSON,
@@ -136,7 +136,7 @@
     def _read_rules(
         self,
     ) -> result.Result[configuration.Configuration, int]:
-        """Read what an edge has in force, else a file or the store."""
+        """Read the configuration of the daemon, the file or the store."""
         if not self.option('admin'):
             return self.read_source()
         read = daemons.read_state(self.option('admin')[0])
@@ -144,18 +144,24 @@
             return read.map_err(self.fail)
         document = read.ok_value.dump.get('document')
         if document is None:
-            return result.Err(self.fail('the daemon shows no rules'))
+            return result.Err(
+                self.fail('the state of the daemon has no "document"')
+            )
         decoded = documents.decode_configuration(json.dumps(document))
         return decoded.map_err(lambda error: self.fail(error.message))
 
     def _build_query(self) -> result.Result[matching.Query, str]:
         if not self.option('member'):
-            return result.Err('give the --member that sends the request')
+            return result.Err(
+                '--member is required: the team that sends the request'
+            )
         not_exactly_one = bool(self.option('model')) == bool(
             self.option('service')
         )
         if not_exactly_one and not self.option('host'):
-            return result.Err('give either --model or --service')
+            return result.Err(
+                'exactly one of --model and --service is required'
+            )
         numbers: dict[str, int] = {}
         for name in ('priority', 'prompt-tokens'):
             text = self.option(name)
--- a/packages/cli/src/dunlintide_cli/commands.py
+++ b/packages/cli/src/dunlintide_cli/commands.py
@@ -1,4 +1,4 @@
-"""What the commands share: options and the configuration they act on."""
+"""Base class of the commands, and options that several of them have."""
 
 import os
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class UsageError:
-    """What is wrong with the arguments or the environment."""
+    """An error in the arguments or the environment."""
 
     message: str
 
@@ -57,11 +57,11 @@
 
     @property
     def as_json(self) -> bool:
-        """Whether JSON was asked for."""
+        """Whether the output is JSON."""
         return self.option('json')
 
     def open_store(self) -> result.Result[configstore.ConfigStore, UsageError]:
-        """Open the store that the options or the environment name."""
+        """Open the store given by the options or the environment."""
         url = self.option('store') or os.environ.get(STORE_VARIABLE)
         if not url:
             text = f'no store: give --store URL or set {STORE_VARIABLE}'
@@ -69,12 +69,12 @@
         return result.Ok(configstore.ConfigStore.from_url(url))
 
     def fail(self, message: object) -> int:
-        """Print why the command failed and give its exit code."""
+        """Print an error message and return the exit code for it."""
         output.print_error(f'dunlintide: {message}')
         if isinstance(message, UsageError):
             return output.ExitCode.BAD_INPUT
         return output.ExitCode.FAILED
 
     def reject(self, message: object) -> int:
-        """Print what is wrong with the arguments and give the exit code."""
+        """Print a usage error and return its exit code."""
         return self.fail(UsageError(str(message)))
--- a/packages/cli/src/dunlintide_cli/daemons.py
+++ b/packages/cli/src/dunlintide_cli/daemons.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' ports of daemons."""
+"""Client of the HTTP port that daemons offer to operators."""
 
 from concurrent import futures
 import json
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class CallError:
-    """Why a daemon gave no usable answer."""
+    """Failure of a call to a daemon, or an unusable response."""
 
     url: str
     message: str
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class State:
-    """What a daemon says of itself.
+    """State that a daemon reports.
 
-    :ivar ready: whether it takes work
-    :ivar reasons: why it does not
-    :ivar dump: its state, as it gave it
+    :ivar ready: whether the daemon accepts requests
+    :ivar reasons: why the daemon is not ready
+    :ivar dump: decoded body of ``/debug/state``
     """
 
     url: str
@@ -54,15 +54,16 @@
 
     @property
     def fleet_state(self) -> Mapping[str, Any]:
-        """The daemon's replica of the fleet's state, empty without one."""
+        """The daemon's replica of the fleet state, empty if it has none."""
         section = self.dump.get('state')
         return section if isinstance(section, dict) else {}
 
     @property
     def revision(self) -> int | None:
-        """Revision in force, None where the daemon tells none.
+        """Revision in force, None if the daemon reports none.
 
-        An agent applies no configuration, but holds it for its peers.
+        An agent applies no configuration but replicates it for its peers, so
+        its revision is in the fleet state.
         """
         section = self.dump.get('configuration')
         if not isinstance(section, dict):
@@ -73,16 +74,17 @@
     def list_endpoints(
         self,
     ) -> result.Result[list[fleet.Endpoint], CallError]:
-        """List the endpoints that an entry knows of.
+        """List the endpoints that an entry knows.
 
-        :returns: the endpoints, or that the dump does not tell them
+        :returns: the endpoints, or an error if the dump lists none, as that
+            of a daemon other than an entry
         """
         try:
             agents = self.dump['fleet']['agents']
             plain = [agent['endpoint'] for agent in agents]
             return result.Ok(cattrs.structure(plain, list[fleet.Endpoint]))
         except (KeyError, TypeError, cattrs.BaseValidationError):
-            text = 'its dump tells no endpoints; name an entry'
+            text = 'the dump lists no endpoints: not the URL of an entry'
             return result.Err(CallError(self.url, text))
 
 
@@ -90,7 +92,9 @@
     method: str, url: str, path: str, expected: tuple[int, ...]
 ) -> result.Result[dict, CallError]:
     if not url.startswith(('http://', 'https://')):
-        return result.Err(CallError(url, 'expected a URL with http://'))
+        return result.Err(
+            CallError(url, 'expected a URL with http:// or https://')
+        )
     try:
         answer = urllib3.request(
             method,
@@ -107,9 +111,9 @@
 
 
 def read_state(url: str) -> result.Result[State, CallError]:
-    """Ask a daemon for its state.
+    """Read the state of a daemon.
 
-    :param url: base URL of its operators' port
+    :param url: base URL of the daemon's operators' port
     """
     readiness = _call('GET', url, '/readyz', (_OK, _NOT_READY))
     if readiness.is_err():
@@ -126,19 +130,19 @@
 def read_states(
     urls: Sequence[str],
 ) -> list[result.Result[State, CallError]]:
-    """Ask several daemons at once.
+    """Read the states of several daemons in parallel.
 
-    :param urls: base URLs of their operators' ports
-    :returns: an answer for each, in the same order
+    :param urls: base URLs of the daemons' operators' ports
+    :returns: a result for each URL, in the same order
     """
     with futures.ThreadPoolExecutor(_MAX_CALLS) as pool:
         return list(pool.map(read_state, urls))
 
 
 def drain(url: str) -> result.Result[None, CallError]:
-    """Tell a daemon to finish what it has and to stop.
+    """Request that a daemon finish its current work and stop.
 
-    :param url: base URL of its operators' port
+    :param url: base URL of the daemon's operators' port
     """
     answer = _call('POST', url, '/drain', (_OK, _ACCEPTED))
     return answer.map(lambda _: None)
--- a/packages/cli/src/dunlintide_cli/files.py
+++ b/packages/cli/src/dunlintide_cli/files.py
@@ -1,4 +1,4 @@
-"""Operators' files, read from disk."""
+"""Document files of operators and the base revision noted in them."""
 
 import pathlib
 import re
@@ -20,12 +20,12 @@
 
 
 def format_base_comment(revision: int) -> str:
-    """Write the comment that tells of which revision a text is a copy."""
+    """Format the first line of a document: the revision it is based on."""
     return f'// revision {revision}'
 
 
 def parse_base_revision(text: str) -> int | None:
-    """Find the revision that the first line of a text names, if any."""
+    """Return the revision in the first line of a document, or None."""
     found = _BASE_COMMENT.match(text)
     return int(found[1]) if found else None
 
@@ -33,7 +33,7 @@
 def read_text(path: str) -> result.Result[str, list[jsonc.Problem]]:
     """Read a file in UTF-8.
 
-    :returns: its text, or why it cannot be read
+    :returns: the text, or a problem if the file cannot be read
     """
     try:
         return result.Ok(pathlib.Path(path).read_text(encoding='utf-8'))
@@ -43,9 +43,9 @@
 
 
 def update_base_comment(path: str, revision: int) -> result.Result[bool, str]:
-    """Bring the revision that a file's first line names up to date.
+    """Update the base revision in the first line of a file.
 
-    :returns: whether the file names one, or why it cannot be written
+    :returns: whether the file has such a line, or the error on writing it
     """
     text = read_text(path).unwrap_or('')
     found = _BASE_COMMENT.match(text)
@@ -64,7 +64,7 @@
 def read_draft(
     path: str,
 ) -> result.Result[documents.Draft, list[jsonc.Problem]]:
-    """Read an operators' document from a file."""
+    """Read and decode a document file."""
     return read_text(path).and_then(
         lambda text: documents.load_configuration(text, path)
     )
--- a/packages/cli/src/dunlintide_cli/logs.py
+++ b/packages/cli/src/dunlintide_cli/logs.py
@@ -1,4 +1,4 @@
-"""Commands that read the entries' logs."""
+"""Commands that read the logs of entries."""
 
 import pathlib
 from typing import Iterator
@@ -23,7 +23,7 @@
     """``losses``."""
 
     name = 'losses'
-    description = "Tell why requests fell short, from the entries' logs."
+    description = "Show why requests were not served in time, from entry logs."
     arguments = [
         helpers.argument(
             'logs', "Logs of entries, each host's in order.", multiple=True
@@ -32,14 +32,14 @@
     options = [commands.JSON]
 
     def handle(self) -> int:
-        """Print causes with their numbers, or all requests as JSON."""
+        """Print causes with their counts, or all requests as JSON."""
         try:
             report = shortfalls.read_lines(_read(self.argument('logs')))
         except (OSError, UnicodeDecodeError) as error:
             return self.reject(error)
         if not report.read:
             return self.reject(
-                f'no line of an entry\'s log in {report.unreadable} lines'
+                f'none of {report.unreadable} lines is a line of an entry log'
             )
         if self.as_json:
             output.print_json(attrs.asdict(report))
@@ -53,5 +53,7 @@
             ('requests', 'cause', 'worst delay, s', 'most in a second'), rows
         )
         if report.unreadable:
-            output.print_error(f'{report.unreadable} lines were not read')
+            output.print_error(
+                f'skipped {report.unreadable} lines that are not log lines'
+            )
         return output.ExitCode.OK
--- a/packages/cli/src/dunlintide_cli/main.py
+++ b/packages/cli/src/dunlintide_cli/main.py
@@ -37,8 +37,8 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command.
 
-    :param arguments: command line without the program, None for the
-        process's own
+    :param arguments: command line without the program name, ``sys.argv``
+        if None
     :returns: exit code, see ``output.ExitCode``
     """
     if arguments is None:
--- a/packages/cli/src/dunlintide_cli/output.py
+++ b/packages/cli/src/dunlintide_cli/output.py
@@ -1,4 +1,4 @@
-"""What the command line prints, and its exit codes."""
+"""Printing of text, tables and JSON, and the exit codes."""
 
 import enum
 import json
@@ -20,7 +20,7 @@
     'print_text',
 ]
 
-# Wide enough that no cell is cut where the output is a pipe or a file.
+# Columns for a pipe or a file, wide enough that no cell is truncated.
 _PIPE_WIDTH = 200
 
 
@@ -34,7 +34,7 @@
 
 
 def _make_console(*, errors: bool = False) -> consoles.Console:
-    # Built for each call, for tests replace the standard streams.
+    # Built for each call, as tests replace the standard streams.
     stream = sys.stderr if errors else sys.stdout
     width = None if stream.isatty() else _PIPE_WIDTH
     return consoles.Console(
@@ -43,12 +43,12 @@
 
 
 def print_text(text: str) -> None:
-    """Print text as it is."""
+    """Print text to the standard output, without formatting."""
     print(text, flush=True)
 
 
 def print_error(text: str) -> None:
-    """Print text to the standard error stream."""
+    """Print text to the standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
@@ -79,10 +79,9 @@
 def print_problems(
     problems: Sequence[jsonc.Problem], as_json: bool = False
 ) -> ExitCode:
-    """Print problems and give the exit code that they call for.
+    """Print problems; return ``BAD_INPUT`` if one of them is an error.
 
-    Errors and warnings go to the standard error stream, JSON to the
-    standard output.
+    Text goes to the standard error, JSON to the standard output.
     """
     if as_json:
         print_json(list(problems))
--- a/packages/cli/src/dunlintide_cli/processes.py
+++ b/packages/cli/src/dunlintide_cli/processes.py
@@ -1,4 +1,4 @@
-"""Commands that ask daemons: status, dump and drain."""
+"""Commands that call daemons: status, dump and drain."""
 
 from typing import Any, Mapping
 
@@ -21,9 +21,10 @@
 
 
 def _list_warnings(state: Mapping[str, Any]) -> list[str]:
-    """Tell what an operator should look into, of the fleet's state.
+    """List conditions of the fleet that an operator should look into.
 
-    :param state: the dump's part of that name, of any version
+    :param state: section ``state`` of a dump, possibly of another version
+        of the daemon, so any key may be missing
     """
     found = []
     if state.get('store_behind'):
@@ -60,14 +61,14 @@
     """``status``."""
 
     name = 'status'
-    description = 'Tell whether daemons take work, and at which revision.'
+    description = 'Show whether daemons are ready, and their revisions.'
     options = [commands.JSON, commands.ADMIN]
 
     def handle(self) -> int:
         """Print a row for each daemon; fail if one is not ready."""
         urls = self.option('admin')
         if not urls:
-            return self.reject('give the daemons, as --admin URL')
+            return self.reject('at least one --admin URL is required')
         states = daemons.read_states(urls)
         rows = [_describe(*pair) for pair in zip(urls, states)]
         if self.as_json:
@@ -100,7 +101,7 @@
     arguments = [URL]
 
     def handle(self) -> int:
-        """Print the whole dump."""
+        """Print the state as the daemon reports it."""
         read = daemons.read_state(self.argument('url'))
         if read.is_err():
             return self.fail(read.err_value)
@@ -112,13 +113,15 @@
     """``drain``."""
 
     name = 'drain'
-    description = 'Tell a daemon to finish its work and stop.'
+    description = 'Request that a daemon finish its work and stop.'
     arguments = [URL]
 
     def handle(self) -> int:
-        """Start the drain; the daemon stops when its work is done."""
+        """Start the drain without waiting for the daemon to stop."""
         drained = daemons.drain(self.argument('url'))
         if drained.is_err():
             return self.fail(drained.err_value)
-        output.print_text('draining: it takes no new work and then stops')
+        output.print_text(
+            'draining: the daemon accepts no new work and then stops'
+        )
         return output.ExitCode.OK
--- a/packages/cli/src/dunlintide_cli/reading.py
+++ b/packages/cli/src/dunlintide_cli/reading.py
@@ -1,4 +1,4 @@
-"""Commands that look at what is kept: show, diff, history, teams."""
+"""Commands that read the configuration: show, diff, history, teams."""
 
 import datetime
 import json
@@ -40,16 +40,18 @@
     ]
 
     def handle(self) -> int:
-        """Print the document under a comment with its revision."""
+        """Print the document, preceded by a comment with its revision."""
         revision = self.option('revision')
         if revision and not revision.isdecimal():
-            return self.reject(f'--revision: not a number: {revision}')
+            return self.reject(
+                f'--revision: expected a number, got {revision}'
+            )
         read = self._read(int(revision)) if revision else self.read_current()
         if read.is_err():
             return self.fail(read.err_value)
         snapshot = read.ok_value
         if snapshot is None:
-            return self.fail('there is no such revision in the store')
+            return self.fail('no such revision in the store')
         document = json.loads(snapshot.document)
         if self.as_json:
             output.print_json({'head': snapshot.head, 'document': document})
@@ -79,7 +81,7 @@
     options = [commands.STORE]
 
     def handle(self) -> int:
-        """Print a unified diff with one item on each line."""
+        """Print a unified diff from the document in force to the file."""
         draft = files.read_draft(self.argument('file'))
         if draft.is_err():
             return output.print_problems(draft.err_value)
@@ -97,7 +99,7 @@
     """``rules history``."""
 
     name = 'rules history'
-    description = 'List the revisions that are kept, the newest first.'
+    description = 'List the stored revisions, newest first.'
     options = [commands.JSON, commands.STORE]
 
     def handle(self) -> int:
--- a/packages/cli/src/dunlintide_cli/sources.py
+++ b/packages/cli/src/dunlintide_cli/sources.py
@@ -1,4 +1,4 @@
-"""Where the commands that only look take a configuration from."""
+"""Base of the commands that read a configuration without changing it."""
 
 from cleo import helpers
 import result
@@ -23,12 +23,12 @@
 
 
 class ReadCommand(commands.Command):
-    """Reads a file, or what is in force."""
+    """Base of commands that read a file or the revision in force."""
 
     def read_current(
         self,
     ) -> result.Result[configstore.Snapshot | None, object]:
-        """Read what is in force from the store."""
+        """Read the revision in force from the store, None if there is none."""
         return self.open_store().and_then(
             lambda store: store.read().map_err(lambda error: error.message)
         )
@@ -38,7 +38,8 @@
     ) -> result.Result[configuration.Configuration, int]:
         """Read the configuration of the file, or the one in force.
 
-        :returns: the configuration, or the exit code after printing why
+        :returns: the configuration, or the exit code after printing the
+            error
         """
         if self.argument('file'):
             draft = files.read_draft(self.argument('file'))
--- a/packages/standins/src/dunlintide_standins/engine/__main__.py
+++ b/packages/standins/src/dunlintide_standins/engine/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the stand-in of an engine as a process."""
+"""Run the stand-in of an engine as a process."""
 
 from dunlintide_standins.engine import server
 from dunlintide_standins import process
--- a/packages/standins/src/dunlintide_standins/engine/batching.py
+++ b/packages/standins/src/dunlintide_standins/engine/batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching: one thread runs all waiting steps together."""
+"""Continuous batching: one thread runs queued steps in batches."""
 
 import collections
 from collections.abc import Callable
@@ -22,14 +22,15 @@
 
 @attrs.frozen
 class Timing:
-    """What a step takes and how much fits in one.
-
-    :ivar base: seconds of a step with no tokens
-    :ivar per_token: seconds for each token in it
-    :ivar max_tokens: bound on the tokens of a step
-    :ivar load_lag: age in seconds of the load that is reported
-    :ivar preempts: whether a full KV memory preempts the newest session
-        in place of refusing steps
+    """Simulated duration and size limit of a batch.
+
+    :ivar base: seconds of a batch with no tokens
+    :ivar per_token: additional seconds for each token
+    :ivar max_tokens: maximum number of tokens in a batch, unless its first
+        step alone has more
+    :ivar load_lag: age of the reported load, in seconds
+    :ivar preempts: whether the newest sessions are preempted when the KV
+        memory is full, instead of refusing steps
     """
 
     base: float
@@ -41,7 +42,7 @@
 
 @attrs.frozen
 class Load:
-    """Load of the engine at one moment."""
+    """Load of the engine at a point in time."""
 
     running: int = 0
     queued: int = 0
@@ -53,7 +54,7 @@
 
 @attrs.define(eq=False)
 class _Call:
-    """Steps of one HTTP call, and their results as they come."""
+    """Steps of one HTTP call, and their results so far."""
 
     results: list[messages.Result | None]
     remaining: int
@@ -68,7 +69,7 @@
     activations: list[int]
 
     def finish(self, result: messages.Result) -> None:
-        """Hand in the result; the last one ends the call."""
+        """Store the result and wake the caller after the last one."""
         self.call.results[self.index] = result
         self.call.remaining -= 1
         if not self.call.remaining:
@@ -76,10 +77,10 @@
 
 
 class Batcher:
-    """Merges the steps of all open calls into a running batch.
+    """Queues the steps of all open calls and runs them in batches.
 
-    :ivar slow_factor: multiplies the time of each step
-    :ivar lock: guards the sessions
+    :ivar slow_factor: factor on the duration of each batch
+    :ivar lock: guards the sessions and the prefix cache
     """
 
     def __init__(
@@ -106,11 +107,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to run batches."""
+        """Start to run batches in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Run no further batch; waiting steps get no result."""
+        """Stop running batches; queued steps get no result."""
         with self._arrived:
             self._stopped = True
             self._arrived.notify()
@@ -118,7 +119,7 @@
     def run(self, steps: list[messages.Step]) -> list[messages.Result] | None:
         """Queue steps and wait until all have run.
 
-        :returns: a result for each, None when the engine was stopped
+        :returns: a result for each step, None if the engine was stopped
         """
         call = _Call([None] * len(steps), len(steps))
         new_steps = []
@@ -140,7 +141,7 @@
         return call.results
 
     def _read_input(self, step: messages.Step) -> list[int]:
-        """Give a step's input activations, none for a malformed step."""
+        """Return the input activations of a step, empty if it is malformed."""
         holding = self._sessions.holding
         if holding.layer_start >= holding.layer_end:
             return []
@@ -157,7 +158,7 @@
         return reference.embed(token_ids + (step.tokens or []))
 
     def _take_batch(self) -> list[_QueuedStep]:
-        """Wait for steps and take what one batch holds, by priority."""
+        """Wait for steps and remove one batch from the queue, by priority."""
         with self._arrived:
             while not self._waiting and not self._stopped:
                 self._arrived.wait()
@@ -176,7 +177,12 @@
             return batch
 
     def _compute(self, batch: list[_QueuedStep]) -> tuple[list, int]:
-        """Run a batch; gives the results and the tokens to pay for."""
+        """Run a batch.
+
+        :returns: the results, and the number of tokens that take time:
+            those of the results and those that are recomputed, without
+            those found in the prefix cache
+        """
         results = []
         tokens = 0
         with self.lock:
@@ -242,13 +248,13 @@
             self._trim_loads(now)
 
     def _trim_loads(self, now: float) -> None:
-        # Keep the newest record that is old enough to be reported.
+        # The first record is the newest one that is old enough to be reported.
         before = now - self._timing.load_lag
         while len(self._loads) > 1 and self._loads[1][0] <= before:
             self._loads.popleft()
 
     def read_load(self) -> Load:
-        """Give the load as it was a lag ago."""
+        """Return the load as of ``load_lag`` seconds ago."""
         with self._arrived:
             self._trim_loads(time.monotonic())
             return self._loads[0][1]
--- a/packages/standins/src/dunlintide_standins/engine/cache.py
+++ b/packages/standins/src/dunlintide_standins/engine/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the engine and the events that it publishes."""
+"""Prefix cache of the engine and its events."""
 
 from collections.abc import Callable, Iterator
 from collections import deque
@@ -19,13 +19,14 @@
 
 
 class Event(msgspec.Struct):
-    """One change of the cache.
+    """Addition or removal of a block.
 
-    :ivar sequence: counts all events, so that a lost one shows
+    :ivar sequence: consecutive number; a gap reveals a lost event
     :ivar kind: ``stored`` or ``evicted``
     :ivar session: session that stored the block
-    :ivar block: hash of the salt and the prefix that ends here
+    :ivar block: hash of the salt and of the prefix up to the end of the block
     :ivar tokens: length of that prefix
+    :ivar time: time of the event by the clock of the cache, in seconds
     """
 
     sequence: int
@@ -40,7 +41,7 @@
 def _hash_blocks(
     salt: str, activations: list[int]
 ) -> Iterator[tuple[int, int]]:
-    """Give each whole block's name and the prefix's length to its end."""
+    """Yield the hash and the end position of each complete block."""
     digest = xxhash.xxh64(salt.encode())
     complete_tokens = len(activations) // BLOCK_TOKENS * BLOCK_TOKENS
     for start in range(0, complete_tokens, BLOCK_TOKENS):
@@ -50,12 +51,12 @@
 
 
 class PrefixCache:
-    """Bounded LRU of prefixes, in blocks, apart for each salt.
+    """LRU cache of prompt prefixes in blocks, separate for each salt.
 
-    A hit saves prefill time and changes no result.
+    A hit saves prefill time and does not affect results.
 
-    :ivar hits: prompt tokens that were found
-    :ivar misses: prompt tokens that weren't
+    :ivar hits: number of prompt tokens found in the cache
+    :ivar misses: number of prompt tokens not found
     """
 
     def __init__(
@@ -66,11 +67,13 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """Make an empty cache.
+        """Create an empty cache.
 
-        :param tokens: capacity
+        :param tokens: capacity in tokens, 0 disables the cache
         :param lag: seconds before an event can be read
-        :param loss: share of the events that is never published
+        :param loss: fraction of events that are lost
+        :param clock: returns the time in seconds
+        :param rng: decides which events are lost
         """
         self.hits = 0
         self.misses = 0
@@ -102,10 +105,10 @@
         self._publish(evicted)
 
     def match(self, session: str, salt: str, activations: list[int]) -> int:
-        """Look a prompt up and store the blocks that are missing.
+        """Look up a prompt and store its missing blocks.
 
-        :param activations: input of the prompt's positions; they tell
-            prefixes apart at every layer range
+        :param activations: input activations of the prompt; they identify
+            the prefix at every layer range
         :returns: number of leading tokens that were cached
         """
         if not self._capacity:
@@ -114,7 +117,7 @@
         for key, end in _hash_blocks(salt, activations):
             if key in self._blocks:
                 self._blocks.move_to_end(key)
-                # An evicted block in front cuts the prefix.
+                # An earlier block that was evicted ends the cached prefix.
                 if cached == end - BLOCK_TOKENS:
                     cached = end
             else:
@@ -125,7 +128,7 @@
         return cached
 
     def count_cached(self, salt: str, activations: list[int]) -> int:
-        """Count a prompt's leading tokens that are held, changing nothing."""
+        """Count the cached leading tokens of a prompt without side effects."""
         cached = 0
         for key, end in _hash_blocks(salt, activations):
             if key not in self._blocks:
@@ -134,21 +137,21 @@
         return cached
 
     def clear(self) -> None:
-        """Forget all blocks, as on a load of another model."""
+        """Evict all blocks, as after a load of other layers."""
         while self._blocks:
             self._evict()
 
     def list_blocks(self) -> tuple[int, list[Event]]:
-        """List the blocks that are held, and the last sequence number."""
+        """Return the last sequence number and the cached blocks, LRU first."""
         return self._sequence, list(self._blocks.values())
 
     @property
     def last_sequence(self) -> int:
-        """Number of the last event, published or lost."""
+        """Sequence number of the last event, including lost ones."""
         return self._sequence
 
     def read_events(self, since: int) -> list[Event]:
-        """Give the published events behind a sequence number."""
+        """Return the readable events after a sequence number."""
         before = self._clock() - self._lag
         return [
             event
--- a/packages/standins/src/dunlintide_standins/engine/loading.py
+++ b/packages/standins/src/dunlintide_standins/engine/loading.py
@@ -1,4 +1,4 @@
-"""Loading of layers from the weight store."""
+"""Loading of layer weights from the weight store."""
 
 import threading
 
@@ -11,14 +11,13 @@
 
 _READ_BYTES = 65_536
 _HTTP_OK = 200
-# Longest silence of the weight store in the middle of a layer.
 _READ_TIMEOUT_SECONDS = 30.0
 
 
 def _list_layers(
     current: session_store.Holding, order: messages.Order
 ) -> list[int]:
-    """List the ordered layers that are not held already."""
+    """List the ordered layers that are not loaded yet."""
     layers = set(range(order.layer_start, order.layer_end))
     if (current.model, current.version) == (order.model, order.version):
         layers -= set(range(current.layer_start, current.layer_end))
@@ -28,11 +27,11 @@
 class Loader:
     """Reads the weights of layers, one order at a time.
 
-    :ivar lock: held while an order is carried out
+    :ivar lock: held by the caller while it executes an order
     """
 
     def __init__(self, weights_url: str) -> None:
-        """Remember where the weights are; empty: loading takes no time."""
+        """Set the URL of the weight store; if empty, loading is immediate."""
         self.lock = threading.Lock()
         self._url = weights_url
         self._http = urllib3.PoolManager(
@@ -42,7 +41,7 @@
     def load(
         self, current: session_store.Holding, order: messages.Order
     ) -> bool:
-        """Read all ordered layers; False when one could not be read."""
+        """Read the missing layers; return False if one could not be read."""
         if not self._url:
             return True
         try:
--- a/packages/standins/src/dunlintide_standins/engine/messages.py
+++ b/packages/standins/src/dunlintide_standins/engine/messages.py
@@ -24,7 +24,7 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Why a step didn't run."""
+    """Reason why a step did not run."""
 
     BAD_STEP = 'bad-step'
     INJECTED = 'injected'
@@ -36,7 +36,7 @@
 
 
 class Step(msgspec.Struct):
-    """Work on one span of positions of a session."""
+    """Request to run the layers over a span of positions of a session."""
 
     session: str
     epoch: int = 1
@@ -70,12 +70,15 @@
 
 
 class Result(msgspec.Struct, omit_defaults=True):
-    """What became of a step."""
+    """Result of a step.
+
+    :ivar count: number of positions that were run; it has no default because
+        ``omit_defaults`` would leave it out
+    """
 
     session: str
     epoch: int
     position: int
-    # Always sent, so without a default that would be left out.
     count: int
     activations: bytes | None = None
     token: Token | None = None
@@ -83,7 +86,10 @@
 
 
 class Order(msgspec.Struct):
-    """Order to hold a range of layers of a model version."""
+    """Order to load the layers ``[layer_start, layer_end)`` of a model.
+
+    :ivar fence: fencing number of the leader that sent it
+    """
 
     fence: int
     model: str
@@ -94,7 +100,7 @@
 
 
 class HoldingStatus(msgspec.Struct):
-    """What the engine holds and the highest fencing number it has seen."""
+    """The loaded layers and the highest fencing number received."""
 
     model: str
     version: str
@@ -106,7 +112,7 @@
 
 
 class State(msgspec.Struct):
-    """KV state of a session, as exported."""
+    """Exported KV state of a session."""
 
     model: str
     version: str
@@ -120,7 +126,7 @@
 
 
 def build_failure(step: Step, code: ErrorCode) -> Result:
-    """Build the result of a step that didn't run."""
+    """Build the result of a step that did not run."""
     return Result(step.session, step.epoch, step.position, 0, error=code)
 
 
@@ -138,6 +144,6 @@
 def unpack(data: bytes) -> list[int]:
     """Decode activations.
 
-    :raises ValueError: when the size is no multiple of 8 bytes
+    :raises ValueError: if the size is not a multiple of 8 bytes
     """
     return _as_little_endian(array.array('Q', data)).tolist()
--- a/packages/standins/src/dunlintide_standins/engine/server.py
+++ b/packages/standins/src/dunlintide_standins/engine/server.py
@@ -1,4 +1,4 @@
-"""HTTP side of the engine."""
+"""HTTP server and settings of the engine."""
 
 from collections.abc import Callable
 import os
@@ -27,7 +27,7 @@
 
 
 def exit_process() -> None:
-    """Crash as a process does, without any clean-up."""
+    """Exit the process at once without clean-up, like a crash."""
     os._exit(_CRASH_STATUS)
 
 
@@ -39,33 +39,35 @@
     model: str = process.setting('copy-7b', 'model that is loaded')
     version: str = process.setting('1', 'version of the model')
     layer_start: int = process.setting(0, 'first layer')
-    layer_end: int = process.setting(8, 'layer behind the last one')
-    base_seconds: float = process.setting(0.002, 'time of an empty step')
+    layer_end: int = process.setting(8, 'layer after the last one')
+    base_seconds: float = process.setting(0.002, 'duration of an empty step')
     seconds_per_token: float = process.setting(
         0.0001, 'time that a token adds to a step'
     )
-    max_batch_tokens: int = process.setting(8192, 'bound on one step')
+    max_batch_tokens: int = process.setting(8192, 'maximum tokens in a step')
     kv_tokens: int = process.setting(100_000, 'KV memory in tokens')
     preempts: bool = process.setting(
-        False, 'make room in a full KV memory by preempting the newest'
+        False, 'preempt the newest sessions when the KV memory is full'
+    )
+    load_lag_seconds: float = process.setting(0.5, 'age of the reported load')
+    crash_marker: str = process.setting(
+        '', 'text in a prompt that crashes the engine'
     )
-    load_lag_seconds: float = process.setting(0.5, 'age of reported load')
-    crash_marker: str = process.setting('', 'text in a prompt that crashes')
     crash_word: str = process.setting(
-        '', 'first word of a prompt that crashes layers behind the first'
+        '', 'first word of a prompt that crashes engines of later layers'
     )
     stop_modulus: int = process.setting(
-        0, 'token ids divisible by it stop the answer, 0 for none'
+        0, 'token ids divisible by it end the output, 0 for none'
     )
     cache_tokens: int = process.setting(16_384, 'size of the prefix cache')
     cache_event_lag_seconds: float = process.setting(
-        1.0, 'time before a cache event can be read'
+        1.0, 'delay before a cache event can be read'
     )
     cache_event_loss: float = process.setting(
-        0.1, 'share of cache events that is never published'
+        0.1, 'fraction of cache events that are lost'
     )
     seed: int = process.setting(
-        0, 'seed of the lost cache events and of failing sessions'
+        0, 'seed for lost cache events and failing sessions'
     )
     checks_fence: bool = process.setting(
         False, 'refuse orders with an old fencing number'
@@ -76,9 +78,11 @@
 
 
 class _Control(faults.Fault):
-    """Faults, a factor on the time of each step, and a crash.
+    """Faults of an engine to change.
 
-    :ivar fail_rate: share of sessions whose first step fails
+    :ivar slow_factor: factor on the duration of each step
+    :ivar fail_rate: fraction of sessions whose first step fails
+    :ivar crash: whether to crash now
     """
 
     slow_factor: float | None = None
@@ -95,9 +99,9 @@
 
 
 class Engine:
-    """A model engine that holds a range of layers.
+    """Stand-in of a model engine that runs a range of layers.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the engine listens on
     """
 
     def __init__(self, config: Config, crash: Callable[[], None]) -> None:
@@ -153,19 +157,19 @@
     def from_config(
         cls, config: Config, crash: Callable[[], None] | None = None
     ) -> 'Engine':
-        """Build an engine; its port is bound at once.
+        """Build an engine and bind its port.
 
-        :param crash: what a crash does; by default the process exits
+        :param crash: called to crash; exits the process by default
         """
         return cls(config, crash or exit_process)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
         self._batcher.start()
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once and cut every connection."""
+        """Stop at once and close every connection."""
         self._batcher.stop()
         self._server.stop()
 
@@ -211,7 +215,11 @@
         return bool(marker) and marker in step.prompt
 
     def _starts_with_crash_word(self, step: messages.Step) -> bool:
-        """Tell a marked prompt by its activations, all that comes here."""
+        """Return whether a prompt starts with the crash word.
+
+        An engine of later layers gets no text, so it compares the first
+        activation with the one that the word would have there.
+        """
         word = self._config.crash_word
         if not word or step.position or not step.activations:
             return False
@@ -240,7 +248,7 @@
         return web.json_answer({'results': failed + results})
 
     def _print_runs(self, prompts: list[str]) -> None:
-        """Print the record of runs, which ends with the process."""
+        """Print the record of runs, as it is lost with the process."""
         with self._batcher.lock:
             record = {'crashed_by': prompts, 'runs': self._sessions.runs()}
         print(msgspec.json.encode(record).decode(), flush=True)
@@ -248,7 +256,7 @@
     def _inject_failures(
         self, steps: list[messages.Step]
     ) -> tuple[list[messages.Result], list[messages.Step]]:
-        """Part the steps that are made to fail from those to run."""
+        """Fail first steps at random; return the failures and the rest."""
         failed = []
         rest = []
         for step in steps:
@@ -315,10 +323,17 @@
         with self._batcher.lock:
             imported = self._sessions.import_state(session_id, state)
         self._batcher.record_load()
-        return web.json_answer({}) if imported else _refuse('no fit', 409)
+        return (
+            web.json_answer({})
+            if imported
+            else _refuse('the state does not fit', 409)
+        )
 
     def _is_stale_order(self, order: messages.Order) -> bool:
-        """Check an order's fence; the batcher's lock is held."""
+        """Compare an order's fencing number with the highest one and keep it.
+
+        The caller holds the lock of the batcher.
+        """
         if self._config.checks_fence and order.fence < self._fence:
             return True
         self._fence = max(self._fence, order.fence)
@@ -331,9 +346,11 @@
                 if self._is_stale_order(order):
                     return _refuse('old fencing number', 409)
                 current = self._sessions.holding
-            # The old layers are served until the new ones are here.
+            # The old layers are served until the new ones are loaded.
             if not self._loader.load(current, order):
-                return _refuse('the weight store failed', 503)
+                return _refuse(
+                    'could not read a layer from the weight store', 503
+                )
             self._load_layers(order)
         if self._fault_injector.should_drop_answer():
             return web.drop_connection()
--- a/packages/standins/src/dunlintide_standins/engine/sessions.py
+++ b/packages/standins/src/dunlintide_standins/engine/sessions.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Holding:
-    """What the engine has loaded: layers ``[layer_start, layer_end)``."""
+    """The layers ``[layer_start, layer_end)`` that the engine has loaded."""
 
     model: str
     version: str
@@ -38,7 +38,8 @@
 class Run:
     """Record of one epoch of a session on this engine.
 
-    :ivar first_position: above 0 where the epoch went on with kept state
+    :ivar first_position: first position run, above 0 if the epoch continued
+        from existing KV state
     :ivar positions: number of positions that were run
     :ivar layer_steps: positions times layers
     """
@@ -67,10 +68,11 @@
 
 
 class Sessions:
-    """KV state of all sessions; the engine's lock guards it.
+    """KV state of all sessions; the caller holds the engine's lock.
 
-    :ivar preempted: times that a session lost its place in the KV memory
-    :ivar recomputed: positions that were run again for it
+    :ivar used: positions in the KV memory
+    :ivar preempted: number of preemptions so far
+    :ivar recomputed: positions that were run again after a preemption
     """
 
     def __init__(
@@ -91,17 +93,17 @@
 
     @property
     def usage(self) -> float:
-        """Used share of the KV memory."""
+        """Fraction of the KV memory that is used."""
         return self.used / self._kv_tokens
 
     def load(self, holding: Holding) -> None:
-        """Hold other layers; the state of all sessions is lost."""
+        """Replace the loaded layers and discard the state of all sessions."""
         self.holding = holding
         self._sessions.clear()
         self.used = 0
 
     def free(self, session_id: str) -> bool:
-        """Free the KV state of a session."""
+        """Free the KV state of a session; return whether it existed."""
         session = self._sessions.pop(session_id, None)
         if session is None:
             return False
@@ -109,7 +111,7 @@
         return True
 
     def runs(self) -> list[dict[str, Any]]:
-        """Give the record of runs, oldest first."""
+        """Return the record of runs, oldest first."""
         return [attrs.asdict(run) for run in self._runs]
 
     def _record(self, step: messages.Step) -> Run:
@@ -128,7 +130,7 @@
     def _find_session(
         self, step: messages.Step
     ) -> Result[_Session | None, messages.ErrorCode]:
-        """Find the session that a step goes on with, None for a new one."""
+        """Find the session that a step continues, None if it starts one."""
         holding = self.holding
         if step.layers not in (None, (holding.layer_start, holding.layer_end)):
             return Err(messages.ErrorCode.LAYERS)
@@ -140,7 +142,8 @@
                 return Ok(None)
         if session is None:
             return Err(messages.ErrorCode.POSITION)
-        # Only once an epoch: asked for again, a step must not run again.
+        # Truncate only on the first step of an epoch, so that a repeated step
+        # is refused and not run twice.
         newer = step.epoch > session.epoch
         if step.truncate and newer and step.position < session.position:
             self._truncate(session, step.position)
@@ -149,7 +152,11 @@
         return Ok(session)
 
     def _truncate(self, session: _Session, position: int) -> None:
-        """Forget the positions behind one; a real engine drops blocks."""
+        """Discard the positions from one on.
+
+        The layer states are recomputed from the inputs; a real engine drops
+        KV blocks instead.
+        """
         self.used -= session.position - position
         session.position = position
         del session.inputs[position:]
@@ -165,7 +172,7 @@
         return self.used - freed + count <= self._kv_tokens
 
     def _list_newer(self, session: _Session | None) -> list[_Session]:
-        """List what holds memory and is newer than a session."""
+        """List the sessions that use memory and are newer than another."""
         if session is None:
             return []
         return [
@@ -176,11 +183,13 @@
         ]
 
     def preempt_for(self, session_id: str, count: int) -> int | None:
-        """Preempt the newest sessions until a step of one fits.
+        """Preempt the newest sessions until a step of an older one fits.
+
+        A preempted session is recomputed before its next step.
 
-        What was preempted is run again before its next step.
-        :returns: positions that must run again first, None when the step
-            has to wait for older sessions
+        :param count: positions of the step
+        :returns: positions of the session to recompute first, None if the
+            step must wait for older sessions
         """
         session = self._sessions.get(session_id)
         to_recompute = 0
@@ -191,7 +200,7 @@
         obtainable = free + sum(other.position for other in newer)
         if obtainable < count + to_recompute:
             has_no_older = obtainable == self._kv_tokens
-            # One that never fits is refused by the step itself.
+            # A step that is too large even alone is refused when it runs.
             return 0 if has_no_older and not to_recompute else None
         newer.sort(key=lambda other: other.admission_index)
         while self.used + count + to_recompute > self._kv_tokens:
@@ -231,9 +240,9 @@
     def run(
         self, step: messages.Step, activations: list[int]
     ) -> messages.Result:
-        """Run the layers over a step's span.
+        """Run the layers over the span of a step.
 
-        :param activations: input of the first layer held here
+        :param activations: input of the first loaded layer
         """
         count = len(activations)
         admitted = self._find_session(step)
@@ -270,7 +279,7 @@
         return result
 
     def export_state(self, session_id: str) -> messages.State | None:
-        """Copy the KV state of a session, None for an unknown one."""
+        """Return a copy of the KV state of a session, None if unknown."""
         session = self._sessions.get(session_id)
         if session is None:
             return None
@@ -287,9 +296,10 @@
         )
 
     def import_state(self, session_id: str, state: messages.State) -> bool:
-        """Import a session; False when it doesn't fit the engine.
+        """Import a session, replacing one of the same or an older epoch.
 
-        One that is here already in a newer epoch is kept.
+        :returns: False if the layers differ, the KV memory is too full or
+            the session exists in a newer epoch
         """
         existing = self._sessions.get(session_id)
         if existing is not None and existing.epoch > state.epoch:
--- a/packages/standins/src/dunlintide_standins/faults.py
+++ b/packages/standins/src/dunlintide_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the control address of a stand-in switches on."""
+"""Fault injection through the control address of a stand-in."""
 
 import threading
 import time
@@ -13,13 +13,13 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """Faults to change; what is left out stays as it is.
+    """Faults to change; fields that are None keep the current value.
 
-    :ivar down: close each connection without an answer
-    :ivar hang: accept calls and never answer them
-    :ivar slow_seconds: wait before each answer
-    :ivar drop_answers: run the next so many calls that change something,
-        and close their connections without an answer
+    :ivar down: close each connection without a response
+    :ivar hang: accept calls and never respond
+    :ivar slow_seconds: delay before each call runs
+    :ivar drop_answers: number of further changing calls that run and whose
+        connections are closed without a response
     """
 
     down: bool | None = None
@@ -29,7 +29,7 @@
 
 
 class FaultInjector:
-    """Holds the faults that are on and applies them to calls."""
+    """Applies the active faults to calls."""
 
     def __init__(self) -> None:
         self.down = False
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
 
     def change(self, fault: Fault) -> None:
-        """Switch faults on or off."""
+        """Set the faults that are not None."""
         with self._lock:
             if fault.down is not None:
                 self.down = fault.down
@@ -51,7 +51,7 @@
                 self._drops = fault.drop_answers
 
     def state(self) -> dict[str, bool | float | int]:
-        """Give the faults that are on, as the control address does."""
+        """Return the current faults, as the control address reports them."""
         return {
             'down': self.down,
             'hang': self.hang,
@@ -60,9 +60,11 @@
         }
 
     def intercept(self) -> web.Answer | None:
-        """Let a call in, or give the answer that stops it.
+        """Delay a call if it is to be slow, or return a response to it.
 
-        A call that hung is never run, also when the fault ends.
+        A call that hung is never run, even after the fault ends.
+
+        :returns: None if the call is to run
         """
         if self.down:
             return web.drop_connection()
@@ -75,7 +77,7 @@
         return None
 
     def should_drop_answer(self) -> bool:
-        """Tell whether the answer of a call that ran is to be lost."""
+        """Return whether to drop a response, and count it as dropped."""
         with self._lock:
             if self._drops <= 0:
                 return False
--- a/packages/standins/src/dunlintide_standins/hosts.py
+++ b/packages/standins/src/dunlintide_standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of hosts, which lags."""
+"""Stand-in for the platform's host list, whose changes show late."""
 
 from collections import deque
 import pathlib
@@ -21,14 +21,14 @@
     """Settings of the host list."""
 
     listen: str = process.setting('127.0.0.1:0', 'host:port to listen on')
-    hosts: str = process.setting('', 'JSON file with the first hosts')
-    lag_seconds: float = process.setting(0.0, 'time before a change shows')
+    hosts: str = process.setting('', 'JSON file with the initial hosts')
+    lag_seconds: float = process.setting(0.0, 'delay before a change shows')
 
 
 class Host(msgspec.Struct):
     """One host of the list.
 
-    :ivar address: ``host:port`` of its link server
+    :ivar address: ``host:port`` of the host's link server
     """
 
     name: str
@@ -44,7 +44,7 @@
 
 
 class _Control(faults.Fault):
-    """Faults, a new list of hosts and the lag before a list shows."""
+    """Faults, a new list of hosts and the delay before it shows."""
 
     hosts: list[Host] | None = None
     lag_seconds: float | None = None
@@ -53,7 +53,7 @@
 class HostList:
     """A list of live and leaving hosts.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the host list listens on
     """
 
     def __init__(
@@ -69,10 +69,10 @@
 
     @classmethod
     def from_config(cls, config: Config) -> 'HostList':
-        """Build a host list; its port is bound at once.
+        """Build a host list and bind its port.
 
-        :raises OSError: when the file can't be read
-        :raises msgspec.ValidationError: when it holds no list of hosts
+        :raises OSError: if the file can't be read
+        :raises msgspec.ValidationError: if the file holds no list of hosts
         """
         hosts: list[Host] = []
         if config.hosts:
@@ -81,21 +81,21 @@
         return cls(config.listen, hosts, config.lag_seconds)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once and cut every connection."""
+        """Stop at once and close every connection."""
         self._server.stop()
 
     def change(self, hosts: list[Host]) -> None:
-        """Replace the list, to show after the lag."""
+        """Replace the list; the new one shows after the lag."""
         with self._lock:
             shown_at = time.monotonic() + self._lag_seconds
             self._pending.append((shown_at, hosts))
 
     def read(self) -> list[Host]:
-        """Give the hosts as the list shows them now."""
+        """Return the hosts that the list shows now."""
         now = time.monotonic()
         with self._lock:
             while self._pending and self._pending[0][0] <= now:
--- a/packages/standins/src/dunlintide_standins/process.py
+++ b/packages/standins/src/dunlintide_standins/process.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in as a process, its settings taken from flags."""
+"""Run a stand-in as a process with settings from command-line flags."""
 
 from collections.abc import Callable
 import signal
@@ -27,15 +27,15 @@
 
 
 class Standin(Protocol):
-    """What every stand-in offers.
+    """Interface of every stand-in.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the stand-in listens on
     """
 
     port: int
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
 
     def stop(self) -> None:
         """Stop at once."""
@@ -44,7 +44,7 @@
 def setting(default: Any, text: str) -> Any:
     """Build an attrs field that is also a flag of the process.
 
-    :param text: help of the flag
+    :param text: help text of the flag
     """
     return attrs.field(default=default, metadata={_HELP: text})
 
@@ -64,9 +64,9 @@
     """Run a stand-in until a signal ends the process.
 
     :param config_class: attrs class whose fields are ``setting``s
-    :param build: makes the stand-in from its configuration
+    :param build: builds the stand-in from its configuration
     """
-    # SIGTERM must end the process at once: nothing here needs a clean-up.
+    # SIGTERM ends the process at once: no clean-up is needed.
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
     signal.signal(signal.SIGINT, signal.SIG_DFL)
     _define_flags(config_class)
--- a/packages/standins/src/dunlintide_standins/reference.py
+++ b/packages/standins/src/dunlintide_standins/reference.py
@@ -1,8 +1,8 @@
-"""The arithmetic of the stand-in models, and the answers to expect.
+"""Arithmetic of the stand-in models, and the output to expect of them.
 
-An activation is one 64-bit number a position. Each layer folds its input
-and what it has seen before (its KV state) into its output, so a final
-token depends on every layer having run once, in order, on every position.
+The activation of a position is one 64-bit number. Each layer mixes its
+input with its KV state, a hash of its earlier inputs, so that a token
+depends on every layer having run exactly once, in order, on every position.
 """
 
 import functools
@@ -54,7 +54,7 @@
 class Token:
     """A generated token.
 
-    :ivar finish_reason: ``length`` or ``stop`` on the last one
+    :ivar finish_reason: ``length`` or ``stop`` on the last token
     """
 
     id: int
@@ -63,13 +63,13 @@
 
 
 def tokenize(prompt: str) -> list[int]:
-    """Give a token id for each word; an empty prompt has one token."""
+    """Return a token id for each word; an empty prompt has one token."""
     words = prompt.split() or ['']
     return [xxhash.xxh64_intdigest(word.encode()) for word in words]
 
 
 def embed(token_ids: list[int]) -> list[int]:
-    """Give the input activations of the first layer."""
+    """Return the input activations of the first layer."""
     return [(token * _MIX_EMBEDDING + 1) & _MASK for token in token_ids]
 
 
@@ -77,7 +77,7 @@
 def get_layer_weights(
     model: str, version: str, start: int, end: int
 ) -> tuple[int, ...]:
-    """Give the weights of the layers ``[start, end)``, one number each."""
+    """Return the weights of the layers ``[start, end)``, one number each."""
     return tuple(
         xxhash.xxh64_intdigest(f'{model}\0{version}\0{layer}'.encode())
         for layer in range(start, end)
@@ -99,7 +99,7 @@
 
     :param constants: weights of the layers, in order
     :param states: KV state of each layer, changed in place
-    :returns: activations behind the last of the layers
+    :returns: output activations of the last layer
     """
     values = list(activations)
     for layer, weight in enumerate(weights):
@@ -110,7 +110,10 @@
 def compute_first_activation(
     word: str, model: str, version: str, layers: int
 ) -> int:
-    """Give the activation of a prompt's first word behind some layers."""
+    """Return the output activation of a prompt's first word.
+
+    :param layers: number of layers to run, from the first
+    """
     weights = get_layer_weights(model, version, 0, layers)
     inputs = embed(tokenize(word))
     return run_layers(weights, [0] * layers, inputs)[0]
@@ -119,13 +122,13 @@
 def make_token(
     activation: int, index: int, max_tokens: int, stop_modulus: int = 0
 ) -> Token:
-    """Sample the token that a final activation stands for.
+    """Build the token for an output activation of the last layer.
 
-    :param index: number of the token among the generated ones, from 0
-    :param stop_modulus: ids divisible by it end the answer, 0 for none
+    :param index: index of the token among the generated ones, from 0
+    :param stop_modulus: ids divisible by it end the output, 0 for none
     """
     token_id = activation >> (64 - _ID_BITS)
-    # The id is in the text, so that an answer to another request shows.
+    # The text includes the id, so that a mix-up of requests is detected.
     text = f' {_WORDS[token_id % len(_WORDS)]}-{token_id:08x}'
     reason = None
     if stop_modulus and token_id % stop_modulus == 0:
@@ -144,7 +147,7 @@
     version: str = '1',
     stop_modulus: int = 0,
 ) -> list[Token]:
-    """Give the tokens that a right run of the whole model yields.
+    """Return the tokens that a correct run of all layers yields.
 
     :param layers: number of layers of the model
     """
