--- a/packages/standins/src/dunlintide_standins/fleet/callers.py
+++ b/packages/standins/src/dunlintide_standins/fleet/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the platform, down to the bytes that they send and get."""
+"""Callers of the platform that send and read raw HTTP/1.1."""
 
 import socket
 
@@ -18,10 +18,10 @@
 
 @attrs.frozen
 class Answer:
-    """What a caller got.
+    """A response as received.
 
-    :ivar headers: by lower-case name
-    :ivar whole: whether it looked complete
+    :ivar headers: headers by lower-case name
+    :ivar is_complete: whether the body ended as its framing announced
     """
 
     status: int
@@ -31,13 +31,13 @@
 
 
 class Caller:
-    """A connection that sends bytes and reads answers as they are."""
+    """A connection that sends raw bytes and reads responses."""
 
     def __init__(self, address: str) -> None:
         """Connect.
 
         :param address: ``host:port``
-        :raises OSError: when nobody listens
+        :raises OSError: if the connection fails
         """
         host, _, port = address.rpartition(':')
         self.socket = socket.create_connection((host, int(port)))
@@ -45,14 +45,17 @@
         self.file = self.socket.makefile('rb')
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self.socket.sendall(data)
 
     def read_head(self) -> tuple[int, dict[str, str]]:
-        """Read the status and the headers of an answer."""
+        """Read the status and the headers of a response.
+
+        :raises ConnectionResetError: if the connection closes before
+        """
         first = self.file.readline()
         if not first:
-            raise ConnectionResetError('closed without an answer')
+            raise ConnectionResetError('connection closed before a response')
         status = int(first.split()[1])
         headers = {}
         while line := self.file.readline().strip():
@@ -61,7 +64,7 @@
         return status, headers
 
     def read_answer(self) -> Answer:
-        """Read an answer, also one that is cut."""
+        """Read a response, which may be truncated within its body."""
         status, headers = self.read_head()
         body = b''
         try:
@@ -90,7 +93,11 @@
     key: str | None = operators.KEY,
     **headers: str,
 ) -> bytes:
-    """Build a request; underscores in names of headers become dashes."""
+    """Build a request; underscores in header names become dashes.
+
+    :param name: value of ``Attempt-Id``
+    :param key: API key, None for a request without one
+    """
     fields = {
         'Host': operators.HOST,
         'Attempt-Id': name,
@@ -107,7 +114,7 @@
 
 
 def build_stream(name: str, count: int) -> bytes:
-    """Build a request for a stream of events."""
+    """Build a request for a stream of ``count`` events."""
     return build_request(
         name,
         '/copy/x',
--- a/packages/standins/src/dunlintide_standins/fleet/operators.py
+++ b/packages/standins/src/dunlintide_standins/fleet/operators.py
@@ -1,4 +1,4 @@
-"""What an operator of the platform writes: routes, services and keys."""
+"""Configurations of an operator: routes, services and API keys."""
 
 import random
 from typing import Any
@@ -106,14 +106,14 @@
 
 
 def make_invalid_configuration(version: int) -> Configuration:
-    """Build a configuration whose route lacks nearly all it needs."""
+    """Build a configuration whose route lacks its required fields."""
     return {'version': version, 'route_list': [{'name': 'x'}]}
 
 
 def set_route_service(
     configuration: Configuration, prefix: str, service: str
 ) -> Configuration:
-    """Send the requests of a route to another service."""
+    """Set the service of the routes with a prefix."""
     for route in configuration['route_list']:
         if route['prefix'] == prefix:
             route['service'] = service
@@ -121,7 +121,7 @@
 
 
 def remove_routes(configuration: Configuration, prefix: str) -> Configuration:
-    """Take away the routes below a prefix."""
+    """Remove the routes whose prefix starts with another one."""
     configuration['route_list'] = [
         route
         for route in configuration['route_list']
@@ -133,6 +133,6 @@
 def shuffle_routes(
     configuration: Configuration, rng: random.Random
 ) -> Configuration:
-    """List the routes in another order, which changes nothing."""
+    """Shuffle the routes; their order has no effect on routing."""
     rng.shuffle(configuration['route_list'])
     return configuration
--- a/packages/standins/src/dunlintide_standins/fleet/runners.py
+++ b/packages/standins/src/dunlintide_standins/fleet/runners.py
@@ -1,4 +1,4 @@
-"""Stand-ins of engines that hold layers, and of plain services."""
+"""Stand-ins of engines with model layers, and of plain services."""
 
 import asyncio
 import hashlib
@@ -24,19 +24,23 @@
 
 @attrs.define
 class Faults:
-    """What is wrong with a runner.
-
-    :ivar full: whether it refuses requests as full
-    :ivar fail: requests that it runs and fails, a count
-    :ivar lose: answers that it loses with a reset, a count
-    :ivar cut: streams that it cuts within an event, a count
-    :ivar extra: answers behind which it sends a second one, a count
-    :ivar unframed: answers that it sends without a length, a count
-    :ivar stall: whether work that comes to it stands still
-    :ivar stall_after: events of a stream behind which its runner stalls
-    :ivar lose_orders: orders that it carries out later, unanswered
-    :ivar order_delay: seconds until such an order is carried out
-    :ivar rate_limit: requests a second that it names, None for no limit
+    """Injected faults of a runner.
+
+    A count is the number of further times that the fault occurs.
+
+    :ivar full: whether the runner refuses requests as full
+    :ivar fail: count of calls to run and to answer with an error
+    :ivar lose: count of calls to run and to reset without a response
+    :ivar cut: count of streams to reset within an event
+    :ivar extra: count of responses to follow by a second, unrelated one
+    :ivar unframed: count of responses to send without Content-Length
+    :ivar stall: whether calls and streams through the runner stop
+    :ivar stall_after: number of events after which a stream stops, None
+        for no stop
+    :ivar lose_orders: count of orders to execute late, without a response
+    :ivar order_delay: delay of such an order, in seconds
+    :ivar rate_limit: value of ``Server-Limit`` in requests per second, None
+        to leave the header out
     """
 
     full: bool = False
@@ -52,7 +56,7 @@
     rate_limit: float | None = None
 
     def consume(self, name: str) -> bool:
-        """Use up one of a count."""
+        """Decrement a count; return whether it was above zero."""
         left = getattr(self, name)
         if left > 0:
             setattr(self, name, left - 1)
@@ -61,13 +65,13 @@
 
 @attrs.define
 class Run:
-    """A request that a runner began to work on.
+    """Execution of a request by a runner.
 
-    :ivar hops: address, first and last layer of each part, as asked
-    :ivar after: event behind which it began
-    :ivar began: monotonic time of its begin, in seconds
-    :ivar events: events that it made
-    :ivar ended: how it ended, empty while it runs
+    :ivar hops: address, first layer and end layer of each hop of the chain
+    :ivar after: number of the last event that the caller has already
+    :ivar began: monotonic time of the start, in seconds
+    :ivar events: number of events sent
+    :ivar ended: outcome, empty while the request runs
     """
 
     request: str
@@ -81,7 +85,7 @@
 
 
 def parse_hops(text: str) -> list[tuple[str, int, int]]:
-    """Read a chain from its header."""
+    """Parse the hops of a chain from the ``Hop-Count`` header."""
     hops = []
     for part in filter(None, text.split(',')):
         address, _, span = part.partition('=')
@@ -91,18 +95,23 @@
 
 
 def compute_stamp(name: str, body: bytes) -> str:
-    """Build the signature of an answer."""
+    """Compute the ``Server-Stamp`` header from a runner's id and a body."""
     return hashlib.sha256(name.encode() + body).hexdigest()[:16]
 
 
 class Runner:
-    """One engine, or one plain service without a kind of card.
-
-    :ivar runs: requests that it began, over all of its lives
-    :ivar arrivals: monotonic times of all that it got, reports and orders
-        too, in seconds
-    :ivar orders: orders that it has accepted in this life
-    :ivar born: start of this life, Unix milliseconds, None to tell none
+    """One engine, or one plain service if ``kind`` is empty.
+
+    A runner can be started several times, each time as a new instance.
+
+    :ivar kind: kind of accelerator
+    :ivar runs: requests run by all instances
+    :ivar arrivals: monotonic times of all requests received, reports and
+        orders included, in seconds
+    :ivar orders: number of orders to the instance whose precondition held
+    :ivar born: start of the instance in Unix milliseconds, None to leave it
+        out of entries and reports
+    :ivar overloaded: whether an order ever exceeded the accelerator's memory
     """
 
     def __init__(
@@ -133,11 +142,11 @@
 
     @property
     def key(self) -> str:
-        """Key of its entry in the store."""
+        """Key of the runner's entry in the store."""
         return f'servers/{self.name}'
 
     async def start(self) -> None:
-        """Begin a life with a new id, and be listed."""
+        """Start an instance with a new id and write its entry."""
         self.name = f'i-{next(_id_numbers):06x}'
         self.layers = None
         self.orders = 0
@@ -147,14 +156,14 @@
         await self.write_entry()
 
     async def restart_with_same_id(self) -> None:
-        """Begin another life under the same id, empty."""
+        """Start a new instance without layers under the same id."""
         self.born = int(time.time() * 1000)
         self.layers = None
         self.orders = 0
         await self.write_entry()
 
     async def write_entry(self, state: str = 'ready') -> None:
-        """Write its entry."""
+        """Write the runner's entry to the store."""
         self._seq += 1
         entry: dict[str, Any] = {
             'service': self.service,
@@ -178,9 +187,9 @@
         await self.fleet.store.report(self.key, entry)
 
     async def crash(self, keep_entry: bool = True) -> None:
-        """End at once.
+        """Stop at once.
 
-        :param listed: whether its entry stays for now
+        :param keep_entry: whether the entry stays in the store
         """
         self.crashed = True
         self._server.close()
@@ -297,7 +306,7 @@
             raise
 
     def _find_unready_hop(self, hops: list[tuple[str, int, int]]) -> str:
-        """Find the part of a chain that does not hold its layers."""
+        """Return the address of a hop that lacks its layers, empty if none."""
         for address, first, last in hops:
             runner = self.fleet.find(address)
             held = runner.layers if runner else None
@@ -306,7 +315,7 @@
         return ''
 
     async def _wait_for_hops(self, run: Run) -> None:
-        """Stand still while a part of the chain does, or is dead."""
+        """Wait while a runner of the chain is stalled or crashed."""
         while any(
             runner is not None and (runner.faults.stall or runner.crashed)
             for runner in (self.fleet.find(hop[0]) for hop in run.hops)
@@ -381,9 +390,12 @@
 class Fleet:
     """All runners of a deployment.
 
-    :ivar cards: memory of each kind of card, in MB
+    :ivar layers: number of layers of the model
+    :ivar layer_mb: size of a layer, in MB
+    :ivar accelerator_mb: memory of each kind of accelerator, in MB
+    :ivar slots: slots of each runner, as in its entry
     :ivar event_seconds: time between two events of a stream
-    :ivar call_seconds: time of a plain call
+    :ivar call_seconds: duration of a plain call
     """
 
     store: stores.Store
@@ -396,11 +408,11 @@
     runners: list[Runner] = attrs.field(factory=list)
 
     def compute_max_layers(self, kind: str) -> int:
-        """Tell how many layers a card holds at most."""
+        """Return the number of layers that fit in an accelerator's memory."""
         return int(self.accelerator_mb[kind] // self.layer_mb)
 
     def find(self, address: str) -> Runner | None:
-        """Find the runner at an address."""
+        """Find the runner at an address, None if there is none."""
         for runner in self.runners:
             if runner.address == address:
                 return runner
--- a/packages/standins/src/dunlintide_standins/fleet/store.py
+++ b/packages/standins/src/dunlintide_standins/fleet/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's metadata store."""
+"""Stand-in of the platform's metadata store, with fault injection."""
 
 import asyncio
 import base64
@@ -20,14 +20,14 @@
 
 @attrs.define
 class Faults:
-    """What is wrong with the store.
+    """Injected faults of the store.
 
     :ivar refuse: status with which calls are refused, 0 for none
-    :ivar silent: whether calls get no answer and do nothing
-    :ivar away: whether calls are reset and do nothing
-    :ivar slow: seconds before each answer
-    :ivar lose: writes that are done and not answered, a count
-    :ivar late: seconds after which a lost write is done, 0 for at once
+    :ivar silent: whether calls get no response and have no effect
+    :ivar away: whether calls are reset and have no effect
+    :ivar slow: delay of each call, in seconds
+    :ivar lose: number of further writes that take effect without a response
+    :ivar late: delay until such a write takes effect, in seconds
     """
 
     refuse: int = 0
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class _Backup:
-    """What the store comes back with after a drill."""
+    """Data that a restored store starts from."""
 
     revision: int
     items: dict[str, _Item]
@@ -63,11 +63,12 @@
 
 
 class Store:
-    """Keys, leases, history and calls.
+    """Key-value store with leases and a history of changes.
 
-    :ivar calls: calls by method and path
-    :ivar port: port that it listens on
-    :ivar era: rises each time that the store comes back from a copy
+    :ivar calls: number of calls by method and path
+    :ivar port: port that the store listens on
+    :ivar era: incremented each time that the store is restored from a
+        backup
     """
 
     def __init__(self) -> None:
@@ -82,8 +83,8 @@
         self._history: list[dict[str, Any]] = []
         self._compacted_revision = 5
         self._changed = asyncio.Condition()
-        # Values that the operator and the runners wrote last, None for a key
-        # that they removed; they write them again after a drill.
+        # Last value that the operator or a runner wrote for each key, None for
+        # a removed key; rewrite_platform_keys writes them after a restore.
         self._platform_values: dict[str, str | None] = {}
         self._backup: _Backup | None = None
 
@@ -94,10 +95,13 @@
         self._server = server
         self._expiry_task = asyncio.ensure_future(self._expire_leases())
 
-    # What the platform itself does.
+    # Changes by the platform itself, without a call.
 
     async def put(self, key: str, value: Any, lease: int = 0) -> int:
-        """Write a key as the operator or an endpoint does."""
+        """Write a key on behalf of the operator or an endpoint.
+
+        :returns: the new revision
+        """
         data = value if isinstance(value, bytes) else json.dumps(value)
         if isinstance(data, str):
             data = data.encode()
@@ -110,9 +114,9 @@
         return self.revision
 
     async def report(self, key: str, entry: dict[str, Any]) -> None:
-        """Write the entry of an endpoint, as it does again and again.
+        """Write the entry of an endpoint, which reports periodically.
 
-        A new number of the report alone changes no revision.
+        A change of ``seq`` alone does not change the revision.
         """
         item = self._items.get(key)
         if item is not None:
@@ -125,11 +129,14 @@
         await self.put(key, entry)
 
     async def expire(self, key: str) -> None:
-        """Remove the entry of an endpoint that fell silent for a while."""
+        """Remove the entry of an endpoint that stopped reporting.
+
+        ``rewrite_platform_keys`` writes the entry again.
+        """
         await self._remove(key)
 
     async def remove(self, key: str) -> None:
-        """Remove a key as the platform does."""
+        """Remove a key on behalf of the platform."""
         self._platform_values[key] = None
         await self._remove(key)
 
@@ -141,7 +148,7 @@
                 self._changed.notify_all()
 
     def get(self, key: str) -> bytes | None:
-        """Read a key."""
+        """Return the value of a key, None if it does not exist."""
         item = self._items.get(key)
         return base64.b64decode(item.value) if item else None
 
@@ -150,12 +157,12 @@
         return sorted(key for key in self._items if key.startswith(prefix))
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history."""
         self._history.clear()
         self._compacted_revision = self.revision
 
     def make_backup(self) -> None:
-        """Make the copy from which the store comes back."""
+        """Back up the data for ``restore_backup``."""
         self._backup = _Backup(
             self.revision,
             copy_module.deepcopy(self._items),
@@ -164,9 +171,9 @@
         )
 
     async def restore_backup(self) -> None:
-        """Come back from the copy; revisions and leases are given out again.
+        """Restore the backup, so that revisions and lease ids are reused.
 
-        Calls that wait are cut.
+        Calls in progress are reset.
         """
         backup = self._backup
         async with self._changed:
@@ -182,7 +189,7 @@
             lease.expires = max(lease.expires, now + lease.ttl)
 
     async def rewrite_platform_keys(self) -> None:
-        """Let the operator and the runners write what was lost."""
+        """Write the operator's and the runners' changes that were lost."""
         for key, value in list(self._platform_values.items()):
             item = self._items.get(key)
             if value is None:
--- a/packages/standins/src/dunlintide_standins/fleet/wire.py
+++ b/packages/standins/src/dunlintide_standins/fleet/wire.py
@@ -1,4 +1,4 @@
-"""HTTP on an event loop whose every byte a stand-in can spoil."""
+"""Asyncio HTTP server that gives stand-ins control of the raw bytes."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -14,15 +14,15 @@
     'listen',
 ]
 
-# How often an answering side looks whether its caller is gone, in seconds.
 _DISCONNECT_POLL_SECONDS = 0.02
 
 
 @attrs.frozen
 class Request:
-    """One request as it was received.
+    """A request as received.
 
-    :ivar headers: by lower-case name
+    :ivar target: path and query
+    :ivar headers: headers by lower-case name
     """
 
     method: str
@@ -43,9 +43,10 @@
 
 
 class Channel:
-    """The answering side of one connection.
+    """Server side of a connection.
 
-    :ivar headers: added to the head of each answer
+    :ivar closed: whether the server closed or reset the connection
+    :ivar headers: headers added to each response
     """
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
@@ -54,7 +55,7 @@
         self.headers: dict[str, str] = {}
 
     async def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self._writer.write(data)
         await self._writer.drain()
 
@@ -64,22 +65,22 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Send a whole answer with its length."""
+        """Send a response with its Content-Length."""
         await self.send(self.build_head(status, headers, len(body)) + body)
 
     def build_head(
         self, status: int, headers: dict[str, str] | None, length: int | None
     ) -> bytes:
-        """Write the head of an answer; no length means chunks."""
+        """Build the head of a response; chunked if the length is None."""
         return build_head(status, {**(headers or {}), **self.headers}, length)
 
     def close(self) -> None:
-        """Close behind what was sent."""
+        """Close the connection after the data sent so far."""
         self.closed = True
         self._writer.close()
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Reset the connection."""
         self.closed = True
         self._writer.transport.abort()
 
@@ -87,7 +88,7 @@
 def build_head(
     status: int, headers: dict[str, str] | None, length: int | None
 ) -> bytes:
-    """Write a head; no length means chunks."""
+    """Build a response head; chunked if the length is None."""
     lines = [f'HTTP/1.1 {status} Status']
     lines += [f'{name}: {value}' for name, value in (headers or {}).items()]
     if length is None:
@@ -116,7 +117,7 @@
 async def _cancel_on_disconnect(
     reader: asyncio.StreamReader, task: asyncio.Task
 ) -> None:
-    """Cancel an answer when its caller closes the connection."""
+    """Cancel a request's task when the caller closes the connection."""
     while not reader.at_eof():
         await asyncio.sleep(_DISCONNECT_POLL_SECONDS)
     task.cancel()
@@ -151,9 +152,9 @@
 
 
 async def listen(handle: Handler, port: int = 0) -> asyncio.Server:
-    """Listen on loopback.
+    """Listen on the loopback interface.
 
-    :param port: 0 for a free one
+    :param port: port, 0 for a free one
     """
 
     async def serve(reader, writer):
--- a/packages/standins/src/dunlintide_standins/reference.py
+++ b/packages/standins/src/dunlintide_standins/reference.py
@@ -97,7 +97,7 @@
 ) -> list[int]:
     """Run layers over a span of positions.
 
-    :param constants: weights of the layers, in order
+    :param weights: weights of the layers, in order
     :param states: KV state of each layer, changed in place
     :returns: output activations of the last layer
     """
--- a/packages/standins/src/dunlintide_standins/relay.py
+++ b/packages/standins/src/dunlintide_standins/relay.py
@@ -1,8 +1,7 @@
-"""Relay between two ends of a TCP connection, to harm what passes.
+"""TCP relay that injects network faults.
 
-It stands for the network: it can hold connections in silence while new
-ones work, cut them, delay them and limit their bandwidth, in one
-direction or both.
+A relay can stall open connections while new ones work, reset them, delay
+their data and limit their bandwidth, in one direction or both.
 """
 
 import asyncio
@@ -28,10 +27,7 @@
 
 
 class Direction(enum.StrEnum):
-    """Which way data goes.
-
-    ``FORWARD`` is from the one who connected to the target.
-    """
+    """Direction of data; ``FORWARD`` is from the client to the target."""
 
     FORWARD = 'forward'
     BACKWARD = 'backward'
@@ -40,20 +36,22 @@
 
 @attrs.frozen
 class Config:
-    """Settings of a relay that is a process of its own."""
+    """Settings of a relay that runs as a process."""
 
     listen: str = process.setting('127.0.0.1:0', 'host:port to listen on')
-    target: str = process.setting('', 'host:port to pass connections to')
-    control: str = process.setting('127.0.0.1:0', 'host:port for control')
+    target: str = process.setting('', 'host:port to forward connections to')
+    control: str = process.setting(
+        '127.0.0.1:0', 'host:port of the control address'
+    )
 
 
 @attrs.define
 class Counts:
-    """What a relay has seen.
+    """Numbers of connections of a relay.
 
-    :ivar accepted: connections since its start
-    :ivar open: connections that it holds now
-    :ivar held: those of them that are stalled
+    :ivar accepted: connections accepted since the start
+    :ivar open: open connections
+    :ivar held: open connections that are stalled in any direction
     """
 
     accepted: int = 0
@@ -65,7 +63,9 @@
 class _Stream:
     """One direction of one connection.
 
-    :ivar flowing: cleared while the lane is held in silence
+    :ivar not_stalled: cleared while the stream is stalled
+    :ivar chunks: pairs of the time at which to send and the data, empty at
+        the end of the stream
     """
 
     direction: Direction
@@ -82,7 +82,7 @@
     streams: tuple[_Stream, _Stream]
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Reset the connections to the client and to the target."""
         for stream in self.streams:
             stream.writer.transport.abort()
 
@@ -97,17 +97,17 @@
 
 
 class Relay:
-    """Passes connections on to a target; methods are safe in any thread.
+    """Forwards connections to a target; the methods are thread-safe.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the relay listens on
     """
 
     def __init__(self, listen: str, target: str) -> None:
-        """Listen at once.
+        """Start to listen and to forward.
 
         :param listen: ``host:port``, port 0 for a free one
-        :param target: ``host:port`` to pass connections to
-        :raises OSError: when the port is taken
+        :param target: ``host:port`` to forward connections to
+        :raises OSError: if the port is in use
         """
         self.target = target
         self._accepted = 0
@@ -158,7 +158,7 @@
             tasks += [self._write(stream) for stream in streams]
             await asyncio.gather(*tasks)
         except (OSError, asyncio.CancelledError):
-            pass  # One end or the relay is gone, and so is the connection.
+            pass  # One end disconnected or the relay stops: close both ends.
         finally:
             self._connections.discard(connection)
             connection.abort()
@@ -217,14 +217,14 @@
     def stall(
         self, direction: Direction = Direction.BOTH, *, new: bool = False
     ) -> None:
-        """Hold the open connections in silence; neither end is told.
+        """Stall the open connections without closing them.
 
-        :param new: whether connections that come later are held too
+        :param new: whether later connections are stalled too
         """
         self._run(self._stall_connections(direction, new))
 
     def resume(self) -> None:
-        """Let held connections go on, with what they held."""
+        """Resume stalled connections; their buffered data is sent."""
         self._run(self._resume_connections())
 
     def cut(self) -> None:
@@ -238,10 +238,10 @@
         delay: float = 0.0,
         rate: float = 0.0,
     ) -> None:
-        """Slow all connections down.
+        """Set the delay and the rate limit of all connections.
 
-        :param delay: seconds that data takes to pass
-        :param rate: bytes a second of each connection, 0 for no limit
+        :param delay: delay of the data, in seconds
+        :param rate: bytes per second of each connection, 0 for no limit
         """
         for each in (Direction.FORWARD, Direction.BACKWARD):
             if _includes(each, direction):
@@ -253,7 +253,7 @@
         return self._run(self._count())
 
     def start(self) -> None:
-        """Do nothing: it has listened from the beginning."""
+        """Do nothing: a relay listens from its construction."""
 
     def _end_loop(self) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
@@ -270,14 +270,14 @@
         await asyncio.gather(*others, return_exceptions=True)
 
     def stop(self) -> None:
-        """Free the port and reset every connection."""
+        """Close the port and reset every connection."""
         with contextlib.suppress(TimeoutError):
             self._run(self._close())
         self._end_loop()
 
 
 class _Control(msgspec.Struct, forbid_unknown_fields=True):
-    """What to do; ``stall`` false lets held connections go on."""
+    """Faults to change; ``stall`` false resumes stalled connections."""
 
     stall: bool | None = None
     new: bool = False
@@ -290,7 +290,7 @@
 class ControlledRelay:
     """A relay with a control address.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the relay listens on
     :ivar control_port: port of ``GET`` and ``POST /control``
     """
 
@@ -302,11 +302,11 @@
 
     @classmethod
     def from_config(cls, config: Config) -> 'ControlledRelay':
-        """Build a relay; its ports are bound at once."""
+        """Build a relay and bind its ports."""
         return cls(config)
 
     def start(self) -> None:
-        """Begin to answer at the control address."""
+        """Start to serve the control address."""
         self._server.start()
 
     def stop(self) -> None:
--- a/packages/standins/src/dunlintide_standins/service.py
+++ b/packages/standins/src/dunlintide_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: records each call and echoes it."""
+"""Stand-in for a plain service that records and echoes each call."""
 
 from collections.abc import Callable
 from collections import deque
@@ -22,7 +22,7 @@
 
 
 def exit_process() -> None:
-    """Crash as a process does, without any clean-up."""
+    """Exit the process at once without clean-up, like a crash."""
     os._exit(_CRASH_STATUS)
 
 
@@ -31,14 +31,18 @@
     """Settings of a plain service."""
 
     listen: str = process.setting('127.0.0.1:0', 'host:port to listen on')
-    delay_seconds: float = process.setting(0.0, 'time that a call takes')
-    fail_rate: float = process.setting(0.0, 'share of calls answered 500')
-    crash_marker: str = process.setting('', 'text in a body that crashes')
-    seed: int = process.setting(0, 'seed of the failures')
+    delay_seconds: float = process.setting(0.0, 'duration of a call')
+    fail_rate: float = process.setting(
+        0.0, 'fraction of calls answered with status 500'
+    )
+    crash_marker: str = process.setting(
+        '', 'text in a body that crashes the service'
+    )
+    seed: int = process.setting(0, 'seed for the failures')
 
 
 class _Control(faults.Fault):
-    """Faults, the time that a call takes and the share that fails."""
+    """Faults, the duration of a call and the fraction that fails."""
 
     delay_seconds: float | None = None
     fail_rate: float | None = None
@@ -46,7 +50,7 @@
 
 @attrs.frozen
 class Run:
-    """Record of one call that ran, whatever came of its answer."""
+    """Record of one call that ran, even if its response was lost."""
 
     run: int
     request_id: str
@@ -60,7 +64,7 @@
 class Service:
     """A plain HTTP service.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the service listens on
     """
 
     def __init__(self, config: Config, crash: Callable[[], None]) -> None:
@@ -80,22 +84,22 @@
     def from_config(
         cls, config: Config, crash: Callable[[], None] | None = None
     ) -> 'Service':
-        """Build a service; its port is bound at once.
+        """Build a service and bind its port.
 
-        :param crash: what a crash does; by default the process exits
+        :param crash: called to crash; exits the process by default
         """
         return cls(config, crash or exit_process)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once and cut every connection."""
+        """Stop at once and close every connection."""
         self._server.stop()
 
     def runs(self) -> list[dict[str, Any]]:
-        """Give the record of runs, oldest first."""
+        """Return the record of runs, oldest first."""
         with self._lock:
             return [attrs.asdict(run) for run in self._runs]
 
@@ -127,7 +131,7 @@
         return web.json_answer(self._fault_injector.state() | state)
 
     def _record(self, request: web.Request) -> tuple[Run, bool]:
-        """Record a run; also tells whether it is to fail."""
+        """Record a run; return it and whether it is to fail."""
         headers = request.headers
         with self._lock:
             self._count += 1
--- a/packages/standins/src/dunlintide_standins/store/__main__.py
+++ b/packages/standins/src/dunlintide_standins/store/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the stand-in of the store as a process."""
+"""Run the stand-in of the store as a process."""
 
 from dunlintide_standins import process
 from dunlintide_standins.store import server
--- a/packages/standins/src/dunlintide_standins/store/calls.py
+++ b/packages/standins/src/dunlintide_standins/store/calls.py
@@ -1,7 +1,7 @@
-"""Calls on keys: range, put, delete and transactions.
+"""Operations on keys: range, put, delete and transactions.
 
-Each takes the decoded message and gives the body of the answer. The
-caller holds the state's lock.
+Each takes a decoded message and returns the body of the response. The
+caller must hold ``state.changed``.
 """
 
 import operator
@@ -45,7 +45,7 @@
 
 
 def header(state: states.State) -> Body:
-    """Build the header of an answer."""
+    """Build the header of a response."""
     return {
         'cluster_id': '1',
         'member_id': '1',
@@ -55,7 +55,7 @@
 
 
 def describe(pair: states.KeyValue) -> Body:
-    """Build the JSON form of a key; zero fields are left out."""
+    """Build the JSON form of a key, which omits zero fields."""
     body: Body = {'key': pair.key}
     numbers = {
         'create_revision': pair.create_revision,
@@ -70,7 +70,7 @@
 
 
 def read(state: states.State, call: messages.Range) -> Body:
-    """Answer a range."""
+    """Read a range."""
     found = state.find(call.key, call.range_end)
     body: Body = {'header': header(state)}
     if found:
@@ -134,7 +134,7 @@
     if satisfied:
         body['succeeded'] = True
     if responses:
-        # Answers inside a transaction carry only its revision.
+        # Headers of responses within a transaction have only the revision.
         inner = {'revision': str(state.revision)}
         for response in responses:
             for part in response.values():
@@ -152,7 +152,7 @@
 
 
 def check(call: messages.Put | messages.Txn) -> Result[None, str]:
-    """Check keys and sizes before anything of a call is applied."""
+    """Validate keys and sizes before any part of a call is applied."""
     if isinstance(call, messages.Put):
         return _check_put(call)
     for operation in call.success + call.failure:
--- a/packages/standins/src/dunlintide_standins/store/leases.py
+++ b/packages/standins/src/dunlintide_standins/store/leases.py
@@ -31,23 +31,23 @@
         self._thread = threading.Thread(target=self._sweep, daemon=True)
 
     def start(self) -> None:
-        """Begin to expire leases."""
+        """Start to expire leases."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Expire no more leases."""
+        """Stop expiring leases."""
         self._stopped.set()
 
     def exists(self, lease_id: int) -> bool:
-        """Tell whether a lease is held."""
+        """Return whether a lease exists."""
         return lease_id in self._leases
 
     def grant(self, lease_id: int, ttl: int) -> int | None:
         """Grant a lease.
 
-        :param lease_id: id that the caller asks for, 0 for any
-        :param ttl: seconds
-        :returns: its id, None when that id is taken
+        :param lease_id: requested id, 0 for any
+        :param ttl: time to live in seconds
+        :returns: id of the lease, None if the id is in use
         """
         with self._state.changed:
             lease_id = lease_id or next(self._ids)
@@ -60,7 +60,7 @@
     def keep_alive(self, lease_id: int) -> int:
         """Renew a lease.
 
-        :returns: its seconds to live, 0 when it isn't held any more
+        :returns: time to live in seconds, 0 if the lease does not exist
         """
         with self._state.changed:
             lease = self._leases.get(lease_id)
@@ -70,7 +70,7 @@
             return lease.ttl
 
     def revoke(self, lease_id: int) -> bool:
-        """Remove a lease and its keys; False when it isn't held."""
+        """Remove a lease and its keys; return False if it does not exist."""
         with self._state.changed:
             if self._leases.pop(lease_id, None) is None:
                 return False
--- a/packages/standins/src/dunlintide_standins/store/messages.py
+++ b/packages/standins/src/dunlintide_standins/store/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the JSON gateway, as published for etcd v3.
+"""Messages of etcd's v3 JSON gateway.
 
-Bytes are base64 in JSON and 64-bit integers are strings; both spellings
-of a field (``range_end``, ``rangeEnd``) are accepted.
+In JSON, bytes are base64 and 64-bit integers are strings. Field names are
+accepted in snake case and in camel case (``range_end``, ``rangeEnd``).
 """
 
 import re
@@ -71,7 +71,7 @@
 
 
 class Operation(msgspec.Struct):
-    """One operation of a transaction; one of the fields is set."""
+    """Operation of a transaction; exactly one of the fields is set."""
 
     request_range: Range | None = None
     request_put: Put | None = None
@@ -79,7 +79,11 @@
 
 
 class Txn(msgspec.Struct):
-    """Operations that are chosen by conditions and applied as one."""
+    """Atomic transaction.
+
+    ``success`` is applied if all conditions of ``compare`` hold, else
+    ``failure``.
+    """
 
     compare: list[Compare] = []
     success: list[Operation] = []
@@ -94,13 +98,13 @@
 
 
 class LeaseId(msgspec.Struct):
-    """Names a lease to keep alive or revoke."""
+    """Id of a lease to keep alive or revoke."""
 
     ID: int = 0
 
 
 class WatchCreate(msgspec.Struct):
-    """What to watch, from a revision on (0: from now)."""
+    """Keys to watch, from a revision on; 0 starts with the next one."""
 
     key: bytes = b''
     range_end: bytes = b''
@@ -109,7 +113,7 @@
 
 
 class Watch(msgspec.Struct):
-    """Opening message of a watch."""
+    """Message that opens a watch."""
 
     create_request: WatchCreate
 
@@ -130,7 +134,7 @@
 def decode(request: web.Request, kind: Any) -> Any:
     """Decode a gateway message.
 
-    :raises msgspec.ValidationError: when it doesn't fit the type
+    :raises msgspec.ValidationError: if the message does not fit the type
     """
     data = _to_snake_case(web.decode_json(request, Any))
     return msgspec.convert(data, kind, strict=False)
--- a/packages/standins/src/dunlintide_standins/store/server.py
+++ b/packages/standins/src/dunlintide_standins/store/server.py
@@ -1,4 +1,4 @@
-"""HTTP side of the store."""
+"""HTTP server and settings of the store."""
 
 import collections
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 _FAILED_PRECONDITION = 9
 _UNIMPLEMENTED = 12
 _NO_LEASE = 'etcdserver: requested lease not found'
-_NO_OLD_REVISIONS = 'reads of older revisions are not offered'
+_NO_OLD_REVISIONS = 'reads of older revisions are not supported'
 _LEASE_EXISTS = 'etcdserver: lease already exists'
 
 
@@ -34,7 +34,7 @@
 
 
 class _Control(faults.Fault):
-    """Faults, and whether to silence the watches that are open."""
+    """Faults, and whether to silence the open watches."""
 
     silence_watches: bool = False
 
@@ -45,9 +45,9 @@
 
 
 class Store:
-    """A key-value store that speaks a part of etcd's JSON gateway.
+    """A key-value store with a subset of etcd's JSON gateway.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the store listens on
     """
 
     def __init__(self, listen: str) -> None:
@@ -72,22 +72,22 @@
 
     @classmethod
     def from_config(cls, config: Config) -> 'Store':
-        """Build a store; its port is bound at once."""
+        """Build a store and bind its port."""
         return cls(config.listen)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
         self._leases.start()
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once and cut every connection."""
+        """Stop at once and close every connection."""
         self._leases.stop()
         self._watches.stop()
         self._server.stop()
 
     def report(self) -> dict[str, Any]:
-        """Give the faults that are on and the calls by kind."""
+        """Return the current faults, call counts and open watches."""
         kinds = {kind for kind, _ in self._routes.values()}
         counts = {kind: self._counts[kind] for kind in sorted(kinds)}
         watching = self._watches.open
--- a/packages/standins/src/dunlintide_standins/store/state.py
+++ b/packages/standins/src/dunlintide_standins/store/state.py
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class KeyValue:
-    """A key as of one revision; ``version`` 0 marks a removed one."""
+    """A key as of one revision; ``version`` is 0 for a removed key."""
 
     key: bytes
     value: bytes = b''
@@ -45,9 +45,10 @@
 
 
 def contains(key: bytes, start: bytes, end: bytes) -> bool:
-    """Tell whether a key is in a range of the gateway.
+    """Return whether a key is in a range.
 
-    :param end: empty for one key, a zero byte for all from ``start`` on
+    :param end: exclusive end, empty for the key ``start`` alone, a zero byte
+        for all keys from ``start`` on
     """
     if not end:
         return key == start
@@ -55,10 +56,10 @@
 
 
 class State:
-    """The store's data; callers hold ``changed`` around each use.
+    """Data of the store; callers hold ``changed`` around each use.
 
-    :ivar changed: condition that is notified at each change
-    :ivar generation: rises when the data is set back
+    :ivar changed: lock of the data, notified at each change
+    :ivar generation: incremented when the data is restored
     """
 
     def __init__(self) -> None:
@@ -75,11 +76,11 @@
         return self.revision, self._pairs.copy(), copy.copy(self._history)
 
     def save(self) -> None:
-        """Keep a copy of the data, as a backup does."""
+        """Back up the data."""
         self._saved = self._copy()
 
     def restore(self) -> None:
-        """Go back to the saved copy, revision and all."""
+        """Restore the backup, including its revision."""
         revision, pairs, history = self._saved
         self.revision = revision
         self._pairs = pairs.copy()
@@ -88,11 +89,11 @@
         self.changed.notify_all()
 
     def get(self, key: bytes) -> KeyValue:
-        """Give a key; one that doesn't exist has version 0."""
+        """Return a key; version 0 if it does not exist."""
         return self._pairs.get(key) or KeyValue(key)
 
     def find(self, start: bytes, end: bytes) -> list[KeyValue]:
-        """Give the keys of a range, in order."""
+        """Return the keys of a range, in order."""
         if not end:
             found = self._pairs.get(start)
             return [found] if found else []
@@ -101,15 +102,15 @@
         return [self._pairs[key] for key in keys]
 
     def find_leased(self, lease: int) -> list[KeyValue]:
-        """Give the keys that hang on a lease."""
+        """Return the keys that are attached to a lease."""
         return [pair for pair in self._pairs.values() if pair.lease == lease]
 
     def put(
         self, key: bytes, value: bytes, lease: int, revision: int
     ) -> KeyValue | None:
-        """Write a key as part of a revision; ``commit`` ends it.
+        """Write a key as part of a revision, which ``commit`` completes.
 
-        :returns: the key as it was, None for a new one
+        :returns: the previous state of the key, None if it did not exist
         """
         previous = self._pairs.get(key)
         created = previous.create_revision if previous else revision
@@ -122,7 +123,10 @@
     def delete(
         self, start: bytes, end: bytes, revision: int
     ) -> list[KeyValue]:
-        """Remove the keys of a range as part of a revision."""
+        """Remove the keys of a range as part of a revision.
+
+        :returns: the previous states of the keys
+        """
         removed = self.find(start, end)
         for pair in removed:
             del self._pairs[pair.key]
@@ -131,19 +135,19 @@
         return removed
 
     def commit(self, revision: int) -> None:
-        """Make a revision the current one, if anything changed in it."""
+        """Make a revision current if it changed any key."""
         if self._history and self._history[-1].revision == revision:
             self.revision = revision
             self.changed.notify_all()
 
     def get_oldest_revision(self) -> int:
-        """Give the first revision from which changes are still known."""
+        """Return the first revision from which all changes are kept."""
         if len(self._history) < MAX_HISTORY:
             return 1
         return self._history[0].revision + 1
 
     def list_events(self, revision: int) -> list[Event]:
-        """Give the changes from a revision on, in order."""
+        """Return the changes from a revision on, in order."""
         events: list[Event] = []
         for event in reversed(self._history):
             if event.revision < revision:
--- a/packages/standins/src/dunlintide_standins/store/watches.py
+++ b/packages/standins/src/dunlintide_standins/store/watches.py
@@ -1,4 +1,4 @@
-"""Watches of the store: streams of changes."""
+"""Watches of the store: streams of key changes."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -30,9 +30,9 @@
 
 
 class Watches:
-    """Streams changes to those who watch.
+    """Streams key changes to watchers.
 
-    :ivar open: number of watches that are open now
+    :ivar open: number of open watches
     """
 
     def __init__(
@@ -52,18 +52,23 @@
             self._state.changed.notify_all()
 
     def silence(self) -> None:
-        """Send nothing more on the watches open now, nor close them."""
+        """Stop sending on the open watches without closing them."""
         with self._state.changed:
             self._last_silenced = self._opened
 
     def _poll(
         self, call: messages.WatchCreate, start: int
     ) -> tuple[bytes | None, int]:
-        """Wait for changes; gives a message and the next revision."""
+        """Wait briefly for changes.
+
+        :param start: first revision to report
+        :returns: a message, None without changes, and the next revision to
+            start from
+        """
         state = self._state
         if state.revision < start:
             state.changed.wait(_POLL_SECONDS)
-        # Nothing is delivered while the store hangs, and nothing is lost.
+        # A hanging store sends nothing; the changes are sent afterwards.
         if self._fault_injector.hang:
             state.changed.wait(_POLL_SECONDS)
             return None, start
@@ -97,7 +102,7 @@
             yield None if number <= self._last_silenced else message
 
     def stream(self, call: messages.WatchCreate) -> Iterator[bytes | None]:
-        """Give the messages of one watch, None where there is nothing."""
+        """Yield the messages of a watch, and None after a wait without one."""
         state = self._state
         with state.changed:
             self.open += 1
--- a/packages/standins/src/dunlintide_standins/web.py
+++ b/packages/standins/src/dunlintide_standins/web.py
@@ -1,8 +1,8 @@
-"""A small HTTP server whose connections a stand-in can drop or stall.
+"""Small HTTP server whose connections a stand-in can drop or stall.
 
-It is built on the standard library's threading server and not on
-waitress, because a stand-in must be able to close a connection without
-an answer, leave one unanswered, and stream without an end.
+It uses the standard library's threading server rather than waitress,
+because a stand-in must be able to close a connection without a response,
+never respond, and stream without end.
 """
 
 from collections.abc import Callable
@@ -40,7 +40,7 @@
 class Request:
     """One HTTP request.
 
-    :ivar target: path and query as they were sent
+    :ivar target: path and query as sent
     :ivar path: path without the query, still percent-encoded
     :ivar query: query parameters, the last value of each
     :ivar headers: headers by lower-case name
@@ -56,12 +56,12 @@
 
 @attrs.frozen
 class Answer:
-    """One HTTP answer.
+    """One HTTP response.
 
-    :ivar parts: body in parts instead of ``body``; a None among them
-        sends nothing but ends the stream when the caller is gone
-    :ivar length: size of all parts in bytes; None sends them chunked
-    :ivar drop: close the connection and send nothing
+    :ivar parts: body in parts, replaces ``body``; a None sends nothing but
+        ends the stream if the caller has disconnected
+    :ivar length: total size of the parts in bytes, None for a chunked body
+    :ivar drop: whether to close the connection without a response
     """
 
     status: int = 200
@@ -76,20 +76,20 @@
 
 
 def json_answer(data: Any, status: int = 200) -> Answer:
-    """Build an answer that carries a value as JSON."""
+    """Build a response with a JSON body."""
     return Answer(status, msgspec.json.encode(data))
 
 
 def drop_connection() -> Answer:
-    """Build the answer that closes the connection instead."""
+    """Build the answer that closes the connection without a response."""
     return Answer(drop=True)
 
 
 def decode_json(request: Request, kind: Any) -> Any:
-    """Decode a request's body, an empty one as an empty object.
+    """Decode the JSON body of a request; an empty body is ``{}``.
 
     :param kind: type to decode to
-    :raises msgspec.ValidationError: when the body doesn't fit the type
+    :raises msgspec.ValidationError: if the body does not fit the type
     """
     return msgspec.json.decode(request.body or b'{}', type=kind)
 
@@ -154,7 +154,7 @@
                 self._send_parts(answer)
             return
         body = b'' if self.command == 'HEAD' else answer.body
-        # Head and body leave in one segment.
+        # Send head and body in one segment.
         self._headers_buffer.append(b'\r\n' + body)
         self.flush_headers()
 
@@ -170,7 +170,7 @@
 
 
 class _Listener(socketserver.ThreadingTCPServer):
-    """Takes connections, one thread each."""
+    """Accepts connections and serves each in a thread."""
 
     allow_reuse_address = True
     daemon_threads = True
@@ -194,12 +194,12 @@
         super().shutdown_request(request)
 
     def handle_error(self, request, client_address):
-        # Callers that went away are part of every fault test.
+        # Disconnected callers are expected in fault tests.
         if not isinstance(sys.exception(), OSError):
-            logging.exception('a call failed')
+            logging.exception('the handler of a request raised an exception')
 
     def shutdown_connections(self) -> None:
-        """Shut every open connection."""
+        """Shut down every open connection."""
         with self._lock:
             connections = list(self._open)
         for connection in connections:
@@ -208,13 +208,16 @@
 
 
 class Server:
-    """An HTTP server that answers through a handler."""
+    """An HTTP server that responds through a handler.
+
+    :ivar port: port that the server listens on
+    """
 
     def __init__(self, listen: str, handle: Handler) -> None:
-        """Bind the address; ``start`` begins.
+        """Bind the address without accepting connections yet.
 
         :param listen: ``host:port``, port 0 for a free one
-        :raises OSError: when the port is taken
+        :raises OSError: if the port is in use
         """
         host, _, port = listen.rpartition(':')
         self._listener = _Listener((host, int(port)), handle)
@@ -230,7 +233,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Free the port and shut every connection, answered or not."""
+        """Close the port and shut down every connection at once."""
         self._listener.shutdown()
         self._listener.server_close()
         self._listener.shutdown_connections()
--- a/packages/standins/src/dunlintide_standins/weights.py
+++ b/packages/standins/src/dunlintide_standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in for the weight store, whose total rate is limited."""
+"""Stand-in for the weight store with a limit on its total rate."""
 
 import collections
 from collections.abc import Iterator
@@ -23,22 +23,24 @@
     """Settings of the weight store."""
 
     listen: str = process.setting('127.0.0.1:0', 'host:port to listen on')
-    layer_bytes: int = process.setting(1_000_000, 'size of each layer')
+    layer_bytes: int = process.setting(
+        1_000_000, 'size of each layer, in bytes'
+    )
     bytes_per_second: float = process.setting(
-        10_000_000.0, 'rate over all readers'
+        10_000_000.0, 'total rate of all readers'
     )
 
 
 class _Control(faults.Fault):
-    """Faults, and the rate over all readers."""
+    """Faults, and the total rate of all readers."""
 
     bytes_per_second: float | None = None
 
 
 class _RateLimiter:
-    """Shares a rate among all who send.
+    """Limits the total rate of all senders.
 
-    :ivar rate: bytes a second
+    :ivar rate: bytes per second
     """
 
     def __init__(self, rate: float) -> None:
@@ -47,7 +49,7 @@
         self._lock = threading.Lock()
 
     def wait(self, size: int) -> None:
-        """Wait until so many bytes may have been sent."""
+        """Reserve time to send some bytes and wait until it has passed."""
         with self._lock:
             start = max(time.monotonic(), self._free_at)
             self._free_at = start + size / self.rate
@@ -56,9 +58,9 @@
 
 
 class WeightStore:
-    """Streams layers of weights at a limited total rate.
+    """Streams the weights of layers at a limited total rate.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the store listens on
     """
 
     def __init__(
@@ -74,15 +76,15 @@
 
     @classmethod
     def from_config(cls, config: Config) -> 'WeightStore':
-        """Build a weight store; its port is bound at once."""
+        """Build a weight store and bind its port."""
         return cls(config.listen, config.layer_bytes, config.bytes_per_second)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once and cut every connection."""
+        """Stop at once and close every connection."""
         self._server.stop()
 
     def _stream(self) -> Iterator[bytes]:
