--- a/packages/standins/src/dunlintide_standins/engine/server.py
+++ b/packages/standins/src/dunlintide_standins/engine/server.py
@@ -323,11 +323,7 @@
         with self._batcher.lock:
             imported = self._sessions.import_state(session_id, state)
         self._batcher.record_load()
-        return (
-            web.json_answer({})
-            if imported
-            else _refuse('the state does not fit', 409)
-        )
+        return web.json_answer({}) if imported else _refuse('no fit', 409)
 
     def _is_stale_order(self, order: messages.Order) -> bool:
         """Compare an order's fencing number with the highest one and keep it.
@@ -348,9 +344,7 @@
                 current = self._sessions.holding
             # The old layers are served until the new ones are loaded.
             if not self._loader.load(current, order):
-                return _refuse(
-                    'could not read a layer from the weight store', 503
-                )
+                return _refuse('the weight store failed', 503)
             self._load_layers(order)
         if self._fault_injector.should_drop_answer():
             return web.drop_connection()
--- a/packages/standins/src/dunlintide_standins/store/server.py
+++ b/packages/standins/src/dunlintide_standins/store/server.py
@@ -22,7 +22,7 @@
 _FAILED_PRECONDITION = 9
 _UNIMPLEMENTED = 12
 _NO_LEASE = 'etcdserver: requested lease not found'
-_NO_OLD_REVISIONS = 'reads of older revisions are not supported'
+_NO_OLD_REVISIONS = 'reads of older revisions are not offered'
 _LEASE_EXISTS = 'etcdserver: lease already exists'
 
 
