--- a/packages/standins/src/dunlintide_standins/engine/server.py
+++ b/packages/standins/src/dunlintide_standins/engine/server.py
@@ -224,11 +224,11 @@
         if not word or step.position or not step.activations:
             return False
         current = self._sessions.holding
-        crash_prompts = reference.compute_first_activation(
+        expected = reference.compute_first_activation(
             word, current.model, current.version, current.layer_start
         )
         first = step.activations[: messages.ACTIVATION_BYTES]
-        return messages.unpack(first) == [crash_prompts]
+        return messages.unpack(first) == [expected]
 
     def _run_steps(self, request: web.Request) -> web.Answer:
         steps = web.decode_json(request, messages.Steps).steps
@@ -345,12 +345,12 @@
             # The old layers are served until the new ones are loaded.
             if not self._loader.load(current, order):
                 return _refuse('the weight store failed', 503)
-            self._load_layers(order)
+            self._apply_order(order)
         if self._fault_injector.should_drop_answer():
             return web.drop_connection()
         return web.json_answer({})
 
-    def _load_layers(self, order: messages.Order) -> None:
+    def _apply_order(self, order: messages.Order) -> None:
         with self._batcher.lock:
             holding = session_store.Holding(
                 order.model, order.version, order.layer_start, order.layer_end
--- a/packages/standins/src/dunlintide_standins/relay.py
+++ b/packages/standins/src/dunlintide_standins/relay.py
@@ -87,7 +87,7 @@
             stream.writer.transport.abort()
 
 
-def _includes(direction: Direction, wanted: Direction) -> bool:
+def _matches(direction: Direction, wanted: Direction) -> bool:
     return wanted in (Direction.BOTH, direction)
 
 
@@ -192,7 +192,7 @@
         self._stalls_new = new
         for connection in self._connections:
             for stream in connection.streams:
-                if _includes(stream.direction, direction):
+                if _matches(stream.direction, direction):
                     stream.not_stalled.clear()
 
     async def _resume_connections(self) -> None:
@@ -244,7 +244,7 @@
         :param rate: bytes per second of each connection, 0 for no limit
         """
         for each in (Direction.FORWARD, Direction.BACKWARD):
-            if _includes(each, direction):
+            if _matches(each, direction):
                 self._delays[each] = delay
                 self._rates[each] = rate
 
