--- a/packages/standins/src/dunlintide_standins/engine/server.py
+++ b/packages/standins/src/dunlintide_standins/engine/server.py
@@ -44,7 +44,7 @@
     seconds_per_token: float = process.setting(
         0.0001, 'time that a token adds to a step'
     )
-    max_batch_tokens: int = process.setting(8192, 'maximum tokens in a step')
+    max_batch_tokens: int = process.setting(8192, 'maximum tokens in a batch')
     kv_tokens: int = process.setting(100_000, 'KV memory in tokens')
     preempts: bool = process.setting(
         False, 'preempt the newest sessions when the KV memory is full'
@@ -326,9 +326,10 @@
         return web.json_answer({}) if imported else _refuse('no fit', 409)
 
     def _is_stale_order(self, order: messages.Order) -> bool:
-        """Compare an order's fencing number with the highest one and keep it.
+        """Return whether to refuse an order for its fencing number.
 
-        The caller holds the lock of the batcher.
+        Records the highest number of accepted orders. The caller holds the
+        lock of the batcher.
         """
         if self._config.checks_fence and order.fence < self._fence:
             return True
--- a/packages/standins/src/dunlintide_standins/fleet/callers.py
+++ b/packages/standins/src/dunlintide_standins/fleet/callers.py
@@ -51,7 +51,7 @@
     def read_head(self) -> tuple[int, dict[str, str]]:
         """Read the status and the headers of a response.
 
-        :raises ConnectionResetError: if the connection closes before
+        :raises ConnectionResetError: if the connection closes first
         """
         first = self.file.readline()
         if not first:
