--- a/packages/cli/src/dunlintide_cli/checking.py
+++ b/packages/cli/src/dunlintide_cli/checking.py
@@ -161,6 +161,7 @@
         if not_exactly_one and not self.option('host'):
             return result.Err(
                 'exactly one of --model and --service is required'
+                ' without --host'
             )
         numbers: dict[str, int] = {}
         for name in ('priority', 'prompt-tokens'):
--- a/packages/cli/src/dunlintide_cli/daemons.py
+++ b/packages/cli/src/dunlintide_cli/daemons.py
@@ -84,7 +84,7 @@
             plain = [agent['endpoint'] for agent in agents]
             return result.Ok(cattrs.structure(plain, list[fleet.Endpoint]))
         except (KeyError, TypeError, cattrs.BaseValidationError):
-            text = 'the dump lists no endpoints: not the URL of an entry'
+            text = 'the dump lists no endpoints; give the URL of an entry'
             return result.Err(CallError(self.url, text))
 
 
--- a/packages/standins/src/dunlintide_standins/engine/messages.py
+++ b/packages/standins/src/dunlintide_standins/engine/messages.py
@@ -72,8 +72,8 @@
 class Result(msgspec.Struct, omit_defaults=True):
     """Result of a step.
 
-    :ivar count: number of positions that were run; it has no default because
-        ``omit_defaults`` would leave it out
+    :ivar count: number of positions that were run; it has no default, so
+        that ``omit_defaults`` never leaves it out
     """
 
     session: str
