--- a/packages/cli/src/dunlintide_cli/changes.py
+++ b/packages/cli/src/dunlintide_cli/changes.py
@@ -181,7 +181,7 @@
         old = base.document if base else b''
         new = current.document if current else b''
         if base is None and change.base:
-            # The base revision was deleted: show the diff from the new document.
+            # The base revision was deleted: diff from the new document.
             old = change.document
         output.print_text(revisions.diff_documents(old, new))
         return output.ExitCode.CONFLICT
