--- a/features/steps/edge_faults.py
+++ b/features/steps/edge_faults.py
@@ -15,7 +15,7 @@
     stall_after = None
     rate_limit = None
 
-    def take(self, name):
+    def consume(self, name):
         return False
 
     def __getattr__(self, name):
@@ -70,7 +70,7 @@
     state = {'cut': False}
 
     class Once(_NoFaults):
-        def take(self, name):
+        def consume(self, name):
             if name == 'cut' and not state['cut']:
                 state['cut'] = True
                 return True
@@ -91,8 +91,8 @@
     cut = engines[0].faults
 
     class Full(_NoFaults):
-        def take(self, name):
-            return cut.take(name)
+        def consume(self, name):
+            return cut.consume(name)
 
         @property
         def full(self):
