--- a/packages/cli/src/dunlintide_cli/reading.py
+++ b/packages/cli/src/dunlintide_cli/reading.py
@@ -1,4 +1,4 @@
-"""Commands that look at what is kept: show, diff, history, teams."""
+"""Commands that read the configuration: show, diff, history, teams."""
 
 import datetime
 import json
@@ -28,7 +28,7 @@
     return moment.isoformat(' ', 'seconds')
 
 
-class Show(sources.Reader):
+class Show(sources.ReadCommand):
     """``rules show``."""
 
     name = 'rules show'
@@ -40,21 +40,25 @@
     ]
 
     def handle(self) -> int:
-        """Print the document under a comment with its revision."""
+        """Print the document, preceded by a comment with its revision."""
         revision = self.option('revision')
         if revision and not revision.isdecimal():
-            return self.reject(f'--revision: not a number: {revision}')
+            return self.reject(
+                f'--revision: expected a number, got {revision}'
+            )
         read = self._read(int(revision)) if revision else self.read_current()
         if read.is_err():
             return self.fail(read.err_value)
         snapshot = read.ok_value
         if snapshot is None:
-            return self.fail('there is no such revision in the store')
+            return self.fail('no such revision in the store')
         document = json.loads(snapshot.document)
         if self.as_json:
             output.print_json({'head': snapshot.head, 'document': document})
         else:
-            output.print_text(files.build_base_mark(snapshot.head.revision))
+            output.print_text(
+                files.format_base_comment(snapshot.head.revision)
+            )
             output.print_json(document)
         return output.ExitCode.OK
 
@@ -63,12 +67,12 @@
     ) -> result.Result[configstore.Snapshot | None, object]:
         return self.open_store().and_then(
             lambda store: store.read_revision(revision).map_err(
-                lambda fault: fault.message
+                lambda error: error.message
             )
         )
 
 
-class Diff(sources.Reader):
+class Diff(sources.ReadCommand):
     """``rules diff``."""
 
     name = 'rules diff'
@@ -77,7 +81,7 @@
     options = [commands.STORE]
 
     def handle(self) -> int:
-        """Print a unified diff with one item on each line."""
+        """Print a unified diff from the document in force to the file."""
         draft = files.read_draft(self.argument('file'))
         if draft.is_err():
             return output.print_problems(draft.err_value)
@@ -91,18 +95,18 @@
         return output.ExitCode.OK
 
 
-class History(sources.Reader):
+class History(sources.ReadCommand):
     """``rules history``."""
 
     name = 'rules history'
-    description = 'List the revisions that are kept, the newest first.'
+    description = 'List the stored revisions, newest first.'
     options = [commands.JSON, commands.STORE]
 
     def handle(self) -> int:
         """Print a row for each revision."""
         read = self.open_store().and_then(
             lambda store: store.list_history().map_err(
-                lambda fault: fault.message
+                lambda error: error.message
             )
         )
         if read.is_err():
@@ -133,7 +137,7 @@
         }
 
 
-class Teams(sources.Reader):
+class Teams(sources.ReadCommand):
     """``members``."""
 
     name = 'members'
@@ -151,8 +155,8 @@
             output.print_json(teams)
             return output.ExitCode.OK
         rows = [
-            (one['name'], one['keys'], ', '.join(one['rules']))
-            for one in teams
+            (team_row['name'], team_row['keys'], ', '.join(team_row['rules']))
+            for team_row in teams
         ]
         output.print_table(('member', 'keys', 'rules that name it'), rows)
         return output.ExitCode.OK
--- a/packages/standins/src/dunlintide_standins/engine/batching.py
+++ b/packages/standins/src/dunlintide_standins/engine/batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching: one thread runs all waiting steps together."""
+"""Continuous batching: one thread runs queued steps in batches."""
 
 import collections
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 __all__ = ['Batcher', 'Load', 'Timing']
 
-_SMOOTHING = 0.2
+_SMOOTHING_FACTOR = 0.2
 _RATE_WINDOW_SECONDS = 1.0
 _HANG_POLL_SECONDS = 0.05
 _STOP_POLL_SECONDS = 1.0
@@ -22,14 +22,15 @@
 
 @attrs.frozen
 class Timing:
-    """What a step takes and how much fits in one.
-
-    :ivar base: seconds of a step with no tokens
-    :ivar per_token: seconds for each token in it
-    :ivar max_tokens: bound on the tokens of a step
-    :ivar load_lag: age in seconds of the load that is reported
-    :ivar preempts: whether a full KV memory preempts the newest session
-        in place of refusing steps
+    """Simulated duration and size limit of a batch.
+
+    :ivar base: seconds of a batch with no tokens
+    :ivar per_token: additional seconds for each token
+    :ivar max_tokens: maximum number of tokens in a batch, unless its first
+        step alone has more
+    :ivar load_lag: age of the reported load, in seconds
+    :ivar preempts: whether the newest sessions are preempted when the KV
+        memory is full, instead of refusing steps
     """
 
     base: float
@@ -41,7 +42,7 @@
 
 @attrs.frozen
 class Load:
-    """Load of the engine at one moment."""
+    """Load of the engine at a point in time."""
 
     running: int = 0
     queued: int = 0
@@ -53,33 +54,33 @@
 
 @attrs.define(eq=False)
 class _Call:
-    """Steps of one HTTP call, and their results as they come."""
+    """Steps of one HTTP call, and their results so far."""
 
     results: list[messages.Result | None]
-    left: int
+    remaining: int
     done: threading.Event = attrs.Factory(threading.Event)
 
 
 @attrs.define(eq=False)
-class _Work:
+class _QueuedStep:
     call: _Call
     index: int
     step: messages.Step
     activations: list[int]
 
     def finish(self, result: messages.Result) -> None:
-        """Hand in the result; the last one ends the call."""
+        """Store the result and wake the caller after the last one."""
         self.call.results[self.index] = result
-        self.call.left -= 1
-        if not self.call.left:
+        self.call.remaining -= 1
+        if not self.call.remaining:
             self.call.done.set()
 
 
 class Batcher:
-    """Merges the steps of all open calls into a running batch.
+    """Queues the steps of all open calls and runs them in batches.
 
-    :ivar slow_factor: multiplies the time of each step
-    :ivar lock: guards the sessions
+    :ivar slow_factor: factor on the duration of each batch
+    :ivar lock: guards the sessions and the prefix cache
     """
 
     def __init__(
@@ -87,15 +88,15 @@
         sessions: session_store.Sessions,
         cache: caches.PrefixCache,
         timing: Timing,
-        hangs: Callable[[], bool],
+        is_hanging: Callable[[], bool],
     ) -> None:
         self.slow_factor = 1.0
         self.lock = threading.Lock()
         self._sessions = sessions
         self._cache = cache
         self._timing = timing
-        self._hangs = hangs
-        self._waiting: list[_Work] = []
+        self._is_hanging = is_hanging
+        self._waiting: list[_QueuedStep] = []
         self._arrived = threading.Condition()
         self._stopped = False
         self._step_seconds = 0.0
@@ -106,11 +107,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to run batches."""
+        """Start to run batches in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Run no further batch; waiting steps get no result."""
+        """Stop running batches; queued steps get no result."""
         with self._arrived:
             self._stopped = True
             self._arrived.notify()
@@ -118,27 +119,29 @@
     def run(self, steps: list[messages.Step]) -> list[messages.Result] | None:
         """Queue steps and wait until all have run.
 
-        :returns: a result for each, None when the engine was stopped
+        :returns: a result for each step, None if the engine was stopped
         """
         call = _Call([None] * len(steps), len(steps))
-        works = []
+        new_steps = []
         for index, step in enumerate(steps):
             activations = self._read_input(step)
-            work = _Work(call, index, step, activations)
+            queued_step = _QueuedStep(call, index, step, activations)
             if activations:
-                works.append(work)
+                new_steps.append(queued_step)
             else:
-                work.finish(messages.fail(step, messages.Code.BAD_STEP))
+                queued_step.finish(
+                    messages.build_failure(step, messages.ErrorCode.BAD_STEP)
+                )
         with self._arrived:
-            self._waiting += works
+            self._waiting += new_steps
             self._arrived.notify()
-        while call.left and not call.done.wait(_STOP_POLL_SECONDS):
+        while call.remaining and not call.done.wait(_STOP_POLL_SECONDS):
             if self._stopped:
                 return None
         return call.results
 
     def _read_input(self, step: messages.Step) -> list[int]:
-        """Give a step's input activations, none for a malformed step."""
+        """Return the input activations of a step, empty if it is malformed."""
         holding = self._sessions.holding
         if holding.layer_start >= holding.layer_end:
             return []
@@ -154,15 +157,17 @@
         )
         return reference.embed(token_ids + (step.tokens or []))
 
-    def _take(self) -> list[_Work]:
-        """Wait for steps and take what one batch holds, by priority."""
+    def _take_batch(self) -> list[_QueuedStep]:
+        """Wait for steps and remove one batch from the queue, by priority."""
         with self._arrived:
             while not self._waiting and not self._stopped:
                 self._arrived.wait()
-            self._waiting.sort(key=lambda work: work.step.priority)
+            self._waiting.sort(
+                key=lambda queued_step: queued_step.step.priority
+            )
             size = 0
-            for index, work in enumerate(self._waiting):
-                size += len(work.activations)
+            for index, queued_step in enumerate(self._waiting):
+                size += len(queued_step.activations)
                 if index and size > self._timing.max_tokens:
                     break
             else:
@@ -171,54 +176,61 @@
             del self._waiting[:index]
             return batch
 
-    def _compute(self, batch: list[_Work]) -> tuple[list, int]:
-        """Run a batch; gives the results and the tokens to pay for."""
+    def _compute(self, batch: list[_QueuedStep]) -> tuple[list, int]:
+        """Run a batch.
+
+        :returns: the results, and the number of tokens that take time:
+            those of the results and those that are recomputed, without
+            those found in the prefix cache
+        """
         results = []
         tokens = 0
         with self.lock:
-            for work in batch:
-                step = work.step
-                again = 0
+            for queued_step in batch:
+                step = queued_step.step
+                to_recompute = 0
                 if self._timing.preempts:
-                    count = len(work.activations)
-                    again = self._sessions.make_room(step.session, count)
-                if again is None:
-                    code = messages.Code.KV_WAIT
-                    results.append(messages.fail(step, code))
+                    count = len(queued_step.activations)
+                    to_recompute = self._sessions.preempt_for(
+                        step.session, count
+                    )
+                if to_recompute is None:
+                    code = messages.ErrorCode.KV_WAIT
+                    results.append(messages.build_failure(step, code))
                     continue
-                tokens += again
-                result = self._sessions.run(step, work.activations)
+                tokens += to_recompute
+                result = self._sessions.run(step, queued_step.activations)
                 results.append(result)
                 tokens += result.count
                 if result.count and not step.position:
                     tokens -= self._cache.match(
-                        step.session, step.cache_salt, work.activations
+                        step.session, step.cache_salt, queued_step.activations
                     )
         return results, tokens
 
     def _run(self) -> None:
         while not self._stopped:
-            batch = self._take()
+            batch = self._take_batch()
             started = time.monotonic()
             results, tokens = self._compute(batch)
-            self._note_load(started)
+            self._record_load(started)
             seconds = self._timing.base + self._timing.per_token * tokens
             end = started + seconds * self.slow_factor
             time.sleep(max(0.0, end - time.monotonic()))
-            while self._hangs() and not self._stopped:
+            while self._is_hanging() and not self._stopped:
                 time.sleep(_HANG_POLL_SECONDS)
-            self._note_step(started, sum(item.count for item in results))
-            for work, result in zip(batch, results):
-                work.finish(result)
+            self._record_step(started, sum(item.count for item in results))
+            for queued_step, result in zip(batch, results):
+                queued_step.finish(result)
 
-    def _note_step(self, started: float, tokens: int) -> None:
+    def _record_step(self, started: float, tokens: int) -> None:
         now = time.monotonic()
         change = now - started - self._step_seconds
-        self._step_seconds += _SMOOTHING * change
+        self._step_seconds += _SMOOTHING_FACTOR * change
         self._finished.append((now, tokens))
-        self._note_load(now)
+        self._record_load(now)
 
-    def _note_load(self, now: float) -> None:
+    def _record_load(self, now: float) -> None:
         finished = self._finished
         while finished and finished[0][0] < now - _RATE_WINDOW_SECONDS:
             finished.popleft()
@@ -236,17 +248,17 @@
             self._trim_loads(now)
 
     def _trim_loads(self, now: float) -> None:
-        # Keep the newest record that is old enough to be reported.
+        # The first record is the newest one that is old enough to be reported.
         before = now - self._timing.load_lag
         while len(self._loads) > 1 and self._loads[1][0] <= before:
             self._loads.popleft()
 
     def read_load(self) -> Load:
-        """Give the load as it was a lag ago."""
+        """Return the load as of ``load_lag`` seconds ago."""
         with self._arrived:
             self._trim_loads(time.monotonic())
             return self._loads[0][1]
 
-    def note_change(self) -> None:
+    def record_load(self) -> None:
         """Record the load after a change outside of a batch."""
-        self._note_load(time.monotonic())
+        self._record_load(time.monotonic())
--- a/packages/standins/src/dunlintide_standins/fleet/runners.py
+++ b/packages/standins/src/dunlintide_standins/fleet/runners.py
@@ -1,4 +1,4 @@
-"""Stand-ins of engines that hold layers, and of plain services."""
+"""Stand-ins of engines with model layers, and of plain services."""
 
 import asyncio
 import hashlib
@@ -19,24 +19,28 @@
     'Runner',
 ]
 
-_numbers = itertools.count(1)
+_id_numbers = itertools.count(1)
 
 
 @attrs.define
 class Faults:
-    """What is wrong with a runner.
-
-    :ivar full: whether it refuses requests as full
-    :ivar fail: requests that it runs and fails, a count
-    :ivar lose: answers that it loses with a reset, a count
-    :ivar cut: streams that it cuts within an event, a count
-    :ivar extra: answers behind which it sends a second one, a count
-    :ivar unframed: answers that it sends without a length, a count
-    :ivar stall: whether work that comes to it stands still
-    :ivar stall_after: events of a stream behind which its runner stalls
-    :ivar lose_orders: orders that it carries out later, unanswered
-    :ivar order_delay: seconds until such an order is carried out
-    :ivar rate_limit: requests a second that it names, None for no limit
+    """Injected faults of a runner.
+
+    A count is the number of further times that the fault occurs.
+
+    :ivar full: whether the runner refuses requests as full
+    :ivar fail: count of calls to run and to answer with an error
+    :ivar lose: count of calls to run and to reset without a response
+    :ivar cut: count of streams to reset within an event
+    :ivar extra: count of responses to follow by a second, unrelated one
+    :ivar unframed: count of responses to send without Content-Length
+    :ivar stall: whether calls and streams through the runner stop
+    :ivar stall_after: number of events after which a stream stops, None
+        for no stop
+    :ivar lose_orders: count of orders to execute late, without a response
+    :ivar order_delay: delay of such an order, in seconds
+    :ivar rate_limit: value of ``Server-Limit`` in requests per second, None
+        to leave the header out
     """
 
     full: bool = False
@@ -51,8 +55,8 @@
     order_delay: float = 0.0
     rate_limit: float | None = None
 
-    def take(self, name: str) -> bool:
-        """Use up one of a count."""
+    def consume(self, name: str) -> bool:
+        """Decrement a count; return whether it was above zero."""
         left = getattr(self, name)
         if left > 0:
             setattr(self, name, left - 1)
@@ -61,13 +65,13 @@
 
 @attrs.define
 class Run:
-    """A request that a runner began to work on.
+    """Execution of a request by a runner.
 
-    :ivar hops: address, first and last layer of each part, as asked
-    :ivar after: event behind which it began
-    :ivar began: monotonic time of its begin, in seconds
-    :ivar events: events that it made
-    :ivar ended: how it ended, empty while it runs
+    :ivar hops: address, first layer and end layer of each hop of the chain
+    :ivar after: number of the last event that the caller has already
+    :ivar began: monotonic time of the start, in seconds
+    :ivar events: number of events sent
+    :ivar ended: outcome, empty while the request runs
     """
 
     request: str
@@ -81,7 +85,7 @@
 
 
 def parse_hops(text: str) -> list[tuple[str, int, int]]:
-    """Read a chain from its header."""
+    """Parse the hops of a chain from the ``Hop-Count`` header."""
     hops = []
     for part in filter(None, text.split(',')):
         address, _, span = part.partition('=')
@@ -90,19 +94,24 @@
     return hops
 
 
-def sign(name: str, body: bytes) -> str:
-    """Build the signature of an answer."""
+def compute_stamp(name: str, body: bytes) -> str:
+    """Compute the ``Server-Stamp`` header from a runner's id and a body."""
     return hashlib.sha256(name.encode() + body).hexdigest()[:16]
 
 
 class Runner:
-    """One engine, or one plain service without a kind of card.
-
-    :ivar runs: requests that it began, over all of its lives
-    :ivar arrivals: monotonic times of all that it got, reports and orders
-        too, in seconds
-    :ivar orders: orders that it has accepted in this life
-    :ivar born: start of this life, Unix milliseconds, None to tell none
+    """One engine, or one plain service if ``kind`` is empty.
+
+    A runner can be started several times, each time as a new instance.
+
+    :ivar kind: kind of accelerator
+    :ivar runs: requests run by all instances
+    :ivar arrivals: monotonic times of all requests received, reports and
+        orders included, in seconds
+    :ivar orders: number of orders to the instance whose precondition held
+    :ivar born: start of the instance in Unix milliseconds, None to leave it
+        out of entries and reports
+    :ivar overloaded: whether an order ever exceeded the accelerator's memory
     """
 
     def __init__(
@@ -133,28 +142,28 @@
 
     @property
     def key(self) -> str:
-        """Key of its entry in the store."""
+        """Key of the runner's entry in the store."""
         return f'servers/{self.name}'
 
     async def start(self) -> None:
-        """Begin a life with a new id, and be listed."""
-        self.name = f'i-{next(_numbers):06x}'
+        """Start an instance with a new id and write its entry."""
+        self.name = f'i-{next(_id_numbers):06x}'
         self.layers = None
         self.orders = 0
         self.crashed = False
         self._server = await wire.listen(self._handle, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
-        await self.list_itself()
+        await self.write_entry()
 
-    async def begin_again(self) -> None:
-        """Begin another life under the same id, empty."""
+    async def restart_with_same_id(self) -> None:
+        """Start a new instance without layers under the same id."""
         self.born = int(time.time() * 1000)
         self.layers = None
         self.orders = 0
-        await self.list_itself()
+        await self.write_entry()
 
-    async def list_itself(self, state: str = 'ready') -> None:
-        """Write its entry."""
+    async def write_entry(self, state: str = 'ready') -> None:
+        """Write the runner's entry to the store."""
         self._seq += 1
         entry: dict[str, Any] = {
             'service': self.service,
@@ -177,16 +186,16 @@
                 entry['layers'] = [held]
         await self.fleet.store.report(self.key, entry)
 
-    async def crash(self, listed: bool = True) -> None:
-        """End at once.
+    async def crash(self, keep_entry: bool = True) -> None:
+        """Stop at once.
 
-        :param listed: whether its entry stays for now
+        :param keep_entry: whether the entry stays in the store
         """
         self.crashed = True
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
-        if not listed:
+        if not keep_entry:
             await self.fleet.store.remove(self.key)
 
     async def _handle(
@@ -210,9 +219,9 @@
         if request.path == '/report':
             await channel.answer(200, json.dumps(self._report()).encode())
         elif request.path == '/order':
-            await self._take_order(json.loads(request.body), channel)
+            await self._handle_order(json.loads(request.body), channel)
         else:
-            await self._take_request(request, channel)
+            await self._handle_request(request, channel)
 
     def _report(self) -> dict[str, Any]:
         held = []
@@ -232,33 +241,35 @@
             report['born'] = self.born
         return report
 
-    async def _take_order(self, order: dict, channel: wire.Channel) -> None:
-        if self.faults.take('lose_orders'):
+    async def _handle_order(self, order: dict, channel: wire.Channel) -> None:
+        if self.faults.consume('lose_orders'):
             await asyncio.sleep(self.faults.order_delay)
-            await self._carry_out(order)
+            await self._execute_order(order)
             await asyncio.sleep(3600)
-        await channel.answer(await self._carry_out(order))
+        await channel.answer(await self._execute_order(order))
 
-    async def _carry_out(self, order: dict) -> int:
+    async def _execute_order(self, order: dict) -> int:
         if order.get('precondition', self.orders) != self.orders:
             return 409
         self.orders += 1
         span = order['from'], order['to']
-        most = self.fleet.count_most(self.kind)
-        if span[1] - span[0] > most:
+        max_layers = self.fleet.compute_max_layers(self.kind)
+        if span[1] - span[0] > max_layers:
             self.overloaded = True
             return 400
         self.layers = span
-        await self.list_itself()
+        await self.write_entry()
         return 202
 
-    async def _refuse(self, channel: wire.Channel, culprit: str = '') -> None:
+    async def _refuse(
+        self, channel: wire.Channel, unready_address: str = ''
+    ) -> None:
         headers = {'Not-Executed': '1'}
-        if culprit:
-            headers['At-Server'] = culprit
+        if unready_address:
+            headers['At-Server'] = unready_address
         await channel.answer(503, b'', headers)
 
-    async def _take_request(
+    async def _handle_request(
         self, request: wire.Request, channel: wire.Channel
     ) -> None:
         headers = request.headers
@@ -271,9 +282,9 @@
             return
         hops = parse_hops(headers.get('hop-count', ''))
         if self.kind:
-            culprit = self._find_culprit(hops)
-            if culprit:
-                await self._refuse(channel, culprit)
+            unready_address = self._find_unready_hop(hops)
+            if unready_address:
+                await self._refuse(channel, unready_address)
                 return
         after = int(headers.get('last-event-id', 0))
         run = Run(
@@ -294,8 +305,8 @@
             run.ended = run.ended or 'cancelled'
             raise
 
-    def _find_culprit(self, hops: list[tuple[str, int, int]]) -> str:
-        """Find the part of a chain that does not hold its layers."""
+    def _find_unready_hop(self, hops: list[tuple[str, int, int]]) -> str:
+        """Return the address of a hop that lacks its layers, empty if none."""
         for address, first, last in hops:
             runner = self.fleet.find(address)
             held = runner.layers if runner else None
@@ -303,8 +314,8 @@
                 return address
         return ''
 
-    async def _wait_for_parts(self, run: Run) -> None:
-        """Stand still while a part of the chain does, or is dead."""
+    async def _wait_for_hops(self, run: Run) -> None:
+        """Wait while a runner of the chain is stalled or crashed."""
         while any(
             runner is not None and (runner.faults.stall or runner.crashed)
             for runner in (self.fleet.find(hop[0]) for hop in run.hops)
@@ -318,13 +329,13 @@
         headers = {
             'Attempt-Id': run.request,
             'Content-Type': 'text/event-stream',
-            'Server-Stamp': sign(self.name, run.request.encode()),
+            'Server-Stamp': compute_stamp(self.name, run.request.encode()),
         }
-        await self._wait_for_parts(run)
+        await self._wait_for_hops(run)
         await channel.send(channel.build_head(200, headers, None))
         for number in range(run.after + 1, count + 1):
             await asyncio.sleep(self.fleet.event_seconds)
-            await self._wait_for_parts(run)
+            await self._wait_for_hops(run)
             if self.faults.stall_after == run.events:
                 await asyncio.sleep(3600)
             data = b'id: %d\ndata: %s-%d\n\n' % (
@@ -332,7 +343,7 @@
                 run.request.encode(),
                 number,
             )
-            if run.events == 2 and self.faults.take('cut'):
+            if run.events == 2 and self.faults.consume('cut'):
                 half = data[: len(data) // 2]
                 await channel.send(b'%x\r\n%b\r\n' % (len(half), half))
                 run.ended = 'cut'
@@ -347,30 +358,30 @@
         self, request: wire.Request, channel: wire.Channel, run: Run
     ) -> None:
         await asyncio.sleep(self.fleet.call_seconds)
-        await self._wait_for_parts(
+        await self._wait_for_hops(
             Run('', '', {}, [(self.address, 0, 0)], 0, 0.0)
         )
         body = b'answer to ' + run.request.encode()
         run.ended = 'ok'
-        if self.faults.take('lose'):
+        if self.faults.consume('lose'):
             channel.reset()
             return
         headers = {
             'Attempt-Id': run.request,
-            'Server-Stamp': sign(self.name, body),
+            'Server-Stamp': compute_stamp(self.name, body),
         }
-        if self.faults.take('fail'):
+        if self.faults.consume('fail'):
             run.ended = 'failed'
             await channel.answer(500, b'broken', headers)
             return
-        if self.faults.take('unframed'):
+        if self.faults.consume('unframed'):
             head = channel.build_head(200, headers, 0)
             head = head.replace(b'Content-Length: 0\r\n', b'')
             await channel.send(head + body)
             channel.close()
             return
         await channel.answer(200, body, headers)
-        if self.faults.take('extra'):
+        if self.faults.consume('extra'):
             headers['Attempt-Id'] = 'another'
             await channel.answer(200, b'not yours', headers)
 
@@ -379,26 +390,29 @@
 class Fleet:
     """All runners of a deployment.
 
-    :ivar cards: memory of each kind of card, in MB
+    :ivar layers: number of layers of the model
+    :ivar layer_mb: size of a layer, in MB
+    :ivar accelerator_mb: memory of each kind of accelerator, in MB
+    :ivar slots: slots of each runner, as in its entry
     :ivar event_seconds: time between two events of a stream
-    :ivar call_seconds: time of a plain call
+    :ivar call_seconds: duration of a plain call
     """
 
     store: stores.Store
     layers: int
     layer_mb: float
-    cards: dict[str, float]
+    accelerator_mb: dict[str, float]
     slots: int = 16
     event_seconds: float = 0.01
     call_seconds: float = 0.02
     runners: list[Runner] = attrs.field(factory=list)
 
-    def count_most(self, kind: str) -> int:
-        """Tell how many layers a card holds at most."""
-        return int(self.cards[kind] // self.layer_mb)
+    def compute_max_layers(self, kind: str) -> int:
+        """Return the number of layers that fit in an accelerator's memory."""
+        return int(self.accelerator_mb[kind] // self.layer_mb)
 
     def find(self, address: str) -> Runner | None:
-        """Find the runner at an address."""
+        """Find the runner at an address, None if there is none."""
         for runner in self.runners:
             if runner.address == address:
                 return runner
--- a/packages/standins/src/dunlintide_standins/relay.py
+++ b/packages/standins/src/dunlintide_standins/relay.py
@@ -1,8 +1,7 @@
-"""Relay between two ends of a TCP connection, to harm what passes.
+"""TCP relay that injects network faults.
 
-It stands for the network: it can hold connections in silence while new
-ones work, cut them, delay them and limit their bandwidth, in one
-direction or both.
+A relay can stall open connections while new ones work, reset them, delay
+their data and limit their bandwidth, in one direction or both.
 """
 
 import asyncio
@@ -28,10 +27,7 @@
 
 
 class Direction(enum.StrEnum):
-    """Which way data goes.
-
-    ``FORWARD`` is from the one who connected to the target.
-    """
+    """Direction of data; ``FORWARD`` is from the client to the target."""
 
     FORWARD = 'forward'
     BACKWARD = 'backward'
@@ -40,20 +36,22 @@
 
 @attrs.frozen
 class Config:
-    """Settings of a relay that is a process of its own."""
+    """Settings of a relay that runs as a process."""
 
     listen: str = process.setting('127.0.0.1:0', 'host:port to listen on')
-    target: str = process.setting('', 'host:port to pass connections to')
-    control: str = process.setting('127.0.0.1:0', 'host:port for control')
+    target: str = process.setting('', 'host:port to forward connections to')
+    control: str = process.setting(
+        '127.0.0.1:0', 'host:port of the control address'
+    )
 
 
 @attrs.define
 class Counts:
-    """What a relay has seen.
+    """Numbers of connections of a relay.
 
-    :ivar accepted: connections since its start
-    :ivar open: connections that it holds now
-    :ivar held: those of them that are stalled
+    :ivar accepted: connections accepted since the start
+    :ivar open: open connections
+    :ivar held: open connections that are stalled in any direction
     """
 
     accepted: int = 0
@@ -62,16 +60,18 @@
 
 
 @attrs.define(eq=False)
-class _Lane:
+class _Stream:
     """One direction of one connection.
 
-    :ivar flowing: cleared while the lane is held in silence
+    :ivar not_stalled: cleared while the stream is stalled
+    :ivar chunks: pairs of the time at which to send and the data, empty at
+        the end of the stream
     """
 
     direction: Direction
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    flowing: asyncio.Event = attrs.field(factory=asyncio.Event)
+    not_stalled: asyncio.Event = attrs.field(factory=asyncio.Event)
     chunks: asyncio.Queue = attrs.field(
         factory=lambda: asyncio.Queue(_MAX_CHUNKS)
     )
@@ -79,15 +79,15 @@
 
 @attrs.define(eq=False)
 class _Connection:
-    lanes: tuple[_Lane, _Lane]
+    streams: tuple[_Stream, _Stream]
 
     def abort(self) -> None:
-        """Reset both ends."""
-        for lane in self.lanes:
-            lane.writer.transport.abort()
+        """Reset the connections to the client and to the target."""
+        for stream in self.streams:
+            stream.writer.transport.abort()
 
 
-def _select(direction: Direction, wanted: Direction) -> bool:
+def _matches(direction: Direction, wanted: Direction) -> bool:
     return wanted in (Direction.BOTH, direction)
 
 
@@ -97,17 +97,17 @@
 
 
 class Relay:
-    """Passes connections on to a target; methods are safe in any thread.
+    """Forwards connections to a target; the methods are thread-safe.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the relay listens on
     """
 
     def __init__(self, listen: str, target: str) -> None:
-        """Listen at once.
+        """Start to listen and to forward.
 
         :param listen: ``host:port``, port 0 for a free one
-        :param target: ``host:port`` to pass connections to
-        :raises OSError: when the port is taken
+        :param target: ``host:port`` to forward connections to
+        :raises OSError: if the port is in use
         """
         self.target = target
         self._accepted = 0
@@ -140,72 +140,76 @@
         self._accepted += 1
         dialled = asyncio.open_connection(*_split_address(self.target))
         try:
-            far = await asyncio.wait_for(dialled, _CONNECT_SECONDS)
+            target_pair = await asyncio.wait_for(dialled, _CONNECT_SECONDS)
         except (OSError, asyncio.TimeoutError):
             writer.transport.abort()
             return
-        lanes = (
-            _Lane(Direction.FORWARD, reader, far[1]),
-            _Lane(Direction.BACKWARD, far[0], writer),
+        streams = (
+            _Stream(Direction.FORWARD, reader, target_pair[1]),
+            _Stream(Direction.BACKWARD, target_pair[0], writer),
         )
-        connection = _Connection(lanes)
+        connection = _Connection(streams)
         if not self._stalls_new:
-            for lane in lanes:
-                lane.flowing.set()
+            for stream in streams:
+                stream.not_stalled.set()
         self._connections.add(connection)
         try:
-            tasks = [self._read(lane) for lane in lanes]
-            tasks += [self._write(lane) for lane in lanes]
+            tasks = [self._read(stream) for stream in streams]
+            tasks += [self._write(stream) for stream in streams]
             await asyncio.gather(*tasks)
         except (OSError, asyncio.CancelledError):
-            pass  # One end or the relay is gone, and so is the connection.
+            pass  # One end disconnected or the relay stops: close both ends.
         finally:
             self._connections.discard(connection)
             connection.abort()
 
-    async def _read(self, lane: _Lane) -> None:
+    async def _read(self, stream: _Stream) -> None:
         data = b'more'
         while data:
-            data = await lane.reader.read(_CHUNK_BYTES)
-            await lane.flowing.wait()
-            due = time.monotonic() + self._delays[lane.direction]
-            await lane.chunks.put((due, data))
+            data = await stream.reader.read(_CHUNK_BYTES)
+            await stream.not_stalled.wait()
+            due = time.monotonic() + self._delays[stream.direction]
+            await stream.chunks.put((due, data))
 
-    async def _write(self, lane: _Lane) -> None:
+    async def _write(self, stream: _Stream) -> None:
         while True:
-            due, data = await lane.chunks.get()
+            due, data = await stream.chunks.get()
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            rate = self._rates[lane.direction]
+            rate = self._rates[stream.direction]
             if rate:
                 await asyncio.sleep(len(data) / rate)
-            await lane.flowing.wait()
+            await stream.not_stalled.wait()
             if not data:
-                if lane.writer.can_write_eof():
-                    lane.writer.write_eof()
+                if stream.writer.can_write_eof():
+                    stream.writer.write_eof()
                 return
-            lane.writer.write(data)
-            await lane.writer.drain()
+            stream.writer.write(data)
+            await stream.writer.drain()
 
-    async def _hold(self, direction: Direction, new: bool) -> None:
+    async def _stall_connections(
+        self, direction: Direction, new: bool
+    ) -> None:
         self._stalls_new = new
         for connection in self._connections:
-            for lane in connection.lanes:
-                if _select(lane.direction, direction):
-                    lane.flowing.clear()
+            for stream in connection.streams:
+                if _matches(stream.direction, direction):
+                    stream.not_stalled.clear()
 
-    async def _flow(self) -> None:
+    async def _resume_connections(self) -> None:
         self._stalls_new = False
         for connection in self._connections:
-            for lane in connection.lanes:
-                lane.flowing.set()
+            for stream in connection.streams:
+                stream.not_stalled.set()
 
-    async def _abort(self) -> None:
+    async def _reset_connections(self) -> None:
         for connection in list(self._connections):
             connection.abort()
 
     async def _count(self) -> Counts:
         held = sum(
-            not all(lane.flowing.is_set() for lane in connection.lanes)
+            not all(
+                stream.not_stalled.is_set() for stream in connection.streams
+            )
             for connection in self._connections
         )
         return Counts(self._accepted, len(self._connections), held)
@@ -213,19 +217,19 @@
     def stall(
         self, direction: Direction = Direction.BOTH, *, new: bool = False
     ) -> None:
-        """Hold the open connections in silence; neither end is told.
+        """Stall the open connections without closing them.
 
-        :param new: whether connections that come later are held too
+        :param new: whether later connections are stalled too
         """
-        self._run(self._hold(direction, new))
+        self._run(self._stall_connections(direction, new))
 
     def resume(self) -> None:
-        """Let held connections go on, with what they held."""
-        self._run(self._flow())
+        """Resume stalled connections; their buffered data is sent."""
+        self._run(self._resume_connections())
 
     def cut(self) -> None:
         """Reset the open connections."""
-        self._run(self._abort())
+        self._run(self._reset_connections())
 
     def shape(
         self,
@@ -234,13 +238,13 @@
         delay: float = 0.0,
         rate: float = 0.0,
     ) -> None:
-        """Slow all connections down.
+        """Set the delay and the rate limit of all connections.
 
-        :param delay: seconds that data takes to pass
-        :param rate: bytes a second of each connection, 0 for no limit
+        :param delay: delay of the data, in seconds
+        :param rate: bytes per second of each connection, 0 for no limit
         """
         for each in (Direction.FORWARD, Direction.BACKWARD):
-            if _select(each, direction):
+            if _matches(each, direction):
                 self._delays[each] = delay
                 self._rates[each] = rate
 
@@ -249,7 +253,7 @@
         return self._run(self._count())
 
     def start(self) -> None:
-        """Do nothing: it has listened from the beginning."""
+        """Do nothing: a relay listens from its construction."""
 
     def _end_loop(self) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
@@ -266,14 +270,14 @@
         await asyncio.gather(*others, return_exceptions=True)
 
     def stop(self) -> None:
-        """Free the port and reset every connection."""
+        """Close the port and reset every connection."""
         with contextlib.suppress(TimeoutError):
             self._run(self._close())
         self._end_loop()
 
 
 class _Control(msgspec.Struct, forbid_unknown_fields=True):
-    """What to do; ``stall`` false lets held connections go on."""
+    """Faults to change; ``stall`` false resumes stalled connections."""
 
     stall: bool | None = None
     new: bool = False
@@ -286,7 +290,7 @@
 class ControlledRelay:
     """A relay with a control address.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the relay listens on
     :ivar control_port: port of ``GET`` and ``POST /control``
     """
 
@@ -298,11 +302,11 @@
 
     @classmethod
     def from_config(cls, config: Config) -> 'ControlledRelay':
-        """Build a relay; its ports are bound at once."""
+        """Build a relay and bind its ports."""
         return cls(config)
 
     def start(self) -> None:
-        """Begin to answer at the control address."""
+        """Start to serve the control address."""
         self._server.start()
 
     def stop(self) -> None:
