--- a/packages/trials/src/dunlintide_trials/edge/faults.py
+++ b/packages/trials/src/dunlintide_trials/edge/faults.py
@@ -1,7 +1,7 @@
-"""Faults that a soak puts on entries, endpoints and the store.
+"""Faults that a soak of the edge role injects.
 
-Each takes the field and a source of randomness, does its harm at once and
-returns what heals it.
+A fault is a function that takes the field and a random generator, injects
+the fault at once and returns a function that reverts it.
 """
 
 import random
@@ -14,7 +14,8 @@
 
 __all__ = ['FAULTS']
 
-# How long the store is away before it comes back from a copy, in seconds.
+# Minimum and maximum seconds of the store's outage before it is restored
+# from a backup.
 DRILL_SECONDS = (0.0, 1.5)
 
 Heal = Callable[[], None]
@@ -22,11 +23,11 @@
 
 
 def _do_nothing() -> None:
-    """Heal what heals by itself."""
+    """Revert a fault that ends without help."""
 
 
 def kill_entry(field: fields.Field, draw: random.Random) -> Heal:
-    """Kill an entry and start it again later."""
+    """Kill an entry and restart it later."""
     entry = draw.choice(field.scene.entries)
     field.note_entry(entry)
     entry.stop()
@@ -55,7 +56,7 @@
 
 
 def stop_entry(field: fields.Field, draw: random.Random) -> Heal:
-    """Ask an entry to stop, and start it again later."""
+    """Stop an entry gracefully and restart it later."""
     entry = draw.choice(field.scene.entries)
     field.note_entry(entry)
     field.signal(entry, signal.SIGTERM)
@@ -63,7 +64,7 @@
 
 
 def reload_entry(field: fields.Field, draw: random.Random) -> Heal:
-    """Change an entry's settings, sometimes to nonsense."""
+    """Reload an entry's settings, which are sometimes invalid."""
     entry = draw.choice(field.scene.entries)
     entry.write_settings('{' if draw.random() < 0.3 else None)
     field.signal(entry, signal.SIGHUP)
@@ -71,7 +72,7 @@
 
 
 def cut_entry(field: fields.Field, draw: random.Random) -> Heal:
-    """Silence or reset an entry's connections to the store."""
+    """Stall or reset an entry's connections to the store."""
     relay = draw.choice(list(field.relays.values()))
     field.note_store()
     if draw.random() < 0.3:
@@ -82,7 +83,7 @@
 
 
 def slow_entry(field: fields.Field, draw: random.Random) -> Heal:
-    """Delay what passes between an entry and the store."""
+    """Delay the data between an entry and the store."""
     relay = draw.choice(list(field.relays.values()))
     field.note_store()
     relay.shape(delay=0.3)
@@ -90,7 +91,7 @@
 
 
 def spoil_store(field: fields.Field, draw: random.Random) -> Heal:
-    """Let the store refuse, be silent, be slow, or lose answers."""
+    """Make the store refuse, hang, respond slowly or drop responses."""
     faults = field.scene.store.faults
     field.note_store()
     kind = draw.choice(('refuse', 'busy', 'silent', 'slow', 'lose', 'late'))
@@ -113,13 +114,13 @@
 
 
 def compact_store(field: fields.Field, draw: random.Random) -> Heal:
-    """Let the store forget its history."""
+    """Compact the history of the store."""
     field.scene.loop.loop.call_soon_threadsafe(field.scene.store.compact)
     return _do_nothing
 
 
 def drill_store(field: fields.Field, draw: random.Random) -> Heal:
-    """Let the store come back later from a copy made now."""
+    """Back up the store now and restore the backup later."""
     store = field.scene.store
     field.note_store()
     field.scene.loop.loop.call_soon_threadsafe(store.copy)
@@ -136,7 +137,7 @@
 
 
 def crash_endpoint(field: fields.Field, draw: random.Random) -> Heal:
-    """Crash an endpoint; its entry stays for a while, then goes."""
+    """Crash an endpoint, half the time without removing its store entry."""
     runner = draw.choice(field.scene.fleet.runners)
     if not field.take(runner):
         return _do_nothing
@@ -151,7 +152,7 @@
 
 
 def drain_endpoint(field: fields.Field, draw: random.Random) -> Heal:
-    """Let an endpoint leave as planned, and another life of it come."""
+    """Drain an endpoint and start a new incarnation of it later."""
     runner = draw.choice(field.scene.fleet.runners)
     if not field.take(runner):
         return _do_nothing
@@ -167,19 +168,19 @@
 
 
 def _spoil_one(field: fields.Field, draw: random.Random, name: str) -> Heal:
-    """Put one lasting fault on one endpoint."""
+    """Switch a fault of a random endpoint on until it is reverted."""
     runner = draw.choice(field.scene.fleet.runners)
     setattr(runner.faults, name, True)
     return lambda: setattr(runner.faults, name, False)
 
 
 def stall_endpoint(field: fields.Field, draw: random.Random) -> Heal:
-    """Let the work of an endpoint stand still."""
+    """Stall the requests that run at an endpoint."""
     return _spoil_one(field, draw, 'stall')
 
 
 def spoil_endpoint(field: fields.Field, draw: random.Random) -> Heal:
-    """Let endpoints fail, lose, cut or garble some answers."""
+    """Make endpoints fail, drop, truncate or corrupt some responses."""
     name = draw.choice(('fail', 'lose', 'cut', 'extra', 'unframed'))
     for runner in field.scene.fleet.runners:
         if draw.random() < 0.5:
@@ -188,19 +189,19 @@
 
 
 def fill_endpoint(field: fields.Field, draw: random.Random) -> Heal:
-    """Let an endpoint refuse requests as full."""
+    """Make an endpoint refuse requests as full."""
     return _spoil_one(field, draw, 'full')
 
 
 def limit_endpoint(field: fields.Field, draw: random.Random) -> Heal:
-    """Let an endpoint name another rate limit, or none any more."""
+    """Change or remove the rate limit that an endpoint announces."""
     runner = draw.choice(field.scene.fleet.runners)
     field.set_limit(runner, draw.choice((None, 1.0, 3.0, 8.0)))
     return _do_nothing
 
 
 def delay_orders(field: fields.Field, draw: random.Random) -> Heal:
-    """Let engines carry out their next orders late and unanswered."""
+    """Make engines execute their next order late and without a reply."""
     for engine in field.scene.list_engines():
         engine.faults.lose_orders = 1
         engine.faults.order_delay = draw.uniform(0.5, 3.0)
@@ -208,7 +209,7 @@
 
 
 def change_configuration(field: fields.Field, draw: random.Random) -> Heal:
-    """Write new versions in quick succession."""
+    """Write several configuration versions in quick succession."""
     for _ in range(draw.randint(1, 4)):
         field.version += draw.randint(1, 5)
         found = operators.make_configuration(field.version)
--- a/packages/trials/src/dunlintide_trials/edge/field.py
+++ b/packages/trials/src/dunlintide_trials/edge/field.py
@@ -1,4 +1,4 @@
-"""The deployment under a soak, and its callers."""
+"""Deployment under a soak of the edge role, with its callers."""
 
 import contextlib
 import os
@@ -21,7 +21,7 @@
 
 DOMAINS = ('a', 'b')
 ENTRIES = ('one', 'two', 'three')
-# Pause of a caller between two requests, in seconds.
+# Minimum and maximum seconds between two requests of a caller.
 PAUSE_SECONDS = (0.0, 0.05)
 STREAM = 'stream'
 ONCE = 'once'
@@ -30,11 +30,12 @@
 
 @attrs.define
 class Asked:
-    """A request and what its caller saw.
+    """A request and its response as its caller saw it.
 
-    :ivar count: events that were asked for
-    :ivar status: 0 when no answer came
-    :ivar whole: whether the answer looked complete
+    :ivar kind: ``STREAM``, ``ONCE`` or ``REPEATABLE``
+    :ivar count: number of events that a stream was asked for
+    :ivar status: HTTP status, 0 without a response
+    :ivar whole: whether the response was complete
     """
 
     name: str
@@ -47,11 +48,11 @@
 
 @attrs.define
 class Limited:
-    """A time in which an endpoint named one rate limit.
+    """Period in which an endpoint announced one rate limit.
 
-    :ivar limit: requests a second
-    :ivar since: monotonic time in seconds
-    :ivar until: its end, None while it lasts
+    :ivar limit: requests per second
+    :ivar since: monotonic time of the start in seconds
+    :ivar until: monotonic time of the end, None before the end
     """
 
     runner: runners_module.Runner
@@ -61,9 +62,16 @@
 
 
 class Field:
-    """Entries behind relays to the store, endpoints, and callers.
-
-    :ivar asked: all requests so far
+    """Entries with relays to the store, endpoints and callers.
+
+    :ivar scene: the deployment
+    :ivar version: version of the newest configuration
+    :ivar asked: all requests in the order of their starts
+    :ivar relays: relay to the store by name of the entry
+    :ivar store_troubles: monotonic times of faults of the store
+    :ivar entry_troubles: monotonic times of faults of entries
+    :ivar drains: name of each drained endpoint and monotonic time
+    :ivar limits: rate limits that endpoints announced
     """
 
     def __init__(
@@ -107,34 +115,34 @@
         for entry in scene.entries:
             scene.wait_for_listing(entry)
 
-    # What faults do.
+    # Methods for faults.
 
     def signal(self, entry: scenes.Entry, number: signal.Signals) -> None:
-        """Send a signal to an entry that runs."""
+        """Send a signal to an entry if it runs."""
         if entry.process.poll() is None:
             os.kill(entry.process.pid, number)
 
     def restart(self, entry: scenes.Entry) -> None:
-        """Start an entry again, ending it if it still runs."""
+        """Restart an entry, killing it if it still runs."""
         entry.stop()
         entry.start()
 
     def note_store(self) -> None:
-        """Remember that the store was in trouble now."""
+        """Record the time of a fault of the store."""
         self.store_troubles.append(time.monotonic())
 
     def note_entry(self, entry: scenes.Entry) -> None:
-        """Remember that an entry was in trouble now."""
+        """Record the time of a fault of an entry."""
         self.entry_troubles.append(time.monotonic())
 
     def note_drain(self, runner: runners_module.Runner) -> None:
-        """Remember that an endpoint began to leave now."""
+        """Record the time at which an endpoint starts to drain."""
         self.drains.append((runner.name, time.monotonic()))
 
     def set_limit(
         self, runner: runners_module.Runner, limit: float | None
     ) -> None:
-        """Let an endpoint name a rate limit from now on, None for none."""
+        """Set the rate limit that an endpoint announces, None for none."""
         now = time.monotonic()
         for limited in self.limits:
             if limited.runner is runner and limited.until is None:
@@ -144,12 +152,18 @@
             self.limits.append(Limited(runner, limit, now))
 
     def end_limits(self) -> None:
-        """Let no endpoint name a rate limit any more."""
+        """Remove the rate limits of all endpoints."""
         for runner in self.scene.fleet.runners:
             self.set_limit(runner, None)
 
     def take(self, runner: runners_module.Runner) -> bool:
-        """Keep other faults from an endpoint; half of each kind stays."""
+        """Reserve an endpoint for a fault.
+
+        At most half of the endpoints of the same kind and service can be
+        reserved at a time.
+
+        :returns: whether the endpoint was reserved
+        """
         alike = [
             each
             for each in self.scene.fleet.runners
@@ -162,13 +176,17 @@
         return True
 
     def give_back(self, runner: runners_module.Runner) -> None:
-        """Let faults have an endpoint again."""
+        """Make an endpoint available to other faults again."""
         self._taken.discard(runner)
 
-    # Callers.
+    # Methods for callers.
 
     def start_callers(self, count: int, seed: int) -> None:
-        """Begin to ask from many threads."""
+        """Start threads that send requests.
+
+        :param count: number of threads
+        :param seed: seed of their random generators
+        """
         for index in range(count):
             draw = random.Random(f'{seed}/{index}')
             thread = threading.Thread(target=self._ask_on, args=(draw,))
@@ -176,7 +194,7 @@
             self._callers.append(thread)
 
     def stop_callers(self) -> None:
-        """Ask no more, and wait for what is under way."""
+        """Stop sending and wait for outstanding responses."""
         self._stopped.set()
         for thread in self._callers:
             thread.join()
@@ -190,7 +208,8 @@
             except OSError:
                 time.sleep(PAUSE_SECONDS[1])
                 continue
-            # A connection is used until its entry closes it.
+            # A connection is reused for several requests unless the entry
+            # closes it.
             with contextlib.closing(caller):
                 while kept and self.ask(caller, draw):
                     kept -= 1
@@ -207,7 +226,10 @@
         return asked
 
     def ask(self, caller: callers.Caller, draw: random.Random) -> bool:
-        """Ask once; False when the connection can't be used again."""
+        """Send one request and record its response.
+
+        :returns: whether the connection can be reused
+        """
         asked = self._make(draw)
         try:
             if asked.kind == STREAM:
--- a/packages/trials/src/dunlintide_trials/edge/promises.py
+++ b/packages/trials/src/dunlintide_trials/edge/promises.py
@@ -1,4 +1,4 @@
-"""What an entry promises, checked against what callers and endpoints saw."""
+"""Checks that entries kept their guarantees for callers and endpoints."""
 
 from typing import Iterator
 
@@ -9,8 +9,8 @@
 __all__ = ['list_broken']
 
 NOT_RUN = (408, 421, 429, 503)
-# Time within which all entries in touch stop to use an endpoint that
-# leaves, in seconds, and how long trouble keeps one out of touch.
+# Maximum seconds until all connected entries stop sending requests to a
+# draining endpoint, and seconds for which a fault may disconnect an entry.
 DRAIN_SECONDS = 2.0
 TROUBLE_SECONDS = 10.0
 
@@ -27,16 +27,21 @@
         return
     expected = _build_events(asked.name, 1, asked.count)
     if asked.whole and asked.body != expected:
-        yield f'{asked.name}: complete, but not its {asked.count} events'
+        yield (
+            f'{asked.name}: complete, but not the expected {asked.count}'
+            ' events'
+        )
     if not expected.startswith(asked.body):
-        yield f'{asked.name}: events missing, doubled or of another request'
+        yield (
+            f'{asked.name}: events missing, repeated or from another request'
+        )
 
 
 def _check_call(asked: fields.Asked) -> Iterator[str]:
     if asked.status != 200 or not asked.whole:
         return
     if asked.body != b'answer to ' + asked.name.encode():
-        yield f'{asked.name}: got {asked.body[:60]!r}'
+        yield f'{asked.name}: unexpected body {asked.body[:60]!r}'
 
 
 def _check_runs(field: fields.Field, asked: fields.Asked) -> Iterator[str]:
@@ -54,15 +59,15 @@
     if run.headers.get('tenant') != 'diner':
         yield f'{asked.name}: ran for team {run.headers.get("tenant")}'
     if 'authorization' in run.headers:
-        yield f'{asked.name}: its key reached an endpoint'
+        yield f'{asked.name}: the API key reached an endpoint'
     position = 0
     for _, first, last in run.hops:
         if first != position:
-            yield f'{asked.name}: layers {run.hops}'
+            yield f'{asked.name}: gap or overlap of layers in {run.hops}'
             return
         position = last
     if run.hops and position != operators.LAYERS:
-        yield f'{asked.name}: layers {run.hops}'
+        yield f'{asked.name}: not all {operators.LAYERS} layers in {run.hops}'
 
 
 def _check_drains(field: fields.Field) -> Iterator[str]:
@@ -77,13 +82,16 @@
             for run in runner.runs:
                 if run.runner == name and run.began > began + DRAIN_SECONDS:
                     late = run.began - began
-                    yield f'{run.request}: at {name} {late:.2f} s late'
+                    yield (
+                        f'{run.request}: began at {name} {late:.2f} s after'
+                        f' the drain, more than {DRAIN_SECONDS} s'
+                    )
 
 
 def _check_limit(
     field: fields.Field, limited: fields.Limited
 ) -> Iterator[str]:
-    """Check the windows in which all entries were in touch."""
+    """Check the request rate in windows without a fault of an entry."""
     first = limited.since + windows.STABLE_SECONDS
     inside = [
         at for at in limited.runner.arrivals if first <= at < limited.until
@@ -105,7 +113,7 @@
 
 
 def list_broken(field: fields.Field) -> list[str]:
-    """List the promises that were broken, a line each."""
+    """List the violations of guarantees, one line each."""
     broken = []
     for asked in field.asked:
         check = _check_stream if asked.kind == fields.STREAM else _check_call
@@ -116,5 +124,5 @@
         broken += _check_limit(field, limited)
     for runner in field.scene.fleet.runners:
         if runner.overloaded:
-            broken.append(f'{runner.name}: ordered more than it holds')
+            broken.append(f'{runner.name}: ordered more layers than fit')
     return broken
--- a/packages/trials/src/dunlintide_trials/edge/scene.py
+++ b/packages/trials/src/dunlintide_trials/edge/scene.py
@@ -1,7 +1,7 @@
-"""A platform on loopback with real entries before it.
+"""Deployment of the edge role on loopback with stand-ins.
 
-The stand-ins run on an event loop in a thread; entries are processes of
-the real daemon.
+The stand-ins run on an event loop in a thread of the trial; entries are
+processes of the real daemon.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class Loop:
-    """An event loop in a thread of its own."""
+    """An event loop that runs in a background thread."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -34,12 +34,12 @@
         self.thread.start()
 
     def run(self, work):
-        """Run a coroutine and give its result."""
+        """Run a coroutine on the loop and return its result."""
         future = asyncio.run_coroutine_threadsafe(work, self.loop)
         return future.result(WAIT_SECONDS)
 
     def close(self):
-        """End the loop with all that runs on it."""
+        """Cancel all tasks and stop the loop."""
 
         async def cancel():
             tasks = asyncio.all_tasks() - {asyncio.current_task()}
@@ -54,7 +54,14 @@
 
 
 class Entry:
-    """A process of the daemon in its edge role."""
+    """A process of the daemon in its edge role.
+
+    :ivar listen: address for callers
+    :ivar ready: address of the readiness probe
+    :ivar admin: address of the administration interface
+    :ivar metrics: address of the metrics
+    :ivar settings: contents of its settings file
+    """
 
     def __init__(self, scene, name, domain, folder, store=None):
         ports = scene.pick_ports(5)
@@ -129,13 +136,18 @@
 
 
 class Scene:
-    """A store, runners and entries."""
+    """A store, endpoints and entries on loopback.
+
+    :ivar loop: event loop of the stand-ins
+    :ivar store: stand-in of the store
+    :ivar fleet: stand-ins of the endpoints
+    """
 
     def __init__(self, pick_ports, folder):
-        """Start a store without keys.
+        """Start an empty store.
 
-        :param pick_ports: gives a number of free ports
-        :param folder: where entries keep settings and logs
+        :param pick_ports: returns the given number of free ports
+        :param folder: folder for the settings and logs of entries
         """
         self.pick_ports = pick_ports
         self.folder = folder
@@ -163,7 +175,8 @@
     def add_entry(self, name, domain='a', store=None):
         """Start an entry.
 
-        :param store: address at which it finds the store, if not its own
+        :param store: address that it uses for the store, such as that of a
+            relay; None for the store itself
         """
         entry = Entry(self, name, domain, self.folder, store)
         self.entries.append(entry)
@@ -182,7 +195,7 @@
             if check():
                 return
             time.sleep(0.02)
-        raise AssertionError(f'not in {WAIT_SECONDS} s: {text}')
+        raise AssertionError(f'not within {WAIT_SECONDS} s: {text}')
 
     def wait_for_layers(self):
         self.wait_until(
--- a/packages/trials/src/dunlintide_trials/edge/soak.py
+++ b/packages/trials/src/dunlintide_trials/edge/soak.py
@@ -1,7 +1,7 @@
-"""A soak of the edge role: real entries under load and seeded faults.
+"""Soak test of the edge role: real entries under load and seeded faults.
 
-At the end every promise is checked against what callers and endpoints
-saw. The exit code is 1 when one was broken.
+At the end the guarantees of the entries are checked against the records of
+callers and endpoints. The exit code is 1 when one was violated.
 """
 
 import argparse
@@ -24,18 +24,21 @@
 
 CALLERS = 12
 EXIT_BROKEN = 1
-# Pause between two faults and how long one lasts, in seconds; faults
-# overlap and come in series.
+# Minimum and maximum seconds between the starts of two faults, and of the
+# duration of a fault. The values make faults overlap and come in series.
 GAP_SECONDS = (0.1, 1.2)
 FAULT_SECONDS = (0.3, 4.0)
-# Time after the last fault within which everything serves, in seconds.
+# Maximum seconds from the last fault until all entries serve.
 RECOVERY_SECONDS = 15.0
-# Requests in a row that must succeed then.
+# Consecutive requests that must succeed after the recovery.
 SOUND_REQUESTS = 20
 
 
 def _harm(field: fields.Field, draw: random.Random, seconds: float) -> int:
-    """Put faults on until the time is over, then heal all of them."""
+    """Inject faults for some seconds, then revert all of them.
+
+    :returns: number of faults
+    """
     end = time.monotonic() + seconds
     healing: list[tuple[float, int, faults.Heal]] = []
     count = 0
@@ -59,7 +62,7 @@
 def _recover(field: fields.Field) -> list[str]:
     """Wait until all entries serve again.
 
-    :returns: what does not
+    :returns: problems of the recovery
     """
     for entry in field.scene.entries:
         entry.write_settings()
@@ -77,15 +80,18 @@
         if not good:
             time.sleep(0.1)
     if good < SOUND_REQUESTS:
-        return [f'not sound {RECOVERY_SECONDS} s after the faults']
+        return [
+            f'{good} of {SOUND_REQUESTS} consecutive requests succeeded'
+            f' within {RECOVERY_SECONDS} s after the faults'
+        ]
     return _check_versions(field, end)
 
 
 def _check_versions(field: fields.Field, end: float) -> list[str]:
     """Wait until the newest configuration is in force on all entries.
 
-    :param end: monotonic time until which to wait, in seconds
-    :returns: where it is not
+    :param end: monotonic time of the timeout in seconds
+    :returns: a line for each entry with an older configuration
     """
     while True:
         old = []
@@ -101,7 +107,7 @@
 def run(seed: int, seconds: float, folder: pathlib.Path) -> dict:
     """Run one soak.
 
-    :returns: figures, with the broken promises under ``broken``
+    :returns: counts, with the violations under ``broken``
     """
     draw = random.Random(seed)
     with contextlib.ExitStack() as stack:
@@ -125,7 +131,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run soaks of several seeds and print a JSON line for each."""
+    """Run a soak for each seed and print its counts as a JSON line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1, help='first seed')
     parser.add_argument('--seeds', type=int, default=1, help='how many')
--- a/packages/trials/src/dunlintide_trials/edge/windows.py
+++ b/packages/trials/src/dunlintide_trials/edge/windows.py
@@ -1,4 +1,4 @@
-"""Requests that an endpoint with a rate limit may get in any window."""
+"""Number of requests to a rate-limited endpoint in a sliding window."""
 
 from typing import Iterable
 
@@ -9,19 +9,25 @@
     'count_most',
 ]
 
-# Time from the first naming of a limit after which it holds, and length of
-# the windows in which requests are counted, in seconds.
+# Seconds from the announcement of a limit until it is enforced, and length
+# in seconds of the window in which requests are counted.
 STABLE_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 
 
 def count_allowed(limit: float) -> float:
-    """Tell how many requests a window may have."""
+    """Return the maximum requests in a window.
+
+    :param limit: rate limit in requests per second
+    """
     return 1.5 * limit * WINDOW_SECONDS + 5
 
 
 def count_most(times: Iterable[float]) -> int:
-    """Count the requests of the fullest window."""
+    """Count the requests in the window with the most requests.
+
+    :param times: times of the requests in seconds
+    """
     ordered = sorted(times)
     most = first = 0
     for index, at in enumerate(ordered):
