--- a/packages/trials/src/dunlintide_trials/cases/agent.py
+++ b/packages/trials/src/dunlintide_trials/cases/agent.py
@@ -1,9 +1,8 @@
 """Processor time of an agent for each step of its engine.
 
-Three agents of one chain run beside engines whose steps sleep, under a
-fixed number of streams. The user and system time of the three processes
-over the steps that they ran gives the value; entries, engines and callers
-are left out.
+The three agents of one chain have engines whose steps sleep, and serve a
+fixed number of streams. The value is the user and system time of the three
+agent processes per step; entries, engines and callers are not included.
 """
 
 import os
@@ -21,7 +20,7 @@
 WINDOW_SECONDS = 6.0
 RANGES = ((saturation.FAST,),) * 3
 _US = 1e6
-# Fields of /proc/PID/stat behind the name of the command.
+# Indices of the fields of /proc/PID/stat after the name of the command.
 _USER_FIELD, _SYSTEM_FIELD = 11, 12
 
 
@@ -40,7 +39,7 @@
 def _measure(
     running: deployment.Deployment, count: int
 ) -> tuple[float, float]:
-    """Give processor seconds of the agents and steps, in a window."""
+    """Return processor seconds and steps of the agents in a window."""
     with saturation.Streams(running, (0,), count) as streams:
         time.sleep(WARM_UP_SECONDS)
         before = _sum_seconds(running)
@@ -50,7 +49,7 @@
 
 
 def measure_cpu_step() -> Iterator[figures.Figure]:
-    """Measure the processor time of a step by sessions in flight."""
+    """Measure the processor time per step by sessions in flight."""
     with saturation.run(('planned',), RANGES) as running:
         for count in SESSIONS:
             used, steps = _measure(running, count)
--- a/packages/trials/src/dunlintide_trials/cases/cache.py
+++ b/packages/trials/src/dunlintide_trials/cases/cache.py
@@ -1,4 +1,7 @@
-"""Choice of chains by prefix caches, in an event model with real code."""
+"""Routing by prefix caches: hit rate, balance, memory and traffic.
+
+The gain of cache affinity comes from the event model in ``prefixload``.
+"""
 
 from collections.abc import Iterator
 import time
@@ -20,7 +23,7 @@
 _LOST = 0.5
 
 MEMORY_BOUND = 256 << 20
-# Control of a node, of which the rest is spent elsewhere.
+# Bytes/s of control traffic of a node; cache updates are one part of it.
 BYTES_BOUND = 5_000.0
 _SIZES = (2_500, 5_000, 10_000, 20_000)
 _TOLD = (1, 2, 4, 8)
@@ -73,7 +76,7 @@
 
 
 def measure_affinity() -> Iterator[figures.Figure]:
-    """Compare events, own guesses and load alone on the same prompts."""
+    """Compare choices by cache events, by guesses and by load only."""
     found = _run(_Shape())
     yield from _compare('', found)
     events, guess = found[prefixload.EVENTS], found[prefixload.GUESS]
@@ -109,7 +112,10 @@
 
 
 def _make_prompts(blocks: int) -> Iterator[prefixes.Prefixes]:
-    """Make prompts that share nothing, until they have so many blocks."""
+    """Make prompts without shared prefixes.
+
+    :param blocks: number of blocks of all prompts together
+    """
     for index in range(blocks // _PROMPT_BLOCKS):
         text = f'{index:>{_PROMPT_BLOCKS * affinity.BLOCK_CHARACTERS}}'
         hashes = affinity.hash_blocks(f'salt-{index}', text)
@@ -117,7 +123,10 @@
 
 
 def _fill_view(blocks: int) -> tuple[prefixes.View, float]:
-    """Run prompts; gives microseconds of processor time an event too."""
+    """Fill an agent's view with prompts.
+
+    :returns: the view and microseconds of processor time per event
+    """
     view = prefixes.View()
     tokens = _PROMPT_BLOCKS * _BLOCK_TOKENS
     sequence = 0
@@ -145,7 +154,7 @@
 
 
 def measure_view() -> Iterator[figures.Figure]:
-    """Measure memory of an agent's view and of an entry's map."""
+    """Measure memory of an agent's view and an entry's affinity map."""
     for size in _SIZES:
         for name, fill in (('view', _fill_view), ('map', _fill_map)):
             tracemalloc.start()
@@ -162,7 +171,7 @@
 
 
 def _size_news(prefixes_told: int) -> int:
-    """Give the bytes that news add to a load report."""
+    """Return the bytes that cache updates add to a load report."""
     held = [1 << 63 | index for index in range(prefixes_told)]
     plain = link_pb2.Frame(load=link_pb2.Load(running=1))
     told = link_pb2.Frame(
@@ -172,7 +181,7 @@
 
 
 def measure_bytes() -> Iterator[figures.Figure]:
-    """Measure what news take on a link, and at an agent with 25 links."""
+    """Measure the traffic of cache updates of an agent with 25 links."""
     for told in _TOLD:
         size = _size_news(told)
         yield figures.at_most(
--- a/packages/trials/src/dunlintide_trials/cases/caps.py
+++ b/packages/trials/src/dunlintide_trials/cases/caps.py
@@ -1,7 +1,8 @@
-"""In-flight caps on the same load, with and without KV pressure.
+"""Policies for the cap on requests in flight, with and without KV pressure.
 
-One real engine stand-in, which preempts the newest sessions when its KV
-memory is full and runs them again, and callers that ask again at once.
+A deployment has one stand-in engine, which preempts the newest sessions
+when its KV cache is full and recomputes them later, and callers that send
+the next request as soon as one ends.
 """
 
 import pathlib
@@ -28,7 +29,7 @@
 CALLERS = 40
 TOKENS = 48
 PROMPT_WORDS = 16
-# A request comes to hold 64 positions: ten fit in the small memory.
+# A request grows to 64 positions, so ten requests fit in the small cache.
 MEMORIES = {'pressed': 640, 'ample': 100_000}
 MAX_IN_FLIGHT = 64
 STEP_SECONDS = 0.04
@@ -37,7 +38,7 @@
 WINDOW_SECONDS = 10.0
 DRAIN_SECONDS = 2.0
 MIN_QUANTILE_ANSWERS = 2
-# The kept policy may lose so much to the best one.
+# Minimum rate of the budget policy relative to the best policy.
 KEPT_PART = 0.9
 
 _RULES = {
@@ -72,12 +73,14 @@
 
 @attrs.frozen
 class _Seen:
-    """What a policy gave.
-
-    :ivar rate: tokens/s that callers got in the window
-    :ivar first_token: 95th percentile in seconds, in the window
-    :ivar preempted: preemptions a second
-    :ivar recomputed: positions a second that were run again
+    """Measurements of one policy in the window.
+
+    :ivar rate: tokens/s that callers got
+    :ivar first_token: 95th percentile of the time to the first token in
+        seconds
+    :ivar preempted: preemptions per second
+    :ivar recomputed: recomputed positions per second
+    :ivar failed: number of failed requests
     """
 
     rate: float
@@ -124,7 +127,10 @@
         if got.times and start <= got.times[0] < end
     ]
     if len(waits) < MIN_QUANTILE_ANSWERS:
-        raise RuntimeError('too few answers began in the window')
+        raise RuntimeError(
+            f'{len(waits)} responses began in the window, at least '
+            f'{MIN_QUANTILE_ANSWERS} needed'
+        )
     return _Seen(
         tokens / (end - start),
         statistics.quantiles(waits, n=20)[-1],
@@ -167,14 +173,14 @@
                 end = time.monotonic() + DRAIN_SECONDS
                 for thread in threads:
                     thread.join(max(0.0, end - time.monotonic()))
-                # Streams under way would hold up a planned stop.
+                # A graceful stop would wait for the open streams.
                 for role in (deployment.ENTRY, deployment.AGENT):
                     for process in running.list_processes(role):
                         process.kill()
 
 
 def measure_compare() -> Iterator[figures.Figure]:
-    """Compare the caps, with KV memory as the bottleneck and without."""
+    """Compare the policies with a small and with an ample KV cache."""
     for load, kv_tokens in MEMORIES.items():
         seen = {
             policy: _measure(policy, kv_tokens)
--- a/packages/trials/src/dunlintide_trials/cases/choice.py
+++ b/packages/trials/src/dunlintide_trials/cases/choice.py
@@ -1,4 +1,4 @@
-"""Cost of a choice of a chain against the number of engines."""
+"""Processor time of choosing a chain by the number of engines."""
 
 import statistics
 import time
@@ -10,8 +10,8 @@
 
 __all__ = ['CASES']
 
-# Engines over five failure domains, and the most that a choice may take, in
-# ms: a twelfth of the pause between two looks of those that wait.
+# Number of engines and bound of a choice in ms: a twelfth of the interval at
+# which waiting requests retry a choice.
 SIZES = ((62, None), (123, 0.3), (246, None), (615, 1.0))
 DOMAINS = 5
 ROUNDS = 5
@@ -19,7 +19,7 @@
 
 
 def _time(work: Callable[[], object]) -> float:
-    """Give the median over rounds of the processor time a call, in ms."""
+    """Return the median over rounds of the processor ms per call."""
     rounds = []
     for _ in range(ROUNDS):
         began = time.thread_time()
@@ -32,7 +32,7 @@
 def _report(
     name: str, prepare: Callable[[engineload.EngineLoad], object]
 ) -> Iterator[figures.Figure]:
-    """Time choices at each size, then the slope between the largest two."""
+    """Time choices at each size and the slope of the two largest sizes."""
     measured = []
     for size, bound in SIZES:
         load = engineload.EngineLoad.from_size(size, DOMAINS)
@@ -52,7 +52,7 @@
 
 
 def measure_found() -> Iterator[figures.Figure]:
-    """Measure choices while domains have room."""
+    """Measure choices while engines have room."""
     yield from _report('found', lambda load: None)
 
 
@@ -62,12 +62,12 @@
 
 
 def measure_across() -> Iterator[figures.Figure]:
-    """Measure choices while only chains across pipes have room."""
+    """Measure choices while only chains across domains have room."""
     yield from _report('across', engineload.EngineLoad.scatter)
 
 
 def measure_table() -> Iterator[figures.Figure]:
-    """Measure what is built anew when the listing changes."""
+    """Measure the rebuild of the chain table when the engines change."""
     for size, _ in SIZES:
         load = engineload.EngineLoad.from_size(size, DOMAINS)
 
--- a/packages/trials/src/dunlintide_trials/cases/claims.py
+++ b/packages/trials/src/dunlintide_trials/cases/claims.py
@@ -1,4 +1,4 @@
-"""Store calls that claims cost, against one write a claim."""
+"""Store calls per claim, compared with one write for each claim."""
 
 from concurrent import futures
 import contextlib
@@ -64,7 +64,7 @@
 
 
 def _run(bind) -> float:
-    """Bind all claims and give the seconds that it took."""
+    """Bind all claims and return the elapsed seconds."""
     started = time.monotonic()
     with futures.ThreadPoolExecutor(CALLERS) as pool:
         for answer in pool.map(bind, range(CLAIMS)):
@@ -73,7 +73,11 @@
 
 
 def _measure_grouped(count: int, routed: bool) -> tuple[float, float]:
-    """Give store calls per 1,000 claims and claims a second."""
+    """Return store calls per 1,000 claims and claims per second.
+
+    :param count: number of writers
+    :param routed: whether claims are sent to the owners of their buckets
+    """
     with contextlib.ExitStack() as stack:
         store = stack.enter_context(_serve_store())
         group = []
@@ -95,7 +99,7 @@
 def _serve_claims(
     writer: writers.ClaimWriter, stack: contextlib.ExitStack
 ) -> str:
-    """Serve a writer's claims and give the address."""
+    """Serve a writer's claims and return the address of the server."""
     server = grpc.server(futures.ThreadPoolExecutor(CALLERS))
     claimroutes.add_service(server, writer)
     port = server.add_insecure_port('127.0.0.1:0')
@@ -107,7 +111,7 @@
 def _build_routed(
     group: list[writers.ClaimWriter], stack: contextlib.ExitStack
 ) -> list[claimroutes.RoutedWriter]:
-    """Let each writer send claims to the owners of their buckets."""
+    """Make writers that send claims to the owners of their buckets."""
     addresses = [_serve_claims(writer, stack) for writer in group]
 
     def build(writer: writers.ClaimWriter, own: str):
@@ -123,7 +127,10 @@
 
 
 def _measure_single() -> tuple[float, float]:
-    """Give the same for one compare-and-swap a claim."""
+    """Measure one compare-and-swap per claim.
+
+    :returns: see ``_measure_grouped``
+    """
     with contextlib.ExitStack() as stack:
         store = stack.enter_context(_serve_store())
         client = stores.Store.from_url(f'http://127.0.0.1:{store.port}')
@@ -144,7 +151,7 @@
 
 
 def measure_writes() -> Iterator[figures.Figure]:
-    """Count store calls per 1,000 claims, for one and three writers."""
+    """Measure store calls per 1,000 claims for one and three writers."""
     single_calls, single_rate = _measure_single()
     note = (
         f'{CLAIMS} claims, {CALLERS} callers, '
--- a/packages/trials/src/dunlintide_trials/cases/config.py
+++ b/packages/trials/src/dunlintide_trials/cases/config.py
@@ -1,6 +1,6 @@
-"""Spread of the configuration: time and bytes, by size of the fleet.
+"""Propagation of the configuration: time and bytes by size of the fleet.
 
-The replicas are the real ones; calls take simulated time.
+The replicas run the product's code; calls and time are simulated.
 """
 
 from typing import Iterator
@@ -21,7 +21,7 @@
 
 
 def measure_spread() -> Iterator[figures.Figure]:
-    """Seconds from an accepted change to the last process."""
+    """Measure the seconds from a change until all processes have it."""
     for size in fleets.SIZES:
         net = fleets.make_fleet(size)
         first = fleets.make_document(_FEW_TEAMS, 1)
@@ -33,7 +33,7 @@
             note='simulated calls, store up',
         )
         net.publish(fleets.make_document(_FEW_TEAMS, 2))
-        # The watchers have been told; the store is away from then on.
+        # The store fails right after the watchers were notified.
         net.run(0.006)
         net.store.up = False
         start = net.now
@@ -59,7 +59,7 @@
 
 
 def measure_bytes() -> Iterator[figures.Figure]:
-    """Bytes a second that a process sends, by cause and in all."""
+    """Measure the bytes/s that a process sends, by cause and in total."""
     for size in fleets.SIZES:
         net = fleets.make_fleet(size, fleets.size_message)
         fleets.spread_change(net, fleets.make_document(_TEAMS, 1))
--- a/packages/trials/src/dunlintide_trials/cases/entry.py
+++ b/packages/trials/src/dunlintide_trials/cases/entry.py
@@ -1,4 +1,4 @@
-"""What a streamed token and an open stream cost an entry."""
+"""CPU time per streamed token and memory per open stream of an entry."""
 
 import statistics
 from typing import Iterator
@@ -10,7 +10,7 @@
 
 STREAMS = (32, 96, 160, 256)
 SECONDS = 2.0
-# A bound on the ratio, since all on a busy machine gets slower together.
+# The bound is relative to the baseline, as a busy machine slows both.
 CPU_BOUND_RATIO = 6.0
 MEMORY_SIZES = (32, 96, 160, 256)
 MEMORY_SECONDS = 0.5
@@ -20,12 +20,14 @@
 
 
 def measure_cpu_token() -> Iterator[figures.Figure]:
-    """Measure the CPU time of an entry for each token."""
+    """Measure the CPU time of an entry per token."""
     for count in STREAMS:
         toy = streams.run_toy(count, SECONDS)
         entry = streams.run_entry(count, SECONDS)
         if entry.complete != count:
-            raise RuntimeError(f'{entry.complete} of {count} streams whole')
+            raise RuntimeError(
+                f'{entry.complete} of {count} streams completed'
+            )
         yield figures.at_most(
             f'entry.cpu_token.{count}',
             round(entry.cpu_token, 1),
@@ -39,7 +41,7 @@
 
 
 def measure_memory_stream() -> Iterator[figures.Figure]:
-    """Measure the resident memory of an entry for each open stream."""
+    """Measure the resident memory of an entry per open stream."""
     sizes = []
     for count in MEMORY_SIZES:
         sizes.append(streams.run_entry(count, MEMORY_SECONDS).resident)
--- a/packages/trials/src/dunlintide_trials/cases/fairness.py
+++ b/packages/trials/src/dunlintide_trials/cases/fairness.py
@@ -1,6 +1,7 @@
-"""What a team notices of another one that floods all entries.
+"""Effect on a team of another team that floods all entries.
 
-Real processes: two stages, whose engines' modelled steps are the bound.
+The deployment of real processes has two stages, whose throughput is
+limited by the modelled step times of the stand-in engines.
 """
 
 import contextlib
@@ -49,7 +50,7 @@
 THROUGHPUT_BOUND = 0.95
 _LATE_SECONDS = 3.0
 
-# A step of a full batch at each stage; the stages work side by side.
+# Tokens/s of full batches; the stages run in parallel on half the slots.
 _BATCH = SLOTS // STAGES
 CAPACITY = _BATCH / (STEP_SECONDS + _BATCH * TOKEN_SECONDS)
 
@@ -112,16 +113,20 @@
 
 @attrs.define
 class _Victim:
-    """Steady requests at the share of a team, over all entries.
+    """A team that sends requests at its fair share to all entries.
 
-    :ivar share: tokens a second
+    :ivar running: the deployment
+    :ivar share: requested tokens per second
     """
 
     running: deployment.Deployment
     share: float
 
     def run(self, seconds: float) -> list[client.Answer]:
-        """Ask for so long; gives the answers in the order of starts."""
+        """Send requests for some seconds.
+
+        :returns: responses in the order of the requests
+        """
         rng = random.Random(0)
         callers = [
             self.running.make_caller(entry, VICTIM) for entry in range(ENTRIES)
@@ -154,12 +159,15 @@
 
 @attrs.frozen
 class _Seen:
-    """What the victim saw in a window.
-
-    :ivar first_token: 95th percentile in seconds; an answer without a
-        token counts as the deadline
-    :ivar served: complete answers, of those asked for
-    :ivar rate: tokens a second of all teams
+    """Measurements of the victim in a window.
+
+    :ivar first_token: 95th percentile of the time to the first token in
+        seconds; a response without a token counts as the deadline
+    :ivar median: median of the time to the first token in seconds
+    :ivar served: fraction of the requests with a complete response
+    :ivar asked: number of requests
+    :ivar flood: responses to the flood by error code or outcome
+    :ivar rate: tokens per second of all teams
     """
 
     first_token: float
@@ -230,7 +238,7 @@
 
 
 def _saturate(running: deployment.Deployment, keys: list[str]) -> float:
-    """Measure the tokens a second that a flood alone gets."""
+    """Measure the tokens per second of a flood without other load."""
     seconds = WARM_UP_SECONDS + SATURATED_SECONDS
     with floods.Flood.start(_plan_flood(running, keys, seconds)):
         time.sleep(WARM_UP_SECONDS)
@@ -258,7 +266,7 @@
 
 
 def measure_flood() -> Iterator[figures.Figure]:
-    """Measure a team beside another at 20 times its share."""
+    """Measure a team while another sends 20 times its own share."""
     keys = [secrets.token_urlsafe(16) for _ in range(KEYS)]
     with _run('fair', keys) as running:
         capacity = _saturate(running, keys)
@@ -310,7 +318,7 @@
 
 
 def measure_kinds() -> Iterator[figures.Figure]:
-    """Measure a team beside floods that aim at other parts."""
+    """Measure a team during floods of other kinds of requests."""
     keys = [secrets.token_urlsafe(16) for _ in range(KEYS)]
     with _run('fair', keys) as running:
         share = VICTIM_PART * _saturate(running, keys)
--- a/packages/trials/src/dunlintide_trials/cases/fleet.py
+++ b/packages/trials/src/dunlintide_trials/cases/fleet.py
@@ -1,4 +1,4 @@
-"""What the fleet's state costs: store calls, processor time, memory."""
+"""Cost of the fleet state: store calls, processor time and memory."""
 
 import random
 import time
@@ -27,7 +27,7 @@
 
 
 def measure_store_calls() -> Iterator[figures.Figure]:
-    """Reads a second at the store and watches open, of the whole fleet."""
+    """Measure the store reads per second and open watches of a fleet."""
     for size in fleets.SIZES:
         net = fleets.make_fleet(size)
         fleets.spread_change(net, fleets.make_document(100, 1))
@@ -49,7 +49,7 @@
     peers = network.make_peers(size // 3, size - size // 3, fleets.DOMAINS)
     replica = replicas.Replica(peers[0], random.Random(1))
     for peer in peers[1:]:
-        # Through the wire form, as it comes: no string is shared.
+        # Decoded from wire format, so that peers share no string objects.
         other = replicas.Replica(peer, random.Random(1))
         request = other.open(0.0, exchanges.Target(''))
         message = peercodec.encode_request(request).SerializeToString()
@@ -61,7 +61,7 @@
 
 
 def _time_calls(size: int) -> float:
-    """Return processor seconds of one exchange, both ends."""
+    """Return the processor seconds of one exchange at both ends."""
     caller, callee = _make_replica(size), _make_replica(size)
 
     def ignore(*_) -> None:
@@ -91,7 +91,10 @@
 
 
 def measure_cpu() -> Iterator[figures.Figure]:
-    """Share of a core for rounds with peers, one out and one in a second."""
+    """Measure the share of a core for gossip.
+
+    A process makes one exchange and answers one exchange per second.
+    """
     for size in fleets.SIZES:
         yield figures.at_most(
             f'fleet.cpu.{size}',
@@ -103,7 +106,7 @@
 
 
 def measure_memory() -> Iterator[figures.Figure]:
-    """Bytes of a process's view and of its configuration."""
+    """Measure the bytes of a process's view and its configuration."""
     for size in fleets.SIZES:
         tracemalloc.start()
         replica = _make_replica(size)
--- a/packages/trials/src/dunlintide_trials/cases/idle_links.py
+++ b/packages/trials/src/dunlintide_trials/cases/idle_links.py
@@ -1,4 +1,7 @@
-"""What links without requests cost both sides: pings and load reports."""
+"""Processor time and memory of links without requests, at both ends.
+
+Such links carry pings and load reports.
+"""
 
 from multiprocessing import connection
 import statistics
@@ -19,23 +22,24 @@
 GROUP = 'links'
 
 LINKS = (8, 16, 24, 32)
-# Links of an entry at the size that the design is for.
+# Links of an entry in a deployment of the intended size.
 _ENTRY_LINKS = 30
 _SECONDS = 8.0
 _OTHERS_REQUESTS = 10
 _START_SECONDS = 30.0
 _SETTLE_SECONDS = 2.0
-# Far above the budget of 3.7%, since the machine does other work too.
+# Far above the budget of 3.7%, as the machine also runs other work.
 _CPU_BOUND = 0.12
 _KB = 1e3
 
 
 @attrs.frozen
 class Usage:
-    """What one process used.
+    """Resources that a process used.
 
-    :ivar cores: share of a core
-    :ivar resident: memory in bytes
+    :ivar cores: processor time as a share of a core
+    :ivar resident: resident memory in bytes
+    :ivar threads: number of threads
     """
 
     cores: float
@@ -50,7 +54,7 @@
 def _accept(
     pipe: connection.Connection, folder: str | None, running: int
 ) -> None:
-    """Be an agent: accept links and report a load to all."""
+    """Act as an agent that accepts links and reports its load on them."""
     handlers = links.Handlers(_ignore, _ignore, _ignore)
     hello = link_pb2.Hello(name='agent', role='agent', incarnation=1)
     transport = pairs.open_transport(folder, 'agent', 'agent')
@@ -71,7 +75,7 @@
 def _dial(
     pipe: connection.Connection, port: int, count: int, folder: str | None
 ) -> None:
-    """Be an entry: dial some agents, which all stand behind one port."""
+    """Act as an entry that dials agents, all of them at one port."""
     up = threading.Semaphore(0)
     handlers = links.Handlers(lambda link: up.release(), _ignore, _ignore)
     hello = link_pb2.Hello(name='entry', role='entry', incarnation=1)
@@ -90,7 +94,9 @@
         dialer.start()
     for _ in dialers:
         if not up.acquire(timeout=_START_SECONDS):
-            raise TimeoutError('a link did not come up')
+            raise TimeoutError(
+                f'a link was not up within {_START_SECONDS:.0f} s'
+            )
     pipe.send(count)
     pipe.recv()
     for dialer in dialers:
@@ -100,11 +106,12 @@
 def measure(
     count: int, folder: str | None = None, running: int = 0
 ) -> tuple[Usage, Usage]:
-    """Return what the dialling and the accepting process used.
+    """Return the usage of the dialling and of the accepting process.
 
-    :param count: idle links
-    :param folder: certificates of both processes; None for no TLS
-    :param running: requests that the accepting side reports
+    :param count: number of idle links
+    :param folder: folder with the certificates of both processes, None for
+        no TLS
+    :param running: requests that the accepting side reports as running
     """
     with (
         pairs.start(_accept, folder, running) as accepting,
@@ -163,12 +170,12 @@
 
 
 def measure_idle() -> Iterator[figures.Figure]:
-    """Measure an idle link to an agent without work."""
+    """Measure idle links to an agent without work."""
     yield from _describe('links.idle', 0)
 
 
 def measure_reported() -> Iterator[figures.Figure]:
-    """Measure an idle link to an agent that others keep busy."""
+    """Measure idle links to an agent that runs requests of others."""
     yield from _describe('links.reported', _OTHERS_REQUESTS)
 
 
--- a/packages/trials/src/dunlintide_trials/cases/latency.py
+++ b/packages/trials/src/dunlintide_trials/cases/latency.py
@@ -1,10 +1,10 @@
-"""What dunlintide adds to a request at 70% load, against direct driving.
+"""Latency that dunlintide adds to a request at 70% load.
 
-Background streams and the probes share the same engines, and probes
-through dunlintide run beside probes that drive a chain directly, so both
-meet the same batches. All endpoints are alike, as chains of different
-speed would drown what is added. Values can be below 0: dunlintide chooses
-endpoints by load, and the baseline takes them in turn.
+The baseline drives a chain directly. Probes of both kinds alternate and
+share the engines with background streams, so that both meet the same
+batches. All endpoints are equal, as different speeds of chains would hide
+the added latency. Values can be negative, because dunlintide chooses
+endpoints by load while the baseline uses them in turn.
 """
 
 from concurrent import futures
@@ -27,7 +27,7 @@
 WARM_UP_SECONDS = 15.0
 TOKENS = 16
 PROMPT = 'specials'
-# Bounds on what is added, as shares of the baseline.
+# Bounds on the added latency as fractions of the baseline.
 FIRST_TOKEN_SHARE = 0.5
 INTER_TOKEN_SHARE = 0.25
 _PERCENTILE = 95
@@ -107,12 +107,12 @@
 
 
 def measure_first_token() -> Iterator[figures.Figure]:
-    """Measure what is added to the time to the first token."""
+    """Measure the latency added to the first token."""
     yield from _compare('first', FIRST_TOKEN_SHARE)
 
 
 def measure_inter_token() -> Iterator[figures.Figure]:
-    """Measure what is added to the mean time between two tokens."""
+    """Measure the latency added to the mean interval between tokens."""
     yield from _compare('between', INTER_TOKEN_SHARE)
 
 
--- a/packages/trials/src/dunlintide_trials/cases/leader.py
+++ b/packages/trials/src/dunlintide_trials/cases/leader.py
@@ -1,7 +1,7 @@
-"""What leading a model costs an entry beside what each entry does.
+"""Additional cost of an entry that is the leader of a model.
 
-The fleet is made up; what judges it is the real thing. The entry has no
-link, so that all engines are judged by the membership.
+The fleet is synthetic and evaluated by the product's code. The entry has
+no links, so it takes the state of all engines from the membership.
 """
 
 import time
@@ -26,7 +26,7 @@
 DOMAINS = 7
 MODEL, LAYERS = 'model-0', 24
 CPU_BOUND = 0.037
-# Links of an entry that leads nothing, two of each of 15 layer ranges.
+# Links of an entry that leads no model: two for each of 15 layer ranges.
 LINKS_BOUND = 32
 _TICKS = 200
 
@@ -44,7 +44,7 @@
 
 
 def _time_tick(hosts: list[roster.Host]) -> float:
-    """Return processor seconds of one look at the fleet."""
+    """Return the processor seconds of one placement decision."""
     view = fleet.Fleet(link_pb2.Hello, fleet.Listeners(_ignore, _ignore))
     seen = engineview.EngineView(hosts[0].name, 'domain-0', view)
     seen.update_hosts(hosts)
@@ -56,7 +56,10 @@
         if not sight.has_sufficient_view or placer.make_orders(
             tick, sight.engines
         ):
-            raise AssertionError('a whole fleet was not seen as such')
+            raise AssertionError(
+                f'a healthy fleet of {len(hosts)} hosts was seen as '
+                'incomplete or got orders'
+            )
     return (time.thread_time() - start) / _TICKS
 
 
@@ -69,7 +72,7 @@
 
 
 def measure_links() -> Iterator[figures.Figure]:
-    """Links of an entry that leads a model."""
+    """Count the links of an entry that leads a model."""
     for agents in AGENTS:
         yield figures.at_most(
             f'leader.links.{agents}',
@@ -83,7 +86,7 @@
 
 
 def measure_cpu() -> Iterator[figures.Figure]:
-    """Processor time of an entry that leads a model."""
+    """Measure the processor time of placement by a model's leader."""
     for agents in AGENTS:
         yield figures.at_most(
             f'leader.cpu.{agents}',
--- a/packages/trials/src/dunlintide_trials/cases/limits.py
+++ b/packages/trials/src/dunlintide_trials/cases/limits.py
@@ -1,7 +1,8 @@
-"""Limits of a team over entries, against no and fixed coordination.
+"""Accuracy of a team's rate limit that entries enforce together.
 
-Entries run in one process on a virtual clock; what they tell each other
-arrives late, and some of it never.
+It is compared with entries that don't coordinate and with a static split.
+Entries run in one process on a virtual clock; their messages are delayed
+and some are lost.
 """
 
 import heapq
@@ -30,10 +31,10 @@
 LAG = (0.02, 0.4)
 LOSS = 0.02
 CUT = (30.0, 60.0)
-# What the design allows in a window: the rate, a burst of a second, and
-# one request an entry.
+# Requests that may be admitted in a window relative to the rate: the rate
+# itself, a burst of ``BURST_SECONDS`` and one request per entry.
 BOUND = 1 + (RATE * core_limits.BURST_SECONDS + ENTRIES) / (RATE * WINDOW)
-# Losses and shifts may leave part of the limit unused for a while.
+# Lost messages and shifts of demand leave part of the limit unused.
 USE_BOUND = 0.6
 SEED = 5
 
@@ -43,7 +44,7 @@
 
 
 class _Network:
-    """Delivers frames late on a virtual clock."""
+    """Delays, drops and delivers frames on a virtual clock."""
 
     def __init__(self, is_cut: Callable[[float], bool]) -> None:
         self.now = 0.0
@@ -73,7 +74,7 @@
 
 @attrs.frozen
 class _Link:
-    """A link as its receiver sees it."""
+    """A link as the receiver of a frame sees it."""
 
     network: _Network
     source: int
@@ -88,7 +89,7 @@
 
 
 class _Node:
-    """Stands for an entry's links to the others."""
+    """Simulated links of an entry to the other entries."""
 
     def __init__(self, network: _Network, number: int, take) -> None:
         self.take = take
@@ -112,7 +113,10 @@
 
 
 def _run(admit: Admit, advance: Callable[[float], None]) -> list[float]:
-    """Offer skewed, shifting demand; return when requests were admitted."""
+    """Offer a demand that shifts between entries.
+
+    :returns: times in seconds at which requests were admitted
+    """
     rng = random.Random(SEED)
     now, admitted = 0.0, []
     while now < SECONDS:
@@ -136,7 +140,7 @@
         )
         for number in range(ENTRIES)
     ]
-    # Renewals of different entries fall at different moments.
+    # The entries renew their shares at different times.
     last = [number / ENTRIES - 1 for number in range(ENTRIES)]
 
     def tell_due(number: int) -> float:
@@ -164,7 +168,7 @@
 
 
 def _find_peak(admitted: list[float]) -> float:
-    """Return the most in any window over what the rate gives it."""
+    """Return the maximum admitted in a window relative to the rate."""
     peak = first = 0
     for last, moment in enumerate(admitted):
         while admitted[first] < moment - WINDOW:
@@ -178,7 +182,7 @@
 
 
 def measure_overshoot() -> Iterator[figures.Figure]:
-    """Measure what is admitted of three times the limit."""
+    """Measure the admitted requests when three times the limit is offered."""
     shared = _run_shared(lambda now: False)
     fixed = _run_fixed(RATE / ENTRIES)
     alone = _run_fixed(RATE)
--- a/packages/trials/src/dunlintide_trials/cases/limits_bytes.py
+++ b/packages/trials/src/dunlintide_trials/cases/limits_bytes.py
@@ -1,8 +1,8 @@
-"""What a coordinator of teams' limits sends and receives.
+"""Traffic of an entry that coordinates the limits of teams.
 
 All entries run in one process on a virtual clock, without loss or delay;
-the messages are encoded as on the wire. One entry coordinates one shard,
-as four do in a fleet.
+the messages are encoded as on the wire. One entry coordinates one shard;
+in a fleet four entries coordinate a shard each.
 """
 
 import heapq
@@ -21,7 +21,7 @@
 GROUP = 'limits'
 SIZES = (50, 100, 200, 370)
 BYTES_BOUND = 5000.0
-# Teams of one shard that each entry serves under a limit.
+# Number of limited teams of the shard that each entry serves.
 TEAMS = (0, 4)
 # HTTP/2 and gRPC framing of one message on an open stream.
 FRAMING_BYTES = 14
@@ -35,7 +35,7 @@
 
 @attrs.define
 class _Counts:
-    """Of the coordinator, both directions together."""
+    """Messages and bytes of the coordinator in both directions."""
 
     messages: int = 0
     bytes: int = 0
@@ -47,7 +47,7 @@
 
 
 class _Node:
-    """Stands for an entry's links; only the first entry coordinates."""
+    """Simulated links of an entry; the first entry is the coordinator."""
 
     def __init__(self, nodes: list, counts: _Counts, size: int, take) -> None:
         self.take = take
@@ -68,7 +68,7 @@
         return link_pb2.Hello(name=str(self._number), incarnation=1)
 
     def send(self, *arguments) -> None:
-        # A demand names its coordinator, an answer goes back on the link.
+        # A demand is sent to a named coordinator, a reply only gets a frame.
         frame = arguments[-1]
         self._counts.add(frame)
         if len(arguments) > 1:
@@ -84,7 +84,7 @@
 
 
 def _run(size: int, teams: int) -> tuple[float, float]:
-    """Return messages and bytes a second of the coordinator."""
+    """Return the messages and bytes per second of the coordinator."""
     now, nodes, counts = 0.0, [], _Counts()
     entries = [
         limits.Limiter(
@@ -108,7 +108,7 @@
 
 
 def measure_bytes() -> Iterator[figures.Figure]:
-    """Messages and bytes a second of one shard's coordinator."""
+    """Measure the messages and bytes per second of a coordinator."""
     for teams in TEAMS:
         for size in SIZES:
             messages, sent = _run(size, teams)
--- a/packages/trials/src/dunlintide_trials/cases/links.py
+++ b/packages/trials/src/dunlintide_trials/cases/links.py
@@ -1,8 +1,9 @@
-"""Steps of many sessions over one slow link between two processes' ends.
+"""Batching of the steps of many sessions on one slow link.
 
-Each session sends a step and the next one when its token is back, as in
-decoding. The relay delays each direction and limits the bytes a second.
-The baseline sends one step a message; tokens come back as ever.
+Each session sends its next step when the token of the previous one
+arrives, as in decoding. A relay delays both directions and limits the
+bytes per second. The baseline sends one step per message, while tokens are
+batched as usual.
 """
 
 import contextlib
@@ -86,7 +87,7 @@
             link.send(_make_step(frame.token.request_id))
 
     handlers = links.Handlers(begin, take, lambda link, why: None)
-    # Queued pings wait behind steps, and no loss is measured here.
+    # Pings queue behind steps, so a short timeout would break the link.
     timing = links.LinkTiming(silence=_WAIT_SECONDS)
     return links.Dialer(
         f'127.0.0.1:{port}',
@@ -98,7 +99,7 @@
 
 
 def _run(batch_bytes: int) -> _Counts:
-    """Give what arrived in the window."""
+    """Count the messages and frames that arrive in the window."""
     counts = _Counts()
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(linkserver.serve(_serve(counts)))
@@ -110,7 +111,9 @@
         dialer.start()
         stack.callback(dialer.stop)
         if not up.wait(_WAIT_SECONDS):
-            raise RuntimeError('the link did not open')
+            raise RuntimeError(
+                f'the link was not up within {_WAIT_SECONDS:.0f} s'
+            )
         time.sleep(WARM_UP_SECONDS)
         before = attrs.evolve(counts)
         time.sleep(WINDOW_SECONDS)
@@ -118,7 +121,7 @@
 
 
 def measure_batching() -> Iterator[figures.Figure]:
-    """Measure how steps share messages, and what that carries."""
+    """Measure the steps per message and the rate of steps."""
     together = _run(packing.BATCH_BYTES)
     alone = _run(1)
     where = (
--- a/packages/trials/src/dunlintide_trials/cases/membership.py
+++ b/packages/trials/src/dunlintide_trials/cases/membership.py
@@ -1,4 +1,7 @@
-"""Loss and return of a failure domain, and of half the fleet."""
+"""Convergence of the membership after a network partition.
+
+The partition separates one failure domain or half of the fleet.
+"""
 
 from typing import Callable, Iterator
 
@@ -10,7 +13,7 @@
 
 _HOUR = 3600.0
 _MINUTES = 120.0
-# Larger fleets are cut for a shorter time, to bound the run.
+# Larger fleets are partitioned for a shorter time to limit the run time.
 _LARGEST_FOR_AN_HOUR = 100
 _SIZES = (50, 100, 200, 400)
 _MOST_SECONDS = 600.0
@@ -70,7 +73,7 @@
 
 
 def measure_convergence() -> Iterator[figures.Figure]:
-    """Time until all views agree again, with calls and false deaths."""
+    """Measure the time, calls and false deaths until all views agree."""
     for size in _SIZES:
         yield from _measure_cut('domain', size, lambda domain: domain == 2)
         yield from _measure_cut('half', size, lambda domain: domain < 4)
--- a/packages/trials/src/dunlintide_trials/cases/memory.py
+++ b/packages/trials/src/dunlintide_trials/cases/memory.py
@@ -18,7 +18,7 @@
 
 
 def _ask(running: deployment.Deployment) -> None:
-    """Send some requests, so that what is loaded late is loaded."""
+    """Send some requests, so that lazily loaded code is loaded."""
     team = next(iter(running.keys))
     for number in range(_REQUESTS):
         entry = number % len(running.plan.entries)
--- a/packages/trials/src/dunlintide_trials/cases/overhead.py
+++ b/packages/trials/src/dunlintide_trials/cases/overhead.py
@@ -1,7 +1,7 @@
-"""What dunlintide adds to a request, against the same chain driven directly.
+"""Latency that dunlintide adds to a request on an idle deployment.
 
-The baseline sends the same steps to the same engines over HTTP from one
-loop, one after the other, with no process in between.
+The baseline sends the same steps to the same engines over HTTP from a
+single loop, one after another, with no process in between.
 """
 
 import statistics
@@ -19,8 +19,8 @@
 WARMUP = 5
 TOKENS = 32
 PROMPT = 'Write the dinner specials of a diner on the interstate'
-# Bounds on what is added, as shares of the baseline: a busy machine slows
-# both, so the ratio holds where a time would not.
+# Bounds on the added latency as fractions of the baseline, as a busy machine
+# slows both.
 FIRST_TOKEN_SHARE = 2.0
 INTER_TOKEN_SHARE = 1.0
 
@@ -35,7 +35,10 @@
 
 
 def _compare(running: deployment.Deployment) -> tuple[list, list]:
-    """Take turns, so that both meet the same noise."""
+    """Alternate direct and routed requests, so that both meet equal noise.
+
+    :returns: latencies of the direct and of the routed requests
+    """
     chain = direct.Chain.from_first(running, PROMPT, TOKENS)
     caller = running.make_caller(0, next(iter(running.keys)))
     plain, routed = [], []
@@ -47,7 +50,7 @@
 
 
 def measure_first_token() -> Iterator[figures.Figure]:
-    """Measure what is added to the time to the first token."""
+    """Measure the latency added to the first token."""
     with launcher.run_small() as running:
         plain, routed = _compare(running)
     before = statistics.median(one.first for one in plain)
@@ -63,7 +66,7 @@
 
 
 def measure_inter_token() -> Iterator[figures.Figure]:
-    """Measure what is added to the time between two tokens."""
+    """Measure the latency added to the mean interval between tokens."""
     with launcher.run_small() as running:
         plain, routed = _compare(running)
     before = statistics.median(one.between for one in plain)
--- a/packages/trials/src/dunlintide_trials/cases/placement.py
+++ b/packages/trials/src/dunlintide_trials/cases/placement.py
@@ -1,4 +1,4 @@
-"""Recovery of a layer range that all of its holders have lost."""
+"""Recovery time after the loss of all engines of a layer range."""
 
 import contextlib
 import pathlib
@@ -22,11 +22,11 @@
 LOST_STAGE = 8
 PATIENCE_SECONDS = 1.0
 LEASE_SECONDS = 3
-# The stand-in's layers have a megabyte each.
+# Size of each layer of the stand-in.
 LAYER_BYTES = 1_000_000
 BYTES_PER_SECOND = 2_000_000.0
-# All of it: noticing the loss, two witnesses, the order, the load, the new
-# plan and the request itself.
+# Total of detecting the loss, confirming it by two witnesses, ordering the
+# spare, loading its layers, planning and running the request.
 BOUND_SECONDS = 10.0
 _TEAM = 'diner'
 _TOKENS = 4
@@ -41,9 +41,9 @@
 
 @contextlib.contextmanager
 def run_with_spare(replicas: int = 1) -> Iterator[deployment.Deployment]:
-    """Start a pipeline and one spare engine.
+    """Start a deployment of one pipeline with a spare engine.
 
-    :param replicas: engines for each stage
+    :param replicas: engines of each stage
     """
     stages = tuple(
         blueprints.Stage(start, start + LAYERS_PER_STAGE, replicas)
@@ -66,9 +66,9 @@
 
 
 def find_leader(running: deployment.Deployment, avoid: str = '') -> str | None:
-    """Name the entry that leads the model, as it says itself.
+    """Return the name of the entry that reports to lead the model.
 
-    :param avoid: entry that is not asked, as it is paused
+    :param avoid: name of an entry to skip, such as a paused one
     """
     for entry in running.plan.entries:
         if entry.name != avoid:
@@ -93,7 +93,10 @@
 
 
 def _measure_once(running: deployment.Deployment) -> float | None:
-    """Return the seconds, None when the spare was used before the loss."""
+    """Measure the seconds from the loss to a complete response.
+
+    :returns: the seconds, None when the spare was in use before the loss
+    """
     caller = running.make_caller(0, _TEAM)
 
     def is_served() -> bool:
@@ -101,27 +104,34 @@
         return answer.is_complete
 
     if not processes.wait_for(is_served, _WAIT_SECONDS):
-        raise processes.StartError('the model is not served at all')
+        raise processes.StartError(
+            f'{MODEL} was not served within {_WAIT_SECONDS:.0f} s'
+        )
     found = processes.wait_for(
         lambda: find_leader(running) is not None, _WAIT_SECONDS
     )
     if not found:
-        raise processes.StartError('no entry leads the model')
+        raise processes.StartError(
+            f'no entry led {MODEL} within {_WAIT_SECONDS:.0f} s'
+        )
     status = running.read_state(find_leader(running))['placement'][MODEL]
     if status['missing'] or status['orders'] or _is_spare_used(running):
-        # The fleet was slow to start, and the loss would restore itself.
+        # After a slow start the spare may already hold the range to be lost.
         return None
     lose_range(running)
     lost = time.monotonic()
     if not processes.wait_for(is_served, _WAIT_SECONDS):
-        raise processes.StartError('the lost range was not restored')
+        raise processes.StartError(
+            f'the lost range was not restored in {_WAIT_SECONDS:.0f} s'
+        )
     return time.monotonic() - lost
 
 
 def measure_range() -> Iterator[figures.Figure]:
-    """Measure from the loss of a range to the next whole answer.
+    """Measure the time from the loss of a range to the next response.
 
-    The baseline is the weight store's own time for the lost layers.
+    The baseline is the time that the weight store takes to send the lost
+    layers.
     """
     seconds = None
     for _ in range(_TRIES):
@@ -130,7 +140,9 @@
         if seconds is not None:
             break
     if seconds is None:
-        raise processes.StartError('the spare was used before the loss')
+        raise processes.StartError(
+            f'the spare was in use before the loss in {_TRIES} tries'
+        )
     loading = LAYERS_PER_STAGE * LAYER_BYTES / BYTES_PER_SECOND
     yield figures.at_most(
         'recovery.range',
--- a/packages/trials/src/dunlintide_trials/cases/plan.py
+++ b/packages/trials/src/dunlintide_trials/cases/plan.py
@@ -1,4 +1,4 @@
-"""Cost of planning and of choosing a chain at 600 endpoints."""
+"""Time to make a plan and to choose a chain with 600 endpoints."""
 
 from collections.abc import Iterator
 import random
@@ -41,7 +41,7 @@
 
 
 def _time_choices(chooser: selection.Chooser, prompts: list[str]) -> float:
-    """Give the median over rounds of microseconds a request."""
+    """Return the median over rounds of the microseconds per request."""
     rng = random.Random(3)
     held = affinity.AffinityMap()
     rounds = []
@@ -64,7 +64,7 @@
 
 
 def measure_choose() -> Iterator[figures.Figure]:
-    """Measure choice and bookkeeping for one request."""
+    """Measure the choice and the bookkeeping of one request."""
     mix = _draw()
     chooser = _make_chooser(mix)
     yield figures.at_most(
@@ -84,7 +84,7 @@
 
 
 def measure_replan() -> Iterator[figures.Figure]:
-    """Measure one plan, which is made in the background."""
+    """Measure the computation of a plan, which runs in the background."""
     mix = _draw()
     rounds = []
     for _ in range(ROUNDS):
--- a/packages/trials/src/dunlintide_trials/cases/recovery.py
+++ b/packages/trials/src/dunlintide_trials/cases/recovery.py
@@ -1,4 +1,4 @@
-"""How long callers wait when processes die."""
+"""Delays that callers see after the loss of processes."""
 
 import collections
 import itertools
@@ -28,10 +28,9 @@
 SHORT_TOKENS = 8
 WARM_SECONDS = 4.0
 AFTER_SECONDS = 12.0
-# A request that takes so many times what is usual counts as disturbed.
+# A request is disturbed when it takes this multiple of the usual duration.
 SLOWNESS = 4.0
-# The host list shows a failure so late here, in seconds; one on a platform may
-# lag a minute.
+# Delay of the host list in seconds; that of a real platform may lag a minute.
 LIST_LAG_SECONDS = 10.0
 DOMAIN_BOUND_SECONDS = 8.0
 STAGE_PROMPTS = (32, 512)
@@ -40,8 +39,8 @@
 STAGE_BOUND_SECONDS = 2.0
 _WAIT_SECONDS = 30.0
 _REPEAT_SECONDS = 0.1
-# Links are lost at once when hosts die, and when they vanish only by
-# their silence.
+# The links of killed processes close at once; the loss of paused processes
+# is only detected by timeouts.
 _HARMS: dict[str, Callable[[processes.Process], None]] = {
     'killed': processes.Process.kill,
     'vanished': processes.Process.pause,
@@ -58,14 +57,17 @@
         )
 
     if not processes.wait_for(has_tokens, _WAIT_SECONDS, pause=0.005):
-        raise RuntimeError('the request did not run')
+        raise RuntimeError(
+            f'request {key} had too few tokens after {_WAIT_SECONDS:.0f} s'
+        )
 
 
 def _kill_entry(running: deployment.Deployment, key: str, again: str) -> float:
-    """Kill an entry in mid-stream; returns the seconds to the answer.
+    """Kill an entry during a stream and repeat the request elsewhere.
 
     :param key: idempotency key of the request
-    :param again: key under which it is repeated at once
+    :param again: idempotency key of the repeat
+    :returns: seconds from the kill to the end of the response
     """
     team = next(iter(running.keys))
     callers = [running.make_caller(entry, team) for entry in (0, 1)]
@@ -86,7 +88,7 @@
     running.started['entry-0'].kill()
     answer = ask(callers[1], again)
     while answer.outcome == outcomes.Outcome.NOT_RUN:
-        # As a caller does that is told that it may send it again.
+        # A request that was reported as not run may be sent again.
         time.sleep(_REPEAT_SECONDS)
         answer = ask(callers[1], again)
     first.join()
@@ -101,7 +103,7 @@
 
 
 def measure_entry() -> Iterator[figures.Figure]:
-    """Measure from an entry's death to the answer through another one."""
+    """Measure the time from an entry's kill to a response by another."""
     found, anew = [], []
     with launcher.run_small() as running:
         for agent in running.plan.agents:
@@ -127,7 +129,11 @@
 def _show_hosts(
     running: deployment.Deployment, gone: str, since: float
 ) -> float:
-    """Take a domain off the host list; returns when that showed."""
+    """Remove a failure domain from the host list with its lag.
+
+    :param since: monotonic time of the loss in seconds
+    :returns: seconds from the loss until the host list shows it
+    """
     name = running.plan.host_list.name
     url = f'{running.plan.host_list.url}/hosts'
     hosts = running.get_json(url)['hosts']
@@ -139,7 +145,10 @@
         return len(running.get_json(url)['hosts']) == len(kept)
 
     if not processes.wait_for(shows, 2 * LIST_LAG_SECONDS):
-        raise RuntimeError('the host list did not change')
+        raise RuntimeError(
+            'the host list did not change within '
+            f'{2 * LIST_LAG_SECONDS:.0f} s'
+        )
     return time.monotonic() - since
 
 
@@ -148,8 +157,10 @@
 ) -> tuple[steady.SteadyLoad, float, float]:
     """Lose a failure domain under load.
 
-    :returns: the load, the moment of the loss, and the seconds until the
-        host list showed it
+    :param harm: key of ``_HARMS``
+    :param domain: failure domain to lose
+    :returns: the load, the monotonic time of the loss in seconds, and the
+        seconds until the host list showed it
     """
     with launcher.run_small() as running:
         entries = [
@@ -171,7 +182,7 @@
 
 
 def measure_domain() -> Iterator[figures.Figure]:
-    """Measure how long the loss of a failure domain disturbs requests."""
+    """Measure the time for which the loss of a domain disturbs requests."""
     for harm in _HARMS:
         # The last domain of the small deployment has no plain service.
         load, lost, listed = _lose_domain(harm, 'temple')
@@ -198,10 +209,10 @@
 
 
 def measure_stage() -> Iterator[figures.Figure]:
-    """Measure the death of a stage: replay against restarting all."""
+    """Compare replay of a lost stage with a restart of all stages."""
     losses: dict[tuple[str, str, int], stagelosses.Loss] = {}
     for recovery, kind in itertools.product(('restart', 'replay'), KINDS):
-        # New processes, as each entry has but ten retries at first.
+        # New processes for each run, as an entry starts with ten retries.
         with stagelosses.run(recovery) as running:
             for words in STAGE_PROMPTS:
                 losses[recovery, kind, words] = stagelosses.join(
@@ -233,7 +244,7 @@
         )
     again = statistics.fmean(replay.again)
     base = statistics.fmean(restart.again)
-    # A third of the layers runs again, and steps that were under way.
+    # One of three stages is replayed, and the steps in flight run again.
     yield figures.at_most(
         f'{case}.again', again, 'layer-steps', base / 2, base, note
     )
--- a/packages/trials/src/dunlintide_trials/cases/retries.py
+++ b/packages/trials/src/dunlintide_trials/cases/retries.py
@@ -1,8 +1,8 @@
-"""Work sent over work asked while endpoints fail.
+"""Retry amplification while endpoints fail.
 
-Three entries and engines of whose sessions 30 in 100 fail at the first
-layer range. The work sent is counted by the agents, as the requests that
-they took in. The baseline may retry each request twice.
+In a deployment with three entries, 30% of the sessions fail at the engines
+of the first layer range. The attempts are counted by the agents as the
+requests that they accepted. The baseline may retry each request twice.
 """
 
 import collections
@@ -26,21 +26,22 @@
 
 FAIL_RATE = 0.3
 AMPLIFICATION_BOUND = 1.1
-# Uses up the retries that an idle entry has saved.
+# Requests that use up the retries that an idle entry has accumulated.
 WARM_UP = 300
 REQUESTS = 900
 CALLERS = 6
 TOKENS = 2
-# Above what the attempts of one request allow, so never short.
+# More than the attempts of a request allow, so the budget never denies one.
 UNBOUNDED_RATIO = 10.0
 
 
 @attrs.frozen
 class _Outcome:
-    """What became of the requests.
+    """Measurements of one retry ratio.
 
-    :ivar sent: requests that agents took in for each that was asked
-    :ivar complete: share that was answered whole
+    :ivar sent: attempts that agents accepted per request
+    :ivar complete: fraction of the requests with a complete response
+    :ivar outcomes: number of requests by outcome and error code
     """
 
     sent: float
@@ -112,7 +113,7 @@
 
 
 def measure_amplification() -> Iterator[figures.Figure]:
-    """Measure the work that retries add, and what they bring."""
+    """Measure the added attempts and the success rate of retries."""
     bounded = _measure(budget.DEFAULT_RATIO)
     free = _measure(UNBOUNDED_RATIO)
     note = (
--- a/packages/trials/src/dunlintide_trials/cases/subset.py
+++ b/packages/trials/src/dunlintide_trials/cases/subset.py
@@ -1,4 +1,4 @@
-"""Balance of the agents that entries connect to."""
+"""Balance of the subsets of agents that entries connect to."""
 
 import collections
 import statistics
@@ -21,9 +21,10 @@
 def _find_load_spread(
     chosen: dict[str, tuple[fleet.Peer, ...]], agents: list[fleet.Peer]
 ) -> float:
-    """Return load of the busiest agent against the mean of its group.
+    """Return the highest load of an agent relative to its group's mean.
 
-    Each entry spreads one unit evenly over its agents of a layer range.
+    Each entry spreads one unit of load evenly over its agents of a group.
+    The agents of a group serve the same layer range.
     """
     groups = collections.Counter(agent.endpoint for agent in agents)
     loads: collections.Counter[fleet.Peer] = collections.Counter()
@@ -39,10 +40,10 @@
 def _find_link_spread(
     links: collections.Counter[str], agents: list[fleet.Peer]
 ) -> float:
-    """Return links of the busiest agent against the mean of its group.
+    """Return the most links of an agent relative to its group's mean.
 
-    Groups differ in size, and even a full mesh gives an agent that is
-    alone in its group a link of every entry.
+    Agents are compared within their group only, because groups differ in
+    size and the single agent of a group has a link to every entry.
     """
     groups: dict[fleet.Endpoint, list[int]] = {}
     for agent in agents:
@@ -51,7 +52,7 @@
 
 
 def measure_balance() -> Iterator[figures.Figure]:
-    """Links and load of the busiest agent, and what one loss changes."""
+    """Measure the spread of links and load, and the churn of one loss."""
     for entry_count, agent_count in _SIZES:
         peers = network.make_peers(entry_count, agent_count, fleets.DOMAINS)
         entries, agents = peers[:entry_count], peers[entry_count:]
--- a/packages/trials/src/dunlintide_trials/cases/throughput.py
+++ b/packages/trials/src/dunlintide_trials/cases/throughput.py
@@ -1,11 +1,11 @@
-"""Throughput over the max-flow bound, in an event model and in processes.
-
-Figures named ``processes`` come from real processes, all others from
-``dunlintide_trials.stages``; its docstring gives the assumptions. Six
-fleets are drawn, each with six
-kinds of accelerator in each of four layer ranges, three failure domains
-and links that differ a hundredfold; three entries route. The value is
-that of the worst fleet.
+"""Throughput relative to the max-flow bound, by routing policy.
+
+Figures named ``processes`` come from real processes, all others from the
+event model in ``dunlintide_trials.stages``, whose docstring lists its
+assumptions. The model runs six random fleets, each with six kinds of
+accelerator in each of four layer ranges, three failure domains, links that
+differ by a factor of 100, and three entries. Its figures are those of the
+worst fleet.
 """
 
 from collections.abc import Callable, Iterator
@@ -27,23 +27,23 @@
 ENTRIES = 3
 BOUND_TARGET = 0.90
 DEGRADED_TARGET = 0.85
-# Links were left without a target; this only guards what was measured.
+# Slow links have no target; the bound only detects regressions.
 LINK_GUARD = 0.75
-# Sessions for each that the chains hold with full batches.
+# Sessions relative to the number that fills the batches of all chains.
 SESSIONS_FACTOR = 2.0
 WARM_UP_SECONDS = 20.0
 WINDOW_SECONDS = 10.0
-# Arrivals stay at this part of the bound before the fault.
+# Rate of arrivals as a fraction of the bound before the fault.
 OFFERED = 0.95
 REACTION_SECONDS = 5.0
 REACTED_SECONDS = 5.0
 SLOWDOWN = 10.0
 
-# Callers that fill the batches of all processes' engines twice.
+# Twice the callers that fill the batches of the engines of all processes.
 STREAMS = 384
 PROCESS_WARM_UP_SECONDS = 10.0
 PROCESS_OFFERED = 0.9
-# Answers over the slowest chains take about this long.
+# Duration of the responses over the slowest chains.
 PROCESS_FILL_SECONDS = 25.0
 
 _PROCESSES = '12 engines of 6 kinds, a process each'
@@ -123,7 +123,7 @@
 
 
 def _measure_bound_processes() -> Iterator[figures.Figure]:
-    """Measure real processes with enough streams to fill all chains."""
+    """Measure real processes with streams that fill all chains."""
     routings = ('planned', 'planned', 'round-robin', 'round-robin')
     with saturation.run(routings) as running:
         bound = saturation.find_bound(saturation.list_stops(running))
@@ -141,10 +141,10 @@
 
 
 def _measure_degraded_processes() -> Iterator[figures.Figure]:
-    """Measure real processes from 5 s to 10 s after a stage slows.
+    """Measure real processes from 5 s to 10 s after a stage slows down.
 
-    The busiest endpoint's steps take ten times as long. Requests come
-    at a rate that the deployment carried before.
+    The steps of the fastest endpoint take ten times as long. Requests
+    arrive at a rate that the deployment sustains before that.
     """
     with saturation.run(('planned', 'planned')) as running:
         stops = saturation.list_stops(running)
@@ -183,7 +183,7 @@
 
 
 def measure_bound() -> Iterator[figures.Figure]:
-    """Measure policies with enough sessions to fill all chains."""
+    """Measure routing policies with sessions that fill all chains."""
     yield from _measure_bound_processes()
     reached = {
         policy: min(_reach(policy, seed) for seed in SEEDS)
@@ -263,10 +263,10 @@
 
 
 def measure_degraded() -> Iterator[figures.Figure]:
-    """Measure from 5 s to 10 s after the busiest stage or link slows.
+    """Measure from 5 s to 10 s after the busiest stage or link slows down.
 
-    With a fixed number of callers, those that are stuck on the slow
-    stage ask for nothing else; that is given beside arrivals at a rate.
+    Besides Poisson arrivals a fixed number of callers is measured, as
+    those that wait for the slow stage send no other requests.
     """
 
     yield from _measure_degraded_processes()
--- a/packages/trials/src/dunlintide_trials/cases/tls.py
+++ b/packages/trials/src/dunlintide_trials/cases/tls.py
@@ -1,6 +1,6 @@
-"""What TLS costs: between processes, and on the callers' port.
+"""Cost of TLS between processes and on the port for callers.
 
-The baseline of each figure is the same without TLS in the same run.
+The baseline of each figure is measured without TLS in the same run.
 """
 
 import contextlib
@@ -40,21 +40,26 @@
 _WAIT_SECONDS = 30.0
 _MICRO = 1e6
 _MEGA = 1e6
-# Regression bounds, well above what a loaded machine shows.
+# Regression bounds relative to the baseline, well above the ratios of a
+# loaded machine.
 _LINK_RATIO = 2.5
 _STREAM_RATIO = 4.0
 
 
 @attrs.frozen
 class _Cost:
-    """Processor time for one message of both ends, and the rate."""
+    """Cost of one step and its token.
+
+    :ivar micros: processor time of both ends in microseconds
+    :ivar rate: steps per second
+    """
 
     micros: float
     rate: float
 
 
 def _answer(pipe: connection.Connection, folder: str | None) -> None:
-    """Be an agent that answers each step with a token."""
+    """Act as an agent that answers each step with a token."""
     count = 0
 
     def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
@@ -81,7 +86,7 @@
 def _ask(
     pipe: connection.Connection, port: int, size: int, folder: str | None
 ) -> None:
-    """Be an agent that keeps some steps under way, one a message."""
+    """Act as an agent that keeps steps in flight, one per message."""
     step = link_pb2.Step(request_id='r', activations=bytes(size))
     frame = link_pb2.Frame(step=step)
     up = threading.Event()
@@ -110,7 +115,7 @@
     )
     dialer.start()
     if not up.wait(_WAIT_SECONDS):
-        raise TimeoutError('the link did not open')
+        raise TimeoutError(f'the link was not up within {_WAIT_SECONDS:.0f} s')
     pipe.send(None)
     while pipe.recv() is not None:
         pipe.send(count)
@@ -145,7 +150,7 @@
 
 
 def measure_links() -> Iterator[figures.Figure]:
-    """Measure processor time of messages and idle links."""
+    """Measure the processor time of messages and of idle links."""
     with contextlib.ExitStack() as stack:
         folder = str(_write_files(stack))
         for size in _STEP_BYTES:
@@ -183,7 +188,7 @@
 
 
 def _serve_callers(pipe: connection.Connection, folder: str | None) -> None:
-    """Be an HTTP server that streams many small pieces."""
+    """Act as an HTTP server that streams many small chunks."""
 
     def stream(environ: dict, start_response: Callable) -> Iterator[bytes]:
         start_response('200 OK', [('Content-Type', 'text/event-stream')])
@@ -218,11 +223,13 @@
     caller.request('GET', f'/{chunks}')
     received = len(caller.getresponse().read())
     if received != chunks * len(_CHUNK):
-        raise RuntimeError(f'{received} bytes instead of {chunks} pieces')
+        raise RuntimeError(
+            f'received {received} of {chunks * len(_CHUNK)} bytes'
+        )
 
 
 def _measure_callers(folder: str | None) -> tuple[float, float]:
-    """Return the server's microseconds for a connection and a piece."""
+    """Return the server's microseconds per connection and per chunk."""
     context = None
     if folder is not None:
         context = ssl.create_default_context(
@@ -244,7 +251,7 @@
 
 
 def measure_callers() -> Iterator[figures.Figure]:
-    """Measure processor time of the callers' port."""
+    """Measure the processor time of a server for callers."""
     with contextlib.ExitStack() as stack:
         folder = str(_write_files(stack))
         plain = _measure_callers(None)
