--- a/packages/trials/src/dunlintide_trials/authority.py
+++ b/packages/trials/src/dunlintide_trials/authority.py
@@ -1,4 +1,4 @@
-"""A certificate authority for tests and the demo, and what it issues."""
+"""Certificate authority that issues the TLS files of trials and the demo."""
 
 import datetime
 import ipaddress
@@ -35,9 +35,9 @@
 
 
 class Authority:
-    """Issues certificates; its own lives as long as the object.
+    """Certificate authority whose key is kept in memory only.
 
-    :ivar certificate: its certificate in PEM
+    :ivar certificate: certificate of the authority in PEM
     """
 
     def __init__(self, name: str = 'trial authority') -> None:
@@ -72,9 +72,9 @@
     def issue(
         self, role: str, name: str, life: datetime.timedelta = _LIFE
     ) -> tuple[bytes, bytes]:
-        """Issue a certificate for a process; also good for 127.0.0.1.
+        """Issue a certificate for a process name and for 127.0.0.1.
 
-        :param life: time left, negative for one that has expired
+        :param life: time until it expires, negative for an expired one
         :returns: certificate and key in PEM
         """
         identity = identities.Identity(role, name)
@@ -94,7 +94,7 @@
         name: str,
         life: datetime.timedelta = _LIFE,
     ) -> dict[str, str]:
-        """Issue a certificate into files, in place of former ones.
+        """Issue a certificate and write its files, replacing existing ones.
 
         :returns: the ``tls`` part of the settings of that process
         """
--- a/packages/trials/src/dunlintide_trials/blueprints.py
+++ b/packages/trials/src/dunlintide_trials/blueprints.py
@@ -1,4 +1,4 @@
-"""Deployment files: which processes a trial deployment has."""
+"""Deployment files, which define the processes of a trial deployment."""
 
 import pathlib
 
@@ -20,29 +20,32 @@
     'shrink',
 ]
 
-# A prompt that holds this crashes the stand-in engine that runs it.
+# A prompt that contains this text crashes the stand-in engine that runs it.
 CRASH_MARKER = 'crash-this-engine'
 SMALL_REPLICAS = 2
 SMALL_SERVICES = 2
 
 
 class BlueprintError(ValueError):
-    """A deployment file has errors; the text lists them with places."""
+    """A deployment file is invalid; the text lists errors and positions."""
 
 
 @attrs.frozen
 class Stage:
-    """Endpoints that hold one range of layers.
+    """Endpoints that serve one range of layers.
 
     :ivar replicas: number of engines, spread over the failure domains
-    :ivar tokens_per_second: declared capacity of one
-    :ivar step_seconds: fixed time of one step of the engine
-    :ivar token_seconds: time that a token adds to a step
-    :ivar step_tokens: bound on the tokens of a step
-    :ivar max_in_flight: bound on its concurrent requests, 0 for none
-    :ivar kv_tokens: positions that its KV cache holds
-    :ivar preempts: whether it makes room by running the newest again
-    :ivar checks_fence: whether it refuses orders with an old fence
+    :ivar tokens_per_second: declared capacity of each engine
+    :ivar step_seconds: fixed time of an engine step, in seconds
+    :ivar token_seconds: seconds that each token adds to a step
+    :ivar step_tokens: maximum tokens in a step
+    :ivar max_in_flight: maximum concurrent requests of an engine, 0 for
+        no limit
+    :ivar kv_tokens: capacity of an engine's KV cache in token positions
+    :ivar preempts: whether a full KV cache preempts the newest request
+        and recomputes it later
+    :ivar checks_fence: whether an engine rejects orders with a stale
+        fencing token
     """
 
     layer_start: int
@@ -61,9 +64,9 @@
 
 @attrs.frozen
 class Pipeline:
-    """One model version in stages.
+    """One model version, split into stages.
 
-    :ivar spares: engines beside them that hold nothing
+    :ivar spares: number of additional engines without layers
     """
 
     model: str
@@ -75,9 +78,9 @@
 
 @attrs.frozen
 class PlainService:
-    """One plain service and the number of its runners.
+    """One plain service and the number of its replicas.
 
-    :ivar path: a path under which it takes calls, for trials
+    :ivar path: path that trials call
     """
 
     name: str
@@ -89,8 +92,9 @@
 class Blueprint:
     """A deployment of processes on one machine.
 
-    :ivar rules: operators' configuration, a path beside the file
-    :ivar placement: that part of the entries' settings
+    :ivar rules: path of the operators' configuration, relative to the
+        deployment file
+    :ivar placement: the ``placement`` part of the entries' settings
     """
 
     name: str
@@ -104,14 +108,17 @@
 
 
 def make_crash_word(layer_start: int) -> str:
-    """Give the first word of a prompt that crashes one later stage."""
+    """Build the first word of a prompt that crashes one stage.
+
+    :param layer_start: first layer of the stage that crashes
+    """
     return f'crash-layer-{layer_start}'
 
 
 def load_blueprint(path: pathlib.Path) -> Blueprint:
     """Read a deployment file.
 
-    :raises BlueprintError: when it doesn't fit the format
+    :raises BlueprintError: when the file doesn't match the schema
     """
     parsed = jsonc.parse(path.read_text(), str(path))
     read = parsed.and_then(
@@ -125,7 +132,11 @@
 
 
 def shrink(blueprint: Blueprint) -> Blueprint:
-    """Keep one model with two replicas a stage, and two services."""
+    """Reduce a blueprint to the size of a small trial.
+
+    It keeps the first model with at most two replicas of each stage, and
+    the first two services with one replica each.
+    """
     pipeline = blueprint.pipelines[0]
     stages = tuple(
         attrs.evolve(stage, replicas=min(stage.replicas, SMALL_REPLICAS))
--- a/packages/trials/src/dunlintide_trials/client.py
+++ b/packages/trials/src/dunlintide_trials/client.py
@@ -1,4 +1,4 @@
-"""A small caller: completions, streamed or whole, and service calls."""
+"""HTTP client of trials for completions and calls of plain services."""
 
 import json
 import time
@@ -11,9 +11,9 @@
 
 __all__ = ['Answer', 'Caller', 'LOST', 'TRUNCATED']
 
-# What a caller sees besides the outcomes that the router tells.
-LOST = 'lost'  # the connection broke before an answer
-TRUNCATED = 'truncated'  # a stream ended without an end mark
+# Outcomes that the client adds to those that the router reports.
+LOST = 'lost'  # the connection failed before a response arrived
+TRUNCATED = 'truncated'  # a stream ended without its end marker
 
 _END_MARK = '[DONE]'
 _OUTCOME_HEADER = 'Dunlintide-Outcome'
@@ -26,15 +26,17 @@
 
 @attrs.define
 class Answer:
-    """What became of a request, as its caller sees it.
+    """Response to a request, as its caller sees it.
 
-    :ivar status: HTTP status, 0 when the connection broke before it
+    :ivar status: HTTP status, 0 when the connection failed before it
     :ivar outcome: an ``outcomes.Outcome``, ``LOST`` or ``TRUNCATED``
-    :ivar request_id: id that the router gave it, empty when unknown
+    :ivar request_id: request id from the router, empty when unknown
     :ivar texts: texts of the tokens of a stream, in order
-    :ivar text: the whole text of a completion
+    :ivar text: complete text of a completion
+    :ivar body: body of a response that was not streamed
     :ivar times: monotonic time of each token in seconds
-    :ivar started: monotonic time of the call in seconds
+    :ivar started: monotonic time of the request in seconds
+    :ivar ended: monotonic time of the end of the response in seconds
     :ivar error: problem details, or the error event of a stream
     """
 
@@ -51,12 +53,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the whole answer came."""
+        """Whether the response arrived complete."""
         return self.outcome == outcomes.Outcome.COMPLETE
 
     @property
     def code(self) -> str:
-        """Code of the problem, empty without one."""
+        """Error code of the response, empty without an error."""
         return str((self.error or {}).get('code', ''))
 
 
@@ -136,16 +138,16 @@
     def __init__(
         self, url: str, key: str, *, read_seconds: float = _READ_SECONDS
     ) -> None:
-        """Remember where to ask; connections open as needed.
+        """Set the entry and the key; connections open on first use.
 
         :param url: base URL of the entry
         :param key: bearer key
-        :param read_seconds: longest silence that is borne
+        :param read_seconds: read timeout in seconds
         """
         self.url = url
         self._headers = {'Authorization': f'Bearer {key}'}
         timeout = urllib3.Timeout(connect=_CONNECT_SECONDS, read=read_seconds)
-        # No retries: what a trial sends once must arrive at most once.
+        # Without retries each request of a trial arrives at most once.
         self._pool = urllib3.PoolManager(
             maxsize=_MAX_CONNECTIONS, retries=False, timeout=timeout
         )
@@ -162,11 +164,12 @@
         headers: dict[str, str] | None = None,
         answer: Answer | None = None,
     ) -> Answer:
-        """Send any request and read its answer.
+        """Send a request and read its response.
 
-        :param path: path under the entry's URL
-        :param headers: added to the bearer key
-        :param answer: filled in place, for a thread that watches it
+        :param path: path relative to the entry's URL
+        :param headers: headers in addition to the authorization
+        :param answer: object to fill in place, so that another thread can
+            follow the response; None for a new one
         """
         answer = Answer() if answer is None else answer
         answer.started = time.monotonic()
@@ -181,7 +184,7 @@
             try:
                 _read_answer(answer, response)
             finally:
-                # A stream that broke must not go back to the pool.
+                # A connection with a broken stream must not be reused.
                 response.close()
         except (urllib3.exceptions.HTTPError, OSError):
             if answer.outcome == outcomes.Outcome.COMPLETE:
@@ -199,9 +202,9 @@
         idempotency_key: str | None = None,
         answer: Answer | None = None,
     ) -> Answer:
-        """Ask for a completion.
+        """Request a completion.
 
-        :param answer: as for ``send``
+        :param answer: see ``send``
         """
         request = {
             'model': model,
@@ -227,7 +230,7 @@
     ) -> Answer:
         """Call a plain service.
 
-        :param path: path below the service, with a leading slash
+        :param path: path within the service, with a leading slash
         """
         headers = {'Content-Type': 'application/json'}
         if idempotency_key is not None:
--- a/packages/trials/src/dunlintide_trials/demo.py
+++ b/packages/trials/src/dunlintide_trials/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a small deployment, shown and checked step by step.
+"""Run a small deployment and check it step by step.
 
-Each step is checked against the stand-ins' own records and against the
-tokens that a right run yields; the exit code is 1 when one is wrong.
+Each step is checked against the runs that the stand-ins record and
+against the expected tokens; the exit code is 1 when a check fails.
 """
 
 import argparse
@@ -49,7 +49,7 @@
 
 def _keep_running(running: deployment.Deployment) -> None:
     path = running.folder / TOPOLOGY
-    # The file appears whole: other programs wait for it.
+    # Other programs wait for the file, so it is renamed into place complete.
     draft = path.with_suffix('.part')
     draft.write_text(json.dumps(topology.describe(running), indent=2))
     draft.rename(path)
--- a/packages/trials/src/dunlintide_trials/deployment.py
+++ b/packages/trials/src/dunlintide_trials/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of real processes on loopback, and handles to them."""
+"""Handle to a running deployment of real processes on loopback."""
 
 import json
 import pathlib
@@ -29,11 +29,12 @@
 class Deployment:
     """A running deployment.
 
+    :ivar plan: processes of the deployment with their ports
     :ivar folder: work folder with settings and logs
     :ivar keys: bearer key of each team, by name
     :ivar rules: operators' configuration that was last applied
-    :ivar relays: relays by their hop and the daemon that has it
-    :ivar started: every process by name, in the order of starting
+    :ivar relays: relays by hop and by the daemon at that hop
+    :ivar started: all processes by name, in the order of their starts
     """
 
     plan: plans.Plan
@@ -52,40 +53,44 @@
 
     @property
     def model(self) -> str:
-        """Model that completions of trials ask for."""
+        """Model that trials request completions from."""
         return self.plan.blueprint.pipelines[0].model
 
     @property
     def layers(self) -> int:
-        """Number of layers of that model."""
+        """Number of layers of ``model``."""
         return self.plan.blueprint.pipelines[0].layers
 
     @property
     def non_idempotent_path(self) -> str:
-        """Path of calls that must not run twice."""
+        """Path of a non-idempotent call."""
         service = self.plan.blueprint.services[0]
         return f'/services/{service.name}{service.path}'
 
     def list_processes(self, role: str) -> list[processes.Process]:
-        """Give the processes of a role."""
+        """List the processes of a role."""
         return [one for one in self.started.values() if one.role == role]
 
     def get_json(self, url: str) -> Any:
         """Read a JSON document.
 
-        :raises urllib3.exceptions.HTTPError: when there is no answer
+        :raises urllib3.exceptions.HTTPError: when no response arrives
         """
         return self._http.request('GET', url).json()
 
     def post_json(self, url: str, body: Any) -> Any:
-        """Post a JSON document and return the answer's.
+        """Post a JSON document and return the JSON of the response.
 
-        :raises urllib3.exceptions.HTTPError: when there is no answer
+        :raises urllib3.exceptions.HTTPError: when no response arrives
         """
         return self._http.request('POST', url, json=body).json()
 
     def control(self, standin: str, **faults: Any) -> Any:
-        """Switch faults of a stand-in, by its name."""
+        """Switch injected faults of a stand-in on or off.
+
+        :param standin: name of the stand-in
+        :param faults: fields of its ``/control`` request
+        """
         return self.post_json(f'{self._find_url(standin)}/control', faults)
 
     def _find_url(self, standin: str) -> str:
@@ -95,12 +100,12 @@
         return next(one.url for one in known if one.name == standin)
 
     def read_endpoint_runs(self, name: str) -> list[dict[str, Any]]:
-        """Read the runs that an endpoint recorded since its start."""
+        """Read the runs that an endpoint has recorded since its start."""
         found = self.get_json(f'{self._find_url(name)}/runs')
         return [run | {'endpoint': name} for run in found]
 
     def read_runs(self, kind: str) -> list[dict[str, Any]]:
-        """Read the runs that all endpoints of a kind recorded.
+        """Read the recorded runs of all endpoints of a kind.
 
         :param kind: ``engine`` or ``service``
         """
@@ -117,7 +122,7 @@
         return self.get_json(f'{daemons[daemon].admin_url}/debug/state')
 
     def is_ready(self, admin_url: str) -> bool:
-        """Tell whether a daemon says that it takes work."""
+        """Return whether a daemon reports that it is ready."""
         try:
             answer = self._http.request('GET', f'{admin_url}/readyz')
         except urllib3.exceptions.HTTPError:
@@ -125,16 +130,16 @@
         return answer.status == _OK
 
     def wait_ready(self, daemon: str) -> None:
-        """Wait until a daemon takes work, as after a restart.
+        """Wait until a daemon is ready.
 
-        :raises processes.StartError: when it ends or takes too long
+        :raises processes.StartError: when it exits or the wait times out
         """
         daemons = {one.name: one for one in self.plan.daemons}
         url = daemons[daemon].admin_url
         self.started[daemon].wait_ready(lambda: self.is_ready(url))
 
     def restart(self, name: str) -> None:
-        """Start a process that has ended and wait until it is ready."""
+        """Start a process that has exited and wait until it is ready."""
         process = self.started[name]
         process.start()
         if process.role in (AGENT, ENTRY):
@@ -143,17 +148,22 @@
             process.wait_ready(lambda: process.find_ready_line() is not None)
 
     def make_caller(self, entry: int, team: str) -> client.Caller:
-        """Build a caller for one entry and one team."""
+        """Build a client for one team at one entry.
+
+        :param entry: number of the entry
+        """
         url = self.plan.find_url(self.plan.entries[entry])
         return client.Caller(url, self.keys[team])
 
     def wait_all_ready(self) -> None:
-        """Wait until every daemon takes work and entries reach all agents.
+        """Wait until all daemons are ready and entries reach all agents.
 
-        An entry is also ready while agents are still starting, and then
-        refuses what none of the others can serve.
+        An entry becomes ready before all agents have started and then
+        refuses requests that no connected agent can serve. Above the size
+        of a full mesh an entry never connects to all agents.
 
-        :raises processes.StartError: when one ends or takes too long
+        :raises processes.StartError: when a daemon exits or the wait times
+            out
         """
         for daemon in self.plan.daemons:
             self.wait_ready(daemon.name)
@@ -170,7 +180,7 @@
         return usable >= {one.name for one in self.plan.agents}
 
     def apply_rules(self, document: dict[str, Any]) -> operators.Report:
-        """Put an operators' configuration in force."""
+        """Apply an operators' configuration with the command line tool."""
         self.rules = document
         path = self.folder / 'rules.jsonc'
         path.write_text(json.dumps(document, indent=2))
--- a/packages/trials/src/dunlintide_trials/direct.py
+++ b/packages/trials/src/dunlintide_trials/direct.py
@@ -1,7 +1,7 @@
-"""Drives the engines of a chain without dunlintide, as a baseline.
+"""Baseline that drives the engines of a chain without dunlintide.
 
-It sends the same steps over HTTP from one loop, one after the other, with
-no process in between.
+A single loop sends the same steps over HTTP to one engine after another,
+with no process in between.
 """
 
 import time
@@ -19,26 +19,35 @@
 
 @attrs.frozen
 class Times:
-    """Times of one request, in milliseconds."""
+    """Latencies of one request, in milliseconds.
+
+    :ivar first: time to the first token
+    :ivar between: mean time between tokens
+    """
 
     first: float
     between: float
 
     @classmethod
     def from_moments(cls, start: float, moments: list[float]) -> 'Times':
-        """Compute them from when the request and its tokens came."""
+        """Compute the latencies from monotonic times.
+
+        :param start: time of the request in seconds
+        :param moments: time of each token in seconds
+        """
         span = (moments[-1] - moments[0]) / (len(moments) - 1)
         return cls((moments[0] - start) * _MS, span * _MS)
 
 
 class Chain:
-    """Drives the engines of a chain without dunlintide."""
+    """Client that sends each step directly to the engines of a chain."""
 
     def __init__(self, urls: Iterable[str], prompt: str, tokens: int) -> None:
-        """Remember what to ask.
+        """Set the request.
 
-        :param urls: engines in the order of their layers
-        :param tokens: number of tokens of each answer
+        :param urls: URLs of the engines in the order of their layers
+        :param prompt: prompt of each request
+        :param tokens: number of tokens that each request generates
         """
         self._urls = list(urls)
         self._prompt = prompt
@@ -49,7 +58,7 @@
     def from_first(
         cls, running: deployment.Deployment, prompt: str, tokens: int
     ) -> 'Chain':
-        """Take the first engine of each range of layers."""
+        """Build a chain from the first engine of each layer range."""
         found: dict[int, str] = {}
         for agent in running.plan.agents:
             endpoint = agent.endpoint
@@ -67,7 +76,11 @@
         return answer.json()['results'][0]
 
     def _run_stages(self, session: str, position: int, span: dict) -> dict:
-        """Run a span through all stages; returns the token."""
+        """Run positions through all stages and return the next token.
+
+        :param position: first position of the span
+        :param span: prompt or tokens of the step
+        """
         result = span
         for index, url in enumerate(self._urls):
             is_last = index == len(self._urls) - 1
@@ -85,7 +98,10 @@
         return result['token']
 
     def run(self, session: str) -> Times:
-        """Run one request to its end."""
+        """Run one request to its end.
+
+        :param session: unique id of its session at the engines
+        """
         start = time.monotonic()
         moments = []
         position = 0
--- a/packages/trials/src/dunlintide_trials/engineload.py
+++ b/packages/trials/src/dunlintide_trials/engineload.py
@@ -1,7 +1,7 @@
-"""Engines laid out as a deployment's leader lays them out, under load.
+"""Synthetic engine fleet for measuring the cost of chain decisions.
 
-For figures of what a decision costs: mixed cards in equal failure domains,
-and requests in flight at random.
+Engines with mixed accelerators are spread over equal failure domains, get
+their layers from the leader's layout and run a random number of requests.
 """
 
 import random
@@ -22,7 +22,7 @@
     'small': profiles.Accelerator('small', 14_400.0, 5.3, 7.9),
     'slow': profiles.Accelerator('slow', 21_600.0, 16.0, 8.2),
 }
-# Shares of the kinds of cards.
+# Relative number of engines by kind of accelerator.
 _MIX = (('fast', 12), ('small', 63), ('slow', 48))
 PROFILE = profiles.EngineProfile(
     layers=80,
@@ -45,13 +45,14 @@
     delays_ms={},
 )
 _TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer // 2
-# Requests in flight at an engine, at most.
+# Maximum requests in flight at an engine.
 _BUSY = 40
 
 
 def _make_engine(index: int, domains: int) -> endpoints_module.Endpoint:
     kinds = [kind for kind, count in _MIX for _ in range(count)]
-    step = 41  # Coprime to the length, so that kinds spread over domains.
+    # Coprime to the number of kinds, so that kinds spread over domains.
+    step = 41
     return endpoints_module.Endpoint(
         name=f'engine-{index}',
         address=f'10.0.{index // 250}.{index % 250 + 1}:80',
@@ -70,10 +71,12 @@
 
 @attrs.define(eq=False)
 class EngineLoad:
-    """Engines, what they carry and a usual request.
+    """Engines, their usage and the demand of a typical request.
 
     :ivar engines: engines with their layers
-    :ivar usages: their use by name
+    :ivar table: chains that the engines can form
+    :ivar usages: usage of each engine, by its name
+    :ivar demand: demand of a typical request
     """
 
     engines: list[endpoints_module.Endpoint]
@@ -85,10 +88,10 @@
     def from_size(
         cls, count: int, domains: int, seed: int = 1
     ) -> 'EngineLoad':
-        """Lay out engines and let requests run on them.
+        """Lay out engines and give them a random load.
 
-        :param count: engines
-        :param domains: failure domains of about as many engines each
+        :param count: number of engines
+        :param domains: number of failure domains, equal in size
         """
         empty = [_make_engine(index, domains) for index in range(count)]
         placements = layout.plan_new(PROFILE, (), empty)
@@ -108,21 +111,21 @@
         return cls(engines, table, usages, demand)
 
     def choose(self) -> chains.Hops | None:
-        """Choose a chain for the usual request."""
+        """Choose a chain for the typical request."""
         return self.table.choose(self.demand, self.usages)
 
     def fill(self) -> None:
-        """Take all memory."""
+        """Mark the KV cache of all engines as full."""
         for engine in self.engines:
             held = engine.end - engine.start
             taken = PROFILE.get_cache_capacity(engine.kind, held)
             self.usages[engine.name] = occupancy.Usage(_BUSY, 0, int(taken))
 
     def scatter(self) -> None:
-        """Leave no domain whole, so that only chains across pipes remain.
+        """Fill caches so that every remaining chain crosses domains.
 
-        The first half of all layers has room in every second domain alone,
-        the second half in the others.
+        Even-numbered failure domains have room for the first half of the
+        layers only, the others for the second half only.
         """
         names = sorted({engine.domain for engine in self.engines})
         half = PROFILE.layers // 2
--- a/packages/trials/src/dunlintide_trials/faults.py
+++ b/packages/trials/src/dunlintide_trials/faults.py
@@ -1,9 +1,9 @@
-"""Faults that a soak puts on the processes of a deployment.
+"""Faults that a soak injects into single processes of a deployment.
 
-A fault is a function that takes a ``Field``, does its harm and returns
-what heals it, or None when it found nothing to harm. Faults overlap; a
-process that one of them has taken is left alone by the others. A new
-fault is a function here and a line in ``FAULTS``.
+A fault is a function that takes a ``Field``, injects the fault and returns
+a function that reverts it, or None when no target was available. Faults
+overlap, but a process is the target of one fault at a time. To add a
+fault, write a function here and list it in ``FAULTS``.
 """
 
 from dunlintide_trials import deployment
@@ -17,9 +17,10 @@
 
 _SLOW_SECONDS = (0.05, 0.5)
 _MAX_DROPPED = 5
-# The longest rule of the examples, and a margin.
+# A graceful stop waits for requests: the longest deadline in the rules of
+# the examples plus a margin.
 _STOP_SECONDS = 75.0
-# Longer than any lease or silence of the default timing.
+# Longer than any lease or failure detection timeout of the default timing.
 _LONG_SECONDS = (8.0, 15.0)
 
 
@@ -44,27 +45,27 @@
 
 
 def kill_agent(field: Field) -> Heal | None:
-    """Kill an agent and start it again."""
+    """Kill an agent and restart it."""
     return _kill(field, deployment.AGENT, spare=1)
 
 
 def kill_entry(field: Field) -> Heal | None:
-    """Kill an entry and start it again; one always stays."""
+    """Kill an entry and restart it; at least one entry keeps running."""
     return _kill(field, deployment.ENTRY, spare=1)
 
 
 def kill_engine(field: Field) -> Heal | None:
-    """Kill an engine, its KV cache with it, and start it again."""
+    """Kill an engine, which loses its KV cache, and restart it."""
     return _kill_endpoint(field, deployment.ENGINE, spare=1)
 
 
 def kill_service(field: Field) -> Heal | None:
-    """Kill a plain service and start it again."""
+    """Kill a plain service and restart it."""
     return _kill_endpoint(field, deployment.SERVICE, spare=0)
 
 
 def stop_agent(field: Field) -> Heal | None:
-    """Stop an agent gracefully, as in a replacement of its host."""
+    """Stop an agent gracefully, as when its host is replaced."""
     return _stop(field, deployment.AGENT)
 
 
@@ -105,56 +106,56 @@
 
 
 def pause_agent(field: Field) -> Heal | None:
-    """Halt an agent and let it go on, unaware."""
+    """Suspend an agent for the default duration and resume it."""
     return _pause(field, deployment.AGENT)
 
 
 def pause_entry(field: Field) -> Heal | None:
-    """Halt an entry and let it go on, unaware."""
+    """Suspend an entry for the default duration and resume it."""
     return _pause(field, deployment.ENTRY)
 
 
 def pause_engine(field: Field) -> Heal | None:
-    """Halt an engine: it takes calls and answers none."""
+    """Suspend an engine, which accepts connections but does not respond."""
     return _pause(field, deployment.ENGINE)
 
 
 def pause_agent_long(field: Field) -> Heal | None:
-    """Halt an agent for longer than every lease."""
+    """Suspend an agent for longer than every lease."""
     return _pause(field, deployment.AGENT)
 
 
 def pause_entry_long(field: Field) -> Heal | None:
-    """Halt an entry for longer than every lease."""
+    """Suspend an entry for longer than every lease."""
     return _pause(field, deployment.ENTRY)
 
 
 def pause_engine_long(field: Field) -> Heal | None:
-    """Halt an engine for longer than it is waited for."""
+    """Suspend an engine for longer than its response timeout."""
     return _pause(field, deployment.ENGINE)
 
 
 def pause_service(field: Field) -> Heal | None:
-    """Halt a plain service."""
+    """Suspend a plain service."""
     return _pause(field, deployment.SERVICE, spare=0)
 
 
 def fail_store(field: Field) -> Heal | None:
-    """Make the store close connections without an answer."""
+    """Make the store close connections without a response."""
     return field.control(
         field.running.plan.store.name, {'down': True}, {'down': False}
     )
 
 
 def hang_store(field: Field) -> Heal | None:
-    """Make the store take calls and never answer them."""
+    """Make the store accept requests and never respond."""
     return field.control(
         field.running.plan.store.name, {'hang': True}, {'hang': False}
     )
 
 
 def slow_store(field: Field) -> Heal | None:
-    """Make the store answer late."""
+    """Delay the responses of the store."""
     seconds = field.rng.uniform(*_SLOW_SECONDS)
     return field.control(
         field.running.plan.store.name,
@@ -164,7 +165,7 @@
 
 
 def drop_store_answers(field: Field) -> Heal | None:
-    """Let writes take effect and lose the answers."""
+    """Drop responses of the store after the writes took effect."""
     count = field.rng.randint(1, _MAX_DROPPED)
     return field.control(
         field.running.plan.store.name,
@@ -174,7 +175,7 @@
 
 
 def drop_service_answers(field: Field) -> Heal | None:
-    """Let a service run calls and lose the answers."""
+    """Drop responses of a service after it ran the calls."""
     process = field.take(deployment.SERVICE)
     if process is None:
         return None
@@ -208,7 +209,8 @@
     drop_store_answers,
     drop_service_answers,
 )
-# Least and most seconds of the faults that don't last as usual.
+# Minimum and maximum duration in seconds of faults that don't use the
+# default one.
 SECONDS: dict[fields.Fault, tuple[float, float]] = {
     pause_agent_long: _LONG_SECONDS,
     pause_entry_long: _LONG_SECONDS,
--- a/packages/trials/src/dunlintide_trials/field.py
+++ b/packages/trials/src/dunlintide_trials/field.py
@@ -1,4 +1,4 @@
-"""What the faults of a soak work on: a deployment and who has what."""
+"""State that the faults of a soak share, such as targets and findings."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 __all__ = ['Fault', 'Field', 'Heal', 'find_left_records']
 
-# Time for work that a hanging stand-in had begun to reach its record.
+# Time for runs that began before a stand-in hung to reach its record.
 _SETTLE_SECONDS = 0.02
 _CLOSE_SECONDS = 10.0
 
@@ -26,7 +26,10 @@
 
 
 def find_left_records(log: str) -> dict[str, Any] | None:
-    """Find what an engine that a prompt crashed left in its log."""
+    """Find the records that an engine logged when a prompt crashed it.
+
+    :returns: prompts and runs, or None when no prompt crashed the engine
+    """
     for line in reversed(log.splitlines()):
         if line.startswith('{"crashed_by"'):
             return json.loads(line)
@@ -35,21 +38,24 @@
 
 @attrs.define(eq=False)
 class Field:
-    """A deployment under faults, with what they found out.
-
-    :ivar runs: records that would be lost with a killed endpoint
-    :ivar poison_team: team that sends what crashes engines
-    :ivar watch: what revisions daemons show
-    :ivar rng: used by the thread that applies faults only
-    :ivar taken: names of processes and relays under a fault
-    :ivar last: the one that was taken last
-    :ivar wanted: the one to be taken next, if it is free
-    :ivar wrong: broken promises that faults met
-    :ivar notes: other things that faults met, to be counted
-    :ivar crashes: crashes of engines, by the prompt
-    :ivar poisoned: what became of the prompts that crash
-    :ivar lost_lives: endpoints that ended with a record unread
-    :ivar accepted: revisions that operators were told are in force
+    """A deployment under faults, with the findings of the faults.
+
+    :ivar running: the deployment
+    :ivar runs: recorded runs, also of endpoints that were killed
+    :ivar rng: random generator for the thread that applies faults only
+    :ivar poison_team: team that sends the prompts that crash engines
+    :ivar watch: configuration revisions that the daemons show
+    :ivar taken: names of processes and relays that are under a fault
+    :ivar lock: protects the choice of targets
+    :ivar last: name of the target that was chosen last
+    :ivar wanted: name of the next target, used when it is free
+    :ivar wrong: violations that the faults found
+    :ivar notes: other events of the faults, counted in the summary
+    :ivar crashes: prompt of each engine crash
+    :ivar poisoned: responses to prompts that crash engines
+    :ivar lost_lives: endpoints that were killed before their records of
+        runs were read
+    :ivar accepted: revisions whose apply command succeeded
     """
 
     running: deployment.Deployment
@@ -82,9 +88,10 @@
             return chosen
 
     def take(self, role: str, spare: int = 0) -> processes.Process | None:
-        """Choose a process of a role that is under no fault.
+        """Reserve a random running process of a role for a fault.
 
-        :param spare: number of processes of the role to leave alone
+        :param spare: number of free processes of the role to keep
+        :returns: the process, None when too few are free
         """
         found = self.running.list_processes(role)
         names = [one.name for one in found if one.is_running]
@@ -92,11 +99,11 @@
         return self.running.started[chosen] if chosen else None
 
     def take_one(self, names: list[str]) -> str | None:
-        """Choose one of some names that is under no fault."""
+        """Reserve one of some targets; None when all are under faults."""
         return self._choose(names, 0)
 
     def take_name(self, name: str) -> bool:
-        """Take one process by name; False when a fault has it."""
+        """Reserve a target by name; False when it is under a fault."""
         with self.lock:
             if name in self.taken:
                 return False
@@ -105,17 +112,19 @@
             return True
 
     def release(self, name: str) -> None:
-        """Leave a process to other faults again."""
+        """Make a target available to other faults again."""
         with self.lock:
             self.taken.discard(name)
 
     def control(
         self, name: str, harm: dict[str, Any], cure: dict[str, Any]
     ) -> Heal | None:
-        """Switch a fault of a stand-in on; None when it is under one.
+        """Switch on a fault of a stand-in.
 
-        :param harm: switches of the stand-in, as ``Deployment.control``
-        :param cure: switches that end the fault
+        :param harm: arguments of ``Deployment.control``
+        :param cure: arguments that end the fault
+        :returns: function that ends the fault, None when the stand-in is
+            already under a fault
         """
         if not self.take_name(name):
             return None
@@ -128,7 +137,7 @@
         return heal
 
     def work(self, function: Callable[[], None]) -> None:
-        """Run something beside the faults; ``join`` waits for it."""
+        """Run a function on a thread that ``join`` waits for."""
 
         def run() -> None:
             try:
@@ -141,7 +150,10 @@
         self._workers.append(thread)
 
     def join(self, seconds: float) -> None:
-        """Wait for all that ``work`` began; what goes on is wrong."""
+        """Wait for the threads of ``work`` and report those still running.
+
+        :param seconds: longest wait for all threads together
+        """
         end = time.monotonic() + seconds
         for thread in self._workers:
             thread.join(max(0.0, end - time.monotonic()))
@@ -149,14 +161,15 @@
                 self.wrong.append('work of a fault did not end in time')
 
     def close(self) -> None:
-        """Start no process any more, as all are about to be stopped."""
+        """Prevent further restarts before all processes are stopped."""
         self._closed.set()
         self.join(_CLOSE_SECONDS)
 
     def restart(self, process: processes.Process) -> None:
-        """Start a process again, beside the faults, then release it.
+        """Restart a process on a thread of its own, then release it.
 
-        Others that it needs may be under faults meanwhile.
+        The restart may take long, as processes that it needs may be under
+        faults.
         """
 
         def start() -> None:
@@ -168,9 +181,10 @@
         self.work(start)
 
     def kill_endpoint(self, process: processes.Process) -> None:
-        """Kill an endpoint, with its record of runs kept.
+        """Kill an endpoint after saving its record of runs.
 
-        It hangs while the record is read, so nothing runs unseen.
+        The endpoint hangs while the record is read, so that no run is
+        missed.
         """
         name = process.name
         try:
@@ -184,9 +198,9 @@
         self.runs.end_life(name)
 
     def take_crash(self, process: processes.Process) -> bool:
-        """Take an engine that a prompt crashed, and start it again.
+        """Save the records of an engine that a prompt crashed, restart it.
 
-        :returns: whether it was one
+        :returns: whether a prompt crashed the process
         """
         left = find_left_records(process.read_log())
         if left is None:
@@ -201,7 +215,7 @@
 
     @property
     def newest_revision(self) -> int:
-        """Newest revision that anybody was told of."""
+        """Newest revision that any daemon has shown."""
         return max(self.watch.highest.values(), default=0)
 
     @property
--- a/packages/trials/src/dunlintide_trials/figures.py
+++ b/packages/trials/src/dunlintide_trials/figures.py
@@ -1,4 +1,4 @@
-"""Measured figures and the bounds that they must keep."""
+"""Measured figures and their regression bounds."""
 
 import attrs
 
@@ -14,13 +14,13 @@
 class Figure:
     """One measured value.
 
-    :ivar case: dotted name, first the module of the case
+    :ivar case: dotted name that starts with the module of the case
     :ivar unit: unit of value, baseline and bound
-    :ivar baseline: the same measured for what it is compared with, in
-        the same run; None without one
+    :ivar baseline: value of the reference that was measured in the same
+        run, None without one
     :ivar bound: regression bound, None without one
-    :ivar holds: whether the value keeps the bound
-    :ivar note: how it was measured, in a few words
+    :ivar holds: whether the value is within the bound
+    :ivar note: short description of the measurement
     """
 
     case: str
@@ -39,7 +39,7 @@
     baseline: float | None = None,
     note: str = '',
 ) -> Figure:
-    """Report a value that has no bound."""
+    """Build a figure without a bound."""
     return Figure(case, value, unit, baseline, None, True, note)
 
 
@@ -51,7 +51,7 @@
     baseline: float | None = None,
     note: str = '',
 ) -> Figure:
-    """Report a value that must not pass ``bound``."""
+    """Build a figure whose value must not exceed ``bound``."""
     return Figure(case, value, unit, baseline, bound, value <= bound, note)
 
 
@@ -63,5 +63,5 @@
     baseline: float | None = None,
     note: str = '',
 ) -> Figure:
-    """Report a value that must reach ``bound``."""
+    """Build a figure whose value must not fall below ``bound``."""
     return Figure(case, value, unit, baseline, bound, value >= bound, note)
--- a/packages/trials/src/dunlintide_trials/fleetfaults.py
+++ b/packages/trials/src/dunlintide_trials/fleetfaults.py
@@ -1,8 +1,8 @@
-"""Faults that a soak puts on many hosts at once, or on what lists them.
+"""Faults that a soak injects into several hosts or into the host list.
 
-As in ``faults``: a function does its harm and returns what heals it, or
-None when it found nothing to harm. Processes and relays that are under
-another fault at the moment are left to that one.
+The functions follow the protocol of ``faults``: each injects a fault and
+returns a function that reverts it, or None when no target was available.
+Processes and relays that are under another fault are skipped.
 """
 
 import json
@@ -21,7 +21,7 @@
 Heal = fields.Heal
 
 _ENDPOINTS = (deployment.ENGINE, deployment.SERVICE)
-# Longer than any silence that is borne between peers.
+# Longer than the failure detection timeout between peers.
 _APART_SECONDS = (6.0, 15.0)
 _LAG_SECONDS = (0.5, 5.0)
 _REPLACED = 3
@@ -31,7 +31,7 @@
 
 
 def _list_domain(field: Field, domain: str) -> list[str]:
-    """Name the daemons of a failure domain and their endpoints."""
+    """List the names of a failure domain's daemons and endpoints."""
     plan = field.running.plan
     names = [one.name for one in plan.daemons if one.failure_domain == domain]
     return names + [
@@ -42,10 +42,10 @@
 
 
 def _take_domain(field: Field) -> tuple[str, list[processes.Process]] | None:
-    """Take a failure domain, with those of its processes that are free."""
+    """Reserve a failure domain and its processes that are not in a fault."""
     domains = field.running.plan.blueprint.failure_domains
     names = {f'failure domain {domain}': domain for domain in domains}
-    # Of three, one may be lost at a time.
+    # Only one of the three failure domains may be lost at a time.
     if not field.take_name('failure domains'):
         return None
     chosen = field.take_one(list(names))
@@ -65,12 +65,12 @@
 
 
 def kill_domain(field: Field) -> Heal | None:
-    """Kill all processes of a failure domain, and start them again."""
+    """Kill all processes of a failure domain and restart them."""
     taken = _take_domain(field)
     if taken is None:
         return None
     chosen, lost = taken
-    # Reading an endpoint's record takes a while, so these go last.
+    # Endpoints are killed last because reading their records takes time.
     for process in lost:
         if process.role not in _ENDPOINTS:
             process.kill()
@@ -87,7 +87,7 @@
 
 
 def freeze_domain(field: Field) -> Heal | None:
-    """Halt all processes of a failure domain for longer than leases."""
+    """Suspend all processes of a failure domain for longer than a lease."""
     taken = _take_domain(field)
     if taken is None:
         return None
@@ -105,14 +105,14 @@
 
 
 def replace_hosts(field: Field) -> Heal | None:
-    """Stop several daemons gracefully and start them again."""
+    """Stop several daemons gracefully and restart them."""
     stops = [faults.stop_agent, faults.stop_entry]
     stops += [faults.stop_agent] * (_REPLACED - len(stops))
     return _apply_all(field, stops)
 
 
 def lose_hosts(field: Field) -> Heal | None:
-    """Kill several agents at once and start them again."""
+    """Kill several agents at once and restart them."""
     return _apply_all(field, [faults.kill_agent] * _REPLACED)
 
 
@@ -129,9 +129,9 @@
 
 
 def _hold_relays(field: Field, wanted: Callable[..., bool]) -> Heal | None:
-    """Let nothing pass relays, also on new connections.
+    """Stall matching relays for existing and for new connections.
 
-    :param wanted: tells from the hop and the daemon whether to take one
+    :param wanted: predicate of a relay's hop and daemon
     """
     taken = []
     for (hop, daemon), relay in field.running.relays.items():
@@ -151,7 +151,7 @@
 
 
 def part_domain(field: Field) -> Heal | None:
-    """Let nobody reach the agents of a failure domain."""
+    """Partition the agents of a failure domain from all peers."""
     domain = field.rng.choice(field.running.plan.blueprint.failure_domains)
     names = set(_list_domain(field, domain))
     hops = (plans.Hop.ENTRY_AGENT, plans.Hop.AGENT_AGENT)
@@ -161,7 +161,7 @@
 
 
 def part_store(field: Field) -> Heal | None:
-    """Let some entries not reach the store while the others do."""
+    """Partition all entries but one from the store."""
     entries = [entry.name for entry in field.running.plan.entries]
     cut_off = set(field.rng.sample(entries, len(entries) - 1))
     return _hold_relays(
@@ -173,7 +173,7 @@
 
 
 def call_leaving(field: Field) -> Heal | None:
-    """Let the list of hosts call some leaving that are not, with a lag."""
+    """Make the host list report some live agents as leaving, with a lag."""
     listed = json.loads((field.folder / _HOSTS).read_text())['hosts']
     agents = [host['name'] for host in listed if host['role'] == 'agent']
     chosen = set(field.rng.sample(agents, _REPLACED))
@@ -190,14 +190,14 @@
 
 
 def fail_host_list(field: Field) -> Heal | None:
-    """Make the list of hosts close connections without an answer."""
+    """Make the host list close connections without a response."""
     return field.control(
         field.running.plan.host_list.name, {'down': True}, {'down': False}
     )
 
 
 def hang_host_list(field: Field) -> Heal | None:
-    """Make the list of hosts take calls and never answer them."""
+    """Make the host list accept requests and never respond."""
     return field.control(
         field.running.plan.host_list.name, {'hang': True}, {'hang': False}
     )
--- a/packages/trials/src/dunlintide_trials/fleets.py
+++ b/packages/trials/src/dunlintide_trials/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of the sizes at which benchmark cases are measured."""
+"""Simulated fleets and configurations for benchmark cases."""
 
 from typing import Callable
 
@@ -18,15 +18,17 @@
 
 SIZES = (50, 100, 200, 400, 970)
 DOMAINS = 7
-# Share of entries among all processes, at the largest of these sizes.
+# Share of entries among all processes, taken from the largest size.
 _ENTRY_SHARE = 370 / 970
 _SETTLED_SECONDS = 5
 
 
 def make_document(teams: int, version: int) -> bytes:
-    """Make a configuration; versions differ in one team's key.
+    """Make a configuration document.
 
     :param teams: number of teams, about 200 bytes each
+    :param version: number that determines the key of the first team, so
+        that versions differ
     """
     listed = [
         {
@@ -49,7 +51,11 @@
 def make_fleet(
     size: int, size_of: Callable[[object], int] | None = None
 ) -> network.Network:
-    """Make a fleet that has run for long."""
+    """Simulate a fleet in which all processes know each other.
+
+    :param size: number of processes
+    :param size_of: see ``network.Network``
+    """
     net = network.Network(1, size_of)
     entries = round(size * _ENTRY_SHARE)
     for peer in network.make_peers(entries, size - entries, DOMAINS):
@@ -62,7 +68,11 @@
 def spread_change(
     net: network.Network, document: bytes, most: float = 60.0
 ) -> float:
-    """Apply a change and return the seconds until all have it."""
+    """Publish a document and return the seconds until all hosts have it.
+
+    :param most: timeout in simulated seconds
+    :raises RuntimeError: when it times out
+    """
     revision = net.publish(document)
     start = net.now
 
@@ -73,5 +83,7 @@
         )
 
     if not net.run_until(spread, most):
-        raise RuntimeError(f'revision {revision} did not reach all')
+        raise RuntimeError(
+            f'revision {revision} did not reach all hosts within {most:.0f} s'
+        )
     return net.now - start
--- a/packages/trials/src/dunlintide_trials/floods.py
+++ b/packages/trials/src/dunlintide_trials/floods.py
@@ -1,8 +1,8 @@
-"""A flood of requests from a process of its own.
+"""Load generator that floods entries with requests from its own process.
 
 Usage: ``python -m dunlintide_trials.floods`` with a ``Plan`` as JSON on
-the standard input. It prints the counts of answers by kind as JSON once
-its time is over.
+standard input. After the planned time it prints the number of responses by
+error code or outcome as JSON.
 """
 
 import collections
@@ -28,14 +28,18 @@
 
 @attrs.frozen
 class Plan:
-    """What a flood sends.
-
-    :ivar urls: entries, asked in turn
-    :ivar keys: bearer keys of one team, used in turn
-    :ivar connections: requests that may be open at once
-    :ivar rate: requests a second, while a connection is free
+    """Parameters of a flood.
+
+    :ivar urls: URLs of entries, assigned to connections in turn
+    :ivar keys: bearer keys, assigned to connections in turn
+    :ivar model: model of the completions
+    :ivar connections: maximum number of concurrent requests
+    :ivar rate: requests per second while a connection is free
+    :ivar seconds: duration of the flood
+    :ivar prompt_words: words in each prompt
+    :ivar max_tokens: tokens that each completion generates
     :ivar claims: whether each request has an idempotency key
-    :ivar read_seconds: silence after which an answer is given up
+    :ivar read_seconds: read timeout of a response in seconds
     """
 
     urls: tuple[str, ...]
@@ -51,7 +55,10 @@
 
 
 class _Pace:
-    """Hands out the moments of requests; missed ones are lost."""
+    """Schedules requests at a fixed rate and skips missed ones.
+
+    :ivar count: requests that were scheduled
+    """
 
     def __init__(self, rate: float, seconds: float) -> None:
         self._lock = threading.Lock()
@@ -61,7 +68,10 @@
         self.count = 0
 
     def wait(self) -> int | None:
-        """Wait for the next moment; None once the time is over."""
+        """Wait until the next request is due.
+
+        :returns: number of the request, None after the end of the flood
+        """
         with self._lock:
             moment = max(self._next, time.monotonic())
             self._next = moment + self._interval
@@ -96,13 +106,13 @@
             stream=rng.random() < 0.5,
             idempotency_key=f'flood-{count}' if plan.claims else None,
         )
-        # One operation of the interpreter; the counts need no lock.
+        # Each thread has a counter of its own, so no lock is needed.
         counts[_describe(answer)] += 1
     caller.close()
 
 
 def main() -> None:
-    """Run the flood that the standard input describes."""
+    """Run the flood that is described on standard input."""
     plan = Plan(**json.load(sys.stdin))
     pace = _Pace(plan.rate, plan.seconds)
     counts: list[collections.Counter[str]] = []
@@ -124,9 +134,9 @@
 
 @attrs.define
 class Flood:
-    """A running flood.
+    """Handle to the process of a flood.
 
-    :ivar counts: answers by kind, once it has ended
+    :ivar counts: responses by error code or outcome, set after the end
     """
 
     process: subprocess.Popen
@@ -135,7 +145,7 @@
     @classmethod
     @contextlib.contextmanager
     def start(cls, plan: Plan) -> Iterator['Flood']:
-        """Start a flood and wait for its end behind the block."""
+        """Start a flood and wait for its end on leaving the context."""
         process = subprocess.Popen(
             (sys.executable, '-m', 'dunlintide_trials.floods'),
             stdin=subprocess.PIPE,
--- a/packages/trials/src/dunlintide_trials/launcher.py
+++ b/packages/trials/src/dunlintide_trials/launcher.py
@@ -1,4 +1,4 @@
-"""Starts deployments and stops all that it started."""
+"""Starts the processes of a deployment and stops them at its end."""
 
 import contextlib
 import pathlib
@@ -22,7 +22,8 @@
 
 EXAMPLE = pathlib.Path('examples/cooperative.jsonc')
 
-# Processes that start together; more would only wait for each other.
+# Number of processes that start at a time; more compete for the processors
+# without starting sooner.
 _WAVE = 8
 _STOP_SECONDS = 20.0
 
@@ -120,7 +121,7 @@
 
 
 def _stop(group: list[processes.Process]) -> None:
-    """Stop processes together; force ends those that take too long."""
+    """Terminate processes together and kill those that take too long."""
     for process in group:
         process.terminate()
     for process in group:
@@ -154,16 +155,17 @@
     extras: Mapping[str, Mapping[str, Any]] | None = None,
     issuer: authority.Authority | None = None,
 ) -> Iterator[deployment.Deployment]:
-    """Start a deployment and stop all of it at the end of the block.
+    """Start a deployment and stop it on leaving the context.
 
-    Each team gets a new key, whose hash is put into the rules.
+    Each team gets a new key, whose hash is added to the rules.
 
     :param rules: operators' configuration
     :param folder: empty work folder
-    :param hops: where to put relays, which ``Deployment.relays`` has
+    :param hops: hops at which relays are placed, see
+        ``Deployment.relays``
     :param timing: the ``timing`` part of the daemons' settings
-    :param routings: the ``routing`` of the entries, in their order
-    :param extras: further settings of daemons, by role
+    :param routings: the ``routing`` setting of each entry, by number
+    :param extras: additional settings of the daemons, by role
     :param issuer: issues the daemons' certificates; None for no TLS
     :raises processes.StartError: when a process doesn't become ready
     """
@@ -203,12 +205,12 @@
     timing: Mapping[str, float] | None = None,
     **options: Any,
 ) -> Iterator[deployment.Deployment]:
-    """Start a small deployment of an example in a temporary folder.
+    """Start a reduced deployment of an example in a temporary folder.
 
     :param example: deployment file
-    :param hops: where to put relays
+    :param hops: hops at which relays are placed
     :param timing: the ``timing`` part of the daemons' settings
-    :param options: further ones of ``run``
+    :param options: other arguments of ``run``
     """
     blueprint = blueprints.load_blueprint(example)
     rules = operators.load_rules(example.parent / blueprint.rules)
--- a/packages/trials/src/dunlintide_trials/layout.py
+++ b/packages/trials/src/dunlintide_trials/layout.py
@@ -1,4 +1,4 @@
-"""Gives the processes of a deployment names, domains, ports and files."""
+"""Plans the processes of a deployment and writes their settings files."""
 
 import collections
 import json
@@ -64,7 +64,7 @@
     domains = blueprint.failure_domains
     planned = []
     for pipeline in blueprint.pipelines:
-        # Stages of several accelerators may hold the same layers.
+        # Several stages may hold the same layers on different accelerators.
         counts: collections.Counter[int] = collections.Counter()
         starts = sorted({stage.layer_start for stage in pipeline.stages})
         for stage in pipeline.stages:
@@ -77,8 +77,9 @@
                         pipeline,
                         stage,
                         f'{pipeline.model}-{stage.layer_start}-{replica}',
-                        # Neighbouring stages of one replica stand apart,
-                        # so that a chain crosses failure domains.
+                        # Adjacent stages of a replica are placed in
+                        # different failure domains, so that chains cross
+                        # them.
                         domains[(number + replica) % len(domains)],
                         reserved.reserve(),
                         weights_url,
@@ -138,9 +139,10 @@
     folder: pathlib.Path,
     reserved: ports.Reservations,
 ) -> plans.Plan:
-    """Give every process a name, a failure domain and free ports.
+    """Assign a name, a failure domain and free ports to every process.
 
-    :param folder: work folder, for the file of hosts
+    :param folder: work folder, which holds the host list
+    :param reserved: source of free ports
     """
     reserve = reserved.reserve
     weight_store = plans.StandinPlan('weight-store', 'weights', reserve())
@@ -180,7 +182,10 @@
 
 
 def list_hops(plan: plans.Plan, hop: plans.Hop) -> list[tuple[str, str]]:
-    """List the daemons with such a hop, and where it leads."""
+    """List the daemons at a hop.
+
+    :returns: name of each daemon and address that the hop connects to
+    """
     if hop is plans.Hop.ENTRY_STORE:
         store = plans.make_address(plan.store.port)
         return [(entry.name, store) for entry in plan.entries]
@@ -220,7 +225,7 @@
 
 
 def write_files(plan: plans.Plan, folder: pathlib.Path) -> None:
-    """Write the list of hosts and the settings of each daemon."""
+    """Write the host list and the settings file of each daemon."""
     hosts = {'hosts': _list_hosts(plan)}
     (folder / 'hosts.json').write_text(json.dumps(hosts))
     for daemon in plan.daemons:
--- a/packages/trials/src/dunlintide_trials/linkfaults.py
+++ b/packages/trials/src/dunlintide_trials/linkfaults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak on the connections between processes, by relays."""
+"""Faults that a soak injects into connections through relays."""
 
 from typing import Callable
 
@@ -15,9 +15,10 @@
     plans.Hop.ENTRY_STORE,
 )
 _DELAY_SECONDS = (0.01, 0.2)
-# Above what the pings of a link need, see docs/design/silence.md.
+# Above the bandwidth that the pings of a link need, see
+# docs/design/silence.md.
 _BYTES_PER_SECOND = (64_000, 1_000_000)
-# Up to longer than any silence that is borne.
+# The upper limit exceeds the failure detection timeout.
 _STALL_SECONDS = (2.0, 12.0)
 _CUT_SHARE = 0.5
 
@@ -27,7 +28,7 @@
 def _stall(field: fields.Field, one: relay.Relay) -> fields.Heal:
     directions = list(relay.Direction)
     one.stall(field.rng.choice(directions))
-    # What was held arrives late, or never.
+    # The stalled data arrives late after a resume and never after a cut.
     cut = field.rng.random() < _CUT_SHARE
     return one.cut if cut else one.resume
 
--- a/packages/trials/src/dunlintide_trials/load.py
+++ b/packages/trials/src/dunlintide_trials/load.py
@@ -1,4 +1,4 @@
-"""Load for soaks: threads that ask, ask again and remember."""
+"""Load generator of soaks that records requests, repeats and responses."""
 
 import json
 import random
@@ -23,7 +23,8 @@
 _REPEAT_RATE = 0.4
 _STREAM_SHARE = 0.7
 _KEYED_STREAM_SHARE = 0.35
-# Of each 16 threads; the last one reads.
+# Threads of each group of 16 by kind of request; the remaining one sends
+# idempotent reads.
 _COMPLETE_THREADS = 8
 _KEYED_THREADS = 3
 _ORDER_THREADS = 3
@@ -35,7 +36,8 @@
     """A call of a plain service with all its repeats.
 
     :ivar key: idempotency key, empty without one
-    :ivar body: what was sent, empty for an idempotent call
+    :ivar body: body of the request, empty for an idempotent call
+    :ivar answers: responses to the call and its repeats, in order
     """
 
     team: str
@@ -44,11 +46,11 @@
     answers: tuple[client.Answer, ...]
 
     def check(self) -> list[str]:
-        """List what is wrong with the answers, compared with each other.
+        """List responses that belong to other calls or differ in repeats.
 
-        The stand-in echoes the key and the team, so an answer that
-        belongs to another call shows. Without a key of the caller, where
-        the router may make one, it shows by the request's id.
+        The stand-in echoes the team and the idempotency key, which
+        identify the call. Without a key from the caller the router may
+        generate one, so the request id identifies the call instead.
         """
         whole = [one for one in self.answers if one.is_complete]
         wrong = []
@@ -60,18 +62,19 @@
                 found = (echo['member'], echo['request_id'])
                 right = found == (self.team, answer.request_id)
             if not right:
-                wrong.append(f'{answer.request_id}: answer of {found}')
+                wrong.append(f'{answer.request_id}: got the answer of {found}')
         if self.key and len({one.body for one in whole}) > 1:
-            wrong.append(f'key {self.key}: repeats got different answers')
+            wrong.append(f'key {self.key}: repeats got different responses')
         return wrong
 
 
 @attrs.frozen
 class _Turn:
-    """What one request is made with.
+    """Parameters of one request.
 
-    :ivar callers: one for each entry, in the order to ask them
-    :ivar name: unique in the run
+    :ivar callers: one client for each entry, in the order of repeats
+    :ivar rng: random generator of the thread
+    :ivar name: unique name within the soak
     """
 
     team: str
@@ -80,7 +83,7 @@
     name: str
 
     def draw_prompt(self) -> str:
-        """Return a prompt of random length that no other turn sends."""
+        """Build a unique prompt of random length."""
         count = self.rng.randint(*_PROMPT_WORDS)
         return ' '.join([self.name, *self.rng.choices(_WORDS, k=count)])
 
@@ -96,9 +99,9 @@
     callers: list[client.Caller],
     rng: random.Random,
 ) -> list[client.Answer]:
-    """Send under a key until it is complete, and some once more.
+    """Repeat a keyed request until it completes, sometimes once more.
 
-    Each repeat goes through another entry.
+    Each repeat goes to the next entry.
     """
     answers: list[client.Answer] = []
     while len(answers) <= _MAX_REPEATS:
@@ -112,9 +115,12 @@
 class Load:
     """Threads that send requests until they are stopped.
 
-    Each thread sends one kind of request, and asks one entry first: a
-    request that waits, as at a paused entry, holds up no other kind and
-    no other entry.
+    Each thread sends one kind of request, to one entry first, so that a
+    request that waits at a paused entry delays neither other kinds nor
+    other entries.
+
+    :ivar completions: completions with their responses
+    :ivar calls: calls of plain services with their responses
     """
 
     def __init__(
@@ -124,7 +130,12 @@
         seed: int,
         threads: int,
     ) -> None:
-        """Prepare the threads; ``start`` begins."""
+        """Prepare the threads, which ``start`` starts.
+
+        :param teams: teams that send requests
+        :param seed: seed of the random generators
+        :param threads: number of threads
+        """
         self._teams = teams
         self.completions: list[records.Asked] = []
         self.calls: list[ServiceCall] = []
@@ -141,15 +152,15 @@
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self, seconds: float) -> int:
-        """Send nothing new and wait for the answers.
+        """Stop sending and wait for outstanding responses.
 
         :param seconds: longest wait for all threads together
-        :returns: number of threads that still wait
+        :returns: number of threads that still wait for a response
         """
         self._stopped.set()
         end = time.monotonic() + seconds
@@ -176,7 +187,7 @@
             self._stopped.wait(rng.uniform(*_PAUSE_SECONDS))
 
     def _choose(self, number: int) -> Callable[[_Turn], None]:
-        """Choose what a thread sends, by its number."""
+        """Choose the kind of request that a thread sends."""
         kinds = [self._complete] * _COMPLETE_THREADS
         kinds += [self._complete_keyed] * _KEYED_THREADS
         kinds += [self._order] * _ORDER_THREADS
@@ -242,7 +253,7 @@
             self.calls.append(call)
 
     def _order_once(self, turn: _Turn) -> None:
-        """Send what must not run twice without a key, so only once."""
+        """Send a non-idempotent call without a key and don't repeat it."""
         service = self._running.plan.blueprint.services[0]
         body = json.dumps({'order': turn.name}).encode()
         answer = turn.callers[0].call_service(
@@ -259,15 +270,16 @@
             self.calls.append(ServiceCall(turn.team, '', b'', (answer,)))
 
     def count_keyed(self) -> tuple[int, int]:
-        """Count the requests under a key, and their repeats."""
+        """Count the idempotency keys and the repeats under them."""
         asked = [one.key for one in self.completions if one.key]
         asked += [c.key for c in self.calls if c.key for _ in c.answers]
         return len(set(asked)), len(asked) - len(set(asked))
 
     def count_quiet_seconds(self) -> tuple[int, int]:
-        """Count the seconds in which no completion ended whole.
+        """Count the seconds in which no completion succeeded.
 
-        :returns: them, and all seconds from the first answer to the last
+        :returns: these seconds, and the seconds from the first response to
+            the last
         """
         answers = [one.answer for one in self.completions]
         ends = {int(one.ended) for one in answers}
@@ -276,7 +288,7 @@
         return span - len(whole), span
 
     def count_outcomes(self) -> dict[str, int]:
-        """Count the answers by kind of request and outcome."""
+        """Count the responses by kind of request and outcome."""
         counts: dict[str, int] = {}
         answers = [
             ('keyed completion' if one.key else 'completion', one.answer)
--- a/packages/trials/src/dunlintide_trials/mixes.py
+++ b/packages/trials/src/dunlintide_trials/mixes.py
@@ -1,4 +1,4 @@
-"""Fleets of mixed accelerators and links, drawn by seed."""
+"""Random fleets of mixed accelerators and links, determined by a seed."""
 
 import random
 
@@ -8,9 +8,9 @@
 
 __all__ = ['Mix', 'draw']
 
-# Tokens/s of six kinds of accelerator.
+# Tokens/s of each kind of accelerator.
 KINDS = (200.0, 300.0, 500.0, 800.0, 1200.0, 2000.0)
-# Tokens/s and latencies in seconds, each a hundredfold spread.
+# Tokens/s and seconds of links between domains, each over a range of 100.
 LINK_RATES = (50.0, 500.0, 5000.0)
 LINK_LATENCIES = (0.0005, 0.005, 0.05)
 LOCAL_LINK = plans.LinkQuality(0.0003, 100_000.0)
@@ -18,7 +18,12 @@
 
 @attrs.frozen
 class Mix:
-    """Endpoints, the number of layers, and links."""
+    """A fleet of endpoints and the links between its failure domains.
+
+    :ivar stops: endpoints
+    :ivar layers: number of layers of the model
+    :ivar links: latency and bandwidth between failure domains
+    """
 
     stops: list[plans.Stage]
     layers: int
@@ -28,9 +33,10 @@
 def draw(
     seed: int, layers: int = 4, kinds_each: int = 1, domains: int = 3
 ) -> Mix:
-    """Draw a fleet whose stages hold one layer range each.
+    """Draw a fleet in which each endpoint holds one layer.
 
-    :param kinds_each: endpoints of each kind for each range
+    :param layers: number of layers
+    :param kinds_each: endpoints of each kind of accelerator per layer
     :param domains: number of failure domains
     """
     rng = random.Random(seed)
--- a/packages/trials/src/dunlintide_trials/network.py
+++ b/packages/trials/src/dunlintide_trials/network.py
@@ -1,7 +1,7 @@
-"""Replicas of a whole fleet in one process, on a virtual clock.
+"""Simulation of a fleet's gossip in one process, on a virtual clock.
 
-The decisions are the real ones; only calls, time and the store are
-simulated, so that hundreds of replicas can be judged on one machine.
+The replicas run the product's code; calls, time and the store are
+simulated, so that hundreds of replicas can be tested on one machine.
 """
 
 import heapq
@@ -23,7 +23,7 @@
 SETTLE_SECONDS = 1.0
 READ_SECONDS = 10.0
 MAX_FOLLOW_UPS = 8
-# HTTP/2 frames and compressed headers of one gRPC call, both directions.
+# HTTP/2 frames and compressed headers of one gRPC call in both directions.
 CALL_OVERHEAD_BYTES = 160
 _NEAR_SECONDS = 0.0005
 _FAR_SECONDS = 0.010
@@ -32,9 +32,18 @@
 
 @attrs.define
 class Host:
-    """A process and what it has cost.
-
-    :ivar cut: hosts with different values cannot reach each other
+    """A simulated process and its traffic counters.
+
+    :ivar up: whether the process runs
+    :ivar cut: number of its network partition; hosts in different
+        partitions cannot reach each other
+    :ivar watching: whether it watches the store
+    :ivar turn: number of the scheduled gossip round; older ones are void
+    :ivar read_at: simulated time of its next periodic store read
+    :ivar calls: calls that it made
+    :ivar adopted: simulated time of adoption by revision
+    :ivar lowered: number of times that its revision went back
+    :ivar highest: highest revision that it has had
     """
 
     peer: fleet.Peer
@@ -54,7 +63,15 @@
 
 @attrs.define
 class Store:
-    """The platform's store in small."""
+    """A minimal model of the platform's store.
+
+    :ivar up: whether it responds
+    :ivar snapshot: configuration in force
+    :ivar chunks: bodies of configuration chunks by digest
+    :ivar reads: number of values that were read
+    :ivar watches: number of watches that were opened
+    :ivar notices: number of change notifications that were sent
+    """
 
     up: bool = True
     snapshot: configreplica.Snapshot | None = None
@@ -64,7 +81,7 @@
     notices: int = 0
 
     def apply(self, document: bytes, author: str = 'trial') -> None:
-        """Put a document in force on top of what the store holds."""
+        """Store a document as the revision after the current one."""
         parent = self.snapshot.head if self.snapshot else None
         chunks = revisions.split(document).unwrap()
         revision = parent.revision + 1 if parent else 1
@@ -77,16 +94,24 @@
 
 
 class Network:
-    """Hosts, the calls between them and the store, on one clock."""
+    """Simulated hosts, their calls and the store on one virtual clock.
+
+    :ivar now: simulated time in seconds
+    :ivar hosts: the latest incarnation of each host, by name
+    :ivar calls: number of calls between hosts
+    :ivar failed_calls: number of calls that timed out
+    """
 
     def __init__(
         self,
         seed: int,
         size_of: Callable[[object], int] | None = None,
     ) -> None:
-        """Begin at time 0 with nobody.
+        """Start at time 0 without hosts.
 
-        :param size_of: encoded size of a message, None not to count
+        :param seed: seed of all random choices
+        :param size_of: returns the encoded size of a message in bytes,
+            None to count no bytes
         """
         self.now = 0.0
         self.hosts: dict[str, Host] = {}
@@ -100,18 +125,20 @@
         self._order = itertools.count()
 
     def after(self, delay: float, action: Callable[[], None]) -> None:
-        """Run an action later."""
+        """Schedule an action after a delay in simulated seconds."""
         event = (self.now + delay, next(self._order), action)
         heapq.heappush(self._events, event)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock by simulated seconds."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, done: Callable[[], bool], seconds: float) -> bool:
-        """Let time pass until something holds; False when it never did.
+        """Advance the clock until a condition holds.
 
-        ``done`` is asked ten times a second.
+        :param done: condition, evaluated ten times per simulated second
+        :param seconds: timeout in simulated seconds
+        :returns: whether the condition held before the timeout
         """
         end = self.now + seconds
         while not done():
@@ -130,7 +157,10 @@
         seeds: list[str],
         timing: replicas.Timing = replicas.Timing(),
     ) -> Host:
-        """Start a process that knows some addresses."""
+        """Start a host.
+
+        :param seeds: addresses that it knows at its start
+        """
         rng = random.Random(self._rng.random())
         replica = replicas.Replica(peer, rng, timing)
         replica.add_seeds(seeds)
@@ -150,7 +180,7 @@
         return same[0] if same else 0
 
     def introduce(self) -> None:
-        """Let all know all, as a fleet that has run for long."""
+        """Give every host the records of all hosts, with gossip settled."""
         everyone = [
             host.replica.members.own_record for host in self.hosts.values()
         ]
@@ -161,11 +191,11 @@
                 host.replica.members.take_deltas(len(everyone))
 
     def up(self) -> list[Host]:
-        """Return the running hosts."""
+        """List the running hosts."""
         return [host for host in self.hosts.values() if host.up]
 
     def restart(self, host: Host) -> Host:
-        """Replace a process by a new incarnation that knows nothing."""
+        """Replace a host by a new incarnation that knows only seeds."""
         host.up = False
         incarnation = host.peer.incarnation + 1
         peer = attrs.evolve(host.peer, incarnation=incarnation)
@@ -177,7 +207,7 @@
         return not host.up or self.hosts.get(host.peer.name) is not host
 
     def resume(self, host: Host) -> None:
-        """Let a process that was down go on where it was."""
+        """Resume a host that was down, with its state kept."""
         host.up = True
         self._schedule(host, 0.0)
         self._settle(host)
@@ -185,7 +215,11 @@
     def _schedule(
         self, host: Host, delay: float, turn: int | None = None
     ) -> None:
-        """Plan the next round, unless another was planned since."""
+        """Schedule the next gossip round.
+
+        :param turn: number of the round that ended; nothing is scheduled
+            when a later round has been scheduled since
+        """
         if turn is not None and turn != host.turn:
             return
         host.turn += 1
@@ -288,14 +322,14 @@
             self._read(host)
 
     def publish(self, document: bytes) -> int:
-        """Apply a document and notify the watchers; return its revision."""
+        """Store a document, notify the watchers and return its revision."""
         self._bring_forward()
         self.store.apply(document)
         self._notify()
         return self.store.snapshot.head.revision
 
     def restore(self, snapshot: configreplica.Snapshot) -> None:
-        """Set the store back; its watchers hear of that as a change."""
+        """Restore an old snapshot in the store and notify its watchers."""
         self.store.snapshot = snapshot
         self._notify()
 
@@ -306,7 +340,11 @@
                 self.after(_STORE_SECONDS, lambda h=host: self._read(h))
 
     def _bring_forward(self) -> None:
-        """Base the next change on the fleet's newest, as operators must."""
+        """Bring the store to the newest revision of any running host.
+
+        Operators have to base a change on the newest revision, also after
+        the store was restored from an older one.
+        """
         for host in self.up():
             newest = host.replica.configuration.snapshot
             held = self.store.snapshot
@@ -334,7 +372,7 @@
 
 
 def make_peers(entries: int, agents: int, domains: int) -> list[fleet.Peer]:
-    """Make processes spread evenly over failure domains in two regions."""
+    """Make peers, spread evenly over failure domains in two regions."""
     peers = []
     for index in range(entries + agents):
         domain = index % domains
--- a/packages/trials/src/dunlintide_trials/operators.py
+++ b/packages/trials/src/dunlintide_trials/operators.py
@@ -1,4 +1,4 @@
-"""What operators do: edit the configuration and apply it."""
+"""Operators' actions in trials: edit and apply the configuration."""
 
 import copy
 import hashlib
@@ -26,21 +26,21 @@
 
 
 class CommandError(RuntimeError):
-    """The operators' command failed; the text is what it printed."""
+    """The command line tool failed; the text holds its output."""
 
 
 @attrs.frozen
 class Report:
-    """What the operators' command did."""
+    """Result of a run of the command line tool."""
 
     arguments: tuple[str, ...]
     exit_code: int
     output: str
 
     def check(self) -> 'Report':
-        """Return the report when the command succeeded.
+        """Return the report itself when the command succeeded.
 
-        :raises CommandError: when it did not
+        :raises CommandError: when the command failed
         """
         if self.exit_code:
             line = ' '.join(self.arguments)
@@ -52,7 +52,7 @@
 
 
 def run_command(*arguments: str) -> Report:
-    """Run ``dunlintide`` with arguments."""
+    """Run the command line tool ``dunlintide``."""
     done = subprocess.run(
         (sys.executable, '-m', COMMAND_MODULE, *arguments),
         stdin=subprocess.DEVNULL,
@@ -82,12 +82,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hash by which the configuration knows a bearer key."""
+    """Return the hash of a bearer key as the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def fill_keys(rules: dict[str, Any], keys: dict[str, str]) -> dict[str, Any]:
-    """Return the configuration with the hash of each team's key added."""
+    """Return a copy of the rules with the hash of each team's key added."""
     filled = copy.deepcopy(rules)
     for team in filled['members']:
         key = keys[team['name']]
--- a/packages/trials/src/dunlintide_trials/pairs.py
+++ b/packages/trials/src/dunlintide_trials/pairs.py
@@ -1,4 +1,4 @@
-"""Processes that measurements start and whose processor time they read."""
+"""Child processes of measurements, with their processor time."""
 
 import contextlib
 import multiprocessing
@@ -25,9 +25,10 @@
 
 @attrs.frozen
 class Started:
-    """A process that runs.
+    """A running child process.
 
-    :ivar first: the first that it sent
+    :ivar pipe: connection to the process
+    :ivar first: first object that the process sent
     """
 
     process: psutil.Process
@@ -35,24 +36,30 @@
     first: Any
 
     def ask(self) -> Any:
-        """Send it something and return what it answers."""
+        """Trigger the process and return the object that it sends back.
+
+        :raises TimeoutError: when it sends nothing in time
+        """
         self.pipe.send(True)
         if not self.pipe.poll(_START_SECONDS):
-            raise TimeoutError('a process did not answer')
+            raise TimeoutError(
+                f'child process did not answer within {_START_SECONDS:.0f} s'
+            )
         return self.pipe.recv()
 
     def read_time(self) -> float:
-        """Return its processor time, in seconds."""
+        """Return the processor time of the process in seconds."""
         times = self.process.cpu_times()
         return times.user + times.system
 
 
 @contextlib.contextmanager
 def start(target: Callable, *arguments: Any) -> Iterator[Started]:
-    """Run a function in a process.
+    """Run a function in a child process.
 
-    :param target: gets a pipe and the arguments; it should send
-        something when it is ready, and end once it is sent None
+    :param target: function that gets a pipe and the arguments; it sends
+        an object when it is ready and returns when it receives None
+    :raises TimeoutError: when the process is not ready in time
     """
     near, far = _CONTEXT.Pipe()
     process = _CONTEXT.Process(
@@ -61,7 +68,9 @@
     process.start()
     try:
         if not near.poll(_START_SECONDS):
-            raise TimeoutError('a process did not start')
+            raise TimeoutError(
+                f'child process was not ready within {_START_SECONDS:.0f} s'
+            )
         yield Started(psutil.Process(process.pid), near, near.recv())
         near.send(None)
         process.join(_START_SECONDS)
@@ -72,9 +81,10 @@
 def open_transport(
     folder: str | None, role: str, name: str
 ) -> transports.Transport:
-    """Open the transport of a process whose files stand in a folder.
+    """Open the transport of a process.
 
-    :param folder: None for plain connections
+    :param folder: folder with its certificate files, None for plain
+        connections
     """
     if folder is None:
         return transports.PLAIN
--- a/packages/trials/src/dunlintide_trials/people.py
+++ b/packages/trials/src/dunlintide_trials/people.py
@@ -1,4 +1,4 @@
-"""Faults of a soak that people make: racing operators, bad requests."""
+"""Faults of a soak from people: concurrent edits and crashing prompts."""
 
 import copy
 import json
@@ -12,7 +12,7 @@
 
 __all__ = ['FAULTS', 'MAX_CRASHES']
 
-# What docs/design/poison.md states for one request and its repeats.
+# Limit for one request and its repeats, see docs/design/poison.md.
 MAX_CRASHES = 3
 _RACE = 'race'
 _POISON = 'poison'
@@ -24,7 +24,10 @@
 def _apply(
     field: fields.Field, operator: str, base: int, accepted: list[int]
 ) -> None:
-    """Edit the newest rules and apply them over a revision."""
+    """Edit the rules and apply them with a revision as their base.
+
+    :param accepted: gets the new revision when the command succeeds
+    """
     document = copy.deepcopy(field.running.rules)
     document['rules'][-1]['name'] = f'default-{operator}-{base}'
     path = field.folder / f'rules-{operator}.jsonc'
@@ -36,14 +39,14 @@
             'rules', 'apply', str(path), '--store', store
         )
     except subprocess.TimeoutExpired:
-        field.notes.append('race: a command took too long')
+        field.notes.append('race: a command timed out')
         return
     if report.exit_code == 0:
         accepted.append(files.find_base(path.read_text()) or 0)
 
 
 def race_operators(field: fields.Field) -> fields.Heal | None:
-    """Let two operators apply different rules over one revision."""
+    """Let two operators apply different rules with the same base."""
     if not field.take_name(_RACE):
         return None
     base = max([field.newest_revision, *field.accepted])
@@ -69,7 +72,7 @@
 
 
 def send_poison(field: fields.Field) -> fields.Heal | None:
-    """Send a request that crashes engines, again and again."""
+    """Send a prompt that crashes engines several times."""
     if not field.take_name(_POISON):
         return None
     number = field.rng.getrandbits(32)
@@ -87,7 +90,7 @@
             caller.close()
             field.poisoned.append(answer)
             if answer.is_complete:
-                field.wrong.append(f'{prompt}: complete')
+                field.wrong.append(f'{prompt}: completed, must fail')
         field.release(_POISON)
 
     field.work(send)
--- a/packages/trials/src/dunlintide_trials/plans.py
+++ b/packages/trials/src/dunlintide_trials/plans.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment: names, ports, settings and commands."""
+"""Plan of a deployment's processes: names, ports, settings, commands."""
 
 import enum
 import sys
@@ -26,7 +26,7 @@
 
 
 class Hop(enum.StrEnum):
-    """Who connects to whom, where a relay can be put between them."""
+    """Connections between two roles at which a relay can be placed."""
 
     CALLER_ENTRY = 'caller-entry'
     ENTRY_AGENT = 'entry-agent'
@@ -37,7 +37,7 @@
 
 
 def make_address(port: int) -> str:
-    """Write the loopback address of a port."""
+    """Format the loopback address of a port."""
     return f'{ports.HOST}:{port}'
 
 
@@ -49,8 +49,8 @@
 class StandinPlan:
     """A stand-in to be started.
 
-    :ivar module: module that runs it
-    :ivar flags: its flags besides the address
+    :ivar module: name of its module in the package of stand-ins
+    :ivar flags: command line flags other than the address
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class EndpointPlan:
-    """An endpoint and what its agent is told of it.
+    """An endpoint and its description in the agent's settings.
 
     :ivar settings: the ``endpoint`` part of the agent's settings
     """
@@ -89,14 +89,14 @@
 
     @property
     def hop(self) -> Hop:
-        """The hop between it and its agent."""
+        """Hop from the agent to the endpoint."""
         engine = self.kind == 'engine'
         return Hop.AGENT_ENGINE if engine else Hop.AGENT_SERVICE
 
 
 @attrs.frozen
 class DaemonPlan:
-    """What agents and entries have in common."""
+    """Common base of the plans of agents and entries."""
 
     name: str
     failure_domain: str
@@ -105,12 +105,12 @@
 
     @property
     def admin_url(self) -> str:
-        """Base URL for operators."""
+        """Base URL of the administration interface."""
         return _make_url(self.admin_port)
 
     @property
     def address(self) -> str:
-        """Where peers connect."""
+        """Address that peers connect to."""
         return make_address(self.link_port)
 
     @property
@@ -185,10 +185,10 @@
 class Plan:
     """All processes of a deployment, with their ports.
 
-    :ivar relayed: port of the relay on a hop, by hop and daemon
+    :ivar relayed: port of the relay at a hop, by hop and daemon
     :ivar timing: the ``timing`` part of every daemon's settings
-    :ivar routings: the ``routing`` of entries, by their numbers
-    :ivar extras: further settings of daemons, by role
+    :ivar routings: the ``routing`` setting of each entry, by number
+    :ivar extras: additional settings of the daemons, by role
     :ivar issuer: issues the daemons' certificates; None for no TLS
     """
 
@@ -205,11 +205,14 @@
     issuer: authority.Authority | None = None
 
     def find_port(self, hop: Hop, daemon: str, port: int) -> int:
-        """Give the port of the relay on a hop, or the given one."""
+        """Return the port of the relay at a hop.
+
+        :param port: result when the hop has no relay
+        """
         return self.relayed.get((hop, daemon), port)
 
     def find_url(self, entry: EntryPlan) -> str:
-        """Give the URL at which callers reach an entry."""
+        """Return the URL at which callers reach an entry."""
         port = self.find_port(Hop.CALLER_ENTRY, entry.name, entry.port)
         return _make_url(port)
 
--- a/packages/trials/src/dunlintide_trials/ports.py
+++ b/packages/trials/src/dunlintide_trials/ports.py
@@ -1,8 +1,9 @@
-"""Free ports on loopback, kept until their process takes them.
+"""Reservation of free loopback ports for processes of trials.
 
-A picked port is bound only when its process starts, and again after each
-of its restarts. So that no other trial takes it meanwhile, each process
-that picks ports draws them from blocks that it holds alone until it ends.
+A reserved port is released when its process starts, and is unbound during
+each restart of that process. To keep other trials from taking it in
+between, each trial process draws ports from blocks that it locks for as
+long as it runs.
 """
 
 import collections
@@ -17,19 +18,19 @@
 __all__ = ['HOST', 'Reservations', 'pick_ports']
 
 HOST = '127.0.0.1'
-# Below the range that the kernel draws from for outgoing connections, so
-# that none takes a port between two starts of a process.
+# Below the kernel's range of ephemeral ports, so that no outgoing connection
+# takes a port between two starts of a process.
 _FIRST = 12_000
 _LAST = 31_999
-# Ports in a block; the largest example takes three.
+# Ports in a block; the largest example needs three blocks.
 _BLOCK = 400
-# Draws from a block before one more is taken: all of its ports may be in
-# use.
+# Ports that are tried before one more block is locked, as all ports of the
+# locked blocks may be in use.
 _TRIES = 1_000
 
 
 class _Blocks:
-    """Blocks of ports that this process holds; locks end with it."""
+    """Blocks of ports that this process locks until it exits."""
 
     def __init__(self) -> None:
         user = os.getuid()
@@ -39,7 +40,7 @@
         self._ports: collections.deque[int] = collections.deque()
 
     def take(self) -> bool:
-        """Take one more block; False when others hold all of them."""
+        """Lock one more block; False when no block is free."""
         self._folder.mkdir(exist_ok=True)
         firsts = list(range(_FIRST, _LAST, _BLOCK))
         random.SystemRandom().shuffle(firsts)
@@ -62,7 +63,7 @@
         return True
 
     def draw(self) -> int | None:
-        """Return a port that was not drawn for longest, None for none."""
+        """Return the least recently drawn port, None without a block."""
         if not self._ports:
             return None
         self._ports.rotate(-1)
@@ -73,7 +74,7 @@
 
 
 class Reservations:
-    """Ports that are bound, so that nobody else takes them."""
+    """Ports that are kept bound until their process starts."""
 
     def __init__(self) -> None:
         self._held: dict[int, socket.socket] = {}
@@ -81,7 +82,7 @@
     def reserve(self) -> int:
         """Bind a free port and return its number.
 
-        :raises OSError: when no port was free in many tries
+        :raises OSError: when no free port was found
         """
         while True:
             for _ in range(_TRIES):
@@ -89,7 +90,9 @@
                 if port is not None and self._bind(port):
                     return port
             if not _blocks.take():
-                raise OSError('found no free port')
+                raise OSError(
+                    f'no free port in {_FIRST}-{_LAST}: all blocks are locked'
+                )
 
     def _bind(self, port: int) -> bool:
         held = socket.socket()
@@ -102,21 +105,21 @@
         return True
 
     def release(self, port: int) -> None:
-        """Free a port just before its process binds it."""
+        """Unbind a port just before its process binds it."""
         held = self._held.pop(port, None)
         if held is not None:
             held.close()
 
     def close(self) -> None:
-        """Free all ports."""
+        """Unbind all ports."""
         for port in list(self._held):
             self.release(port)
 
 
 def pick_ports(count: int) -> list[int]:
-    """Find free ports for processes that bind them soon.
+    """Find free ports, which are not bound on return.
 
-    No other process picks one of them while this one lives.
+    No other trial process picks one of them while this process runs.
     """
     with contextlib.closing(Reservations()) as reservations:
         return [reservations.reserve() for _ in range(count)]
--- a/packages/trials/src/dunlintide_trials/prefixload.py
+++ b/packages/trials/src/dunlintide_trials/prefixload.py
@@ -1,8 +1,8 @@
-"""Event model of prompts with shared prefixes before chains of engines.
+"""Event model of routing by shared prompt prefixes.
 
-Several entries choose chains by the product's own code; engines have the
-stand-in's prefix cache. A stage runs one prompt after the other, and the
-tokens that follow as a load behind it.
+Several entries choose chains with the product's own code; the engines use
+the stand-in's prefix cache. A stage runs one prompt at a time and adds the
+time of the decoded tokens to it.
 """
 
 import heapq
@@ -30,14 +30,14 @@
 
 _RANGES = 3
 _CHARACTERS_PER_TOKEN = 4
-# Shares of a team's own start, of a turn, and of the answer.
+# Tokens of a team's system prompt, of a user turn and of an answer.
 _SYSTEM_TOKENS = 512
 _TURN_TOKENS = 192
 _DECODED = 64
 _TURNS = 6
 _TURN_PAUSE = 10.0
 _PER_TOKEN = 0.0001
-# A decoded token shares its step with others.
+# A decoded token shares its step with those of other sessions.
 _PER_DECODED = 0.00002
 _BASE = 0.002
 _TICK = 1.0
@@ -48,21 +48,24 @@
 
 @attrs.frozen
 class Shape:
-    """What is run.
-
-    :ivar way: by load alone, with the guesses of entries from their
-        own choices, or with cache events too
-    :ivar entries: they take the turns of each session at random
-    :ivar replicas: engines of each of three layer ranges
-    :ivar subset: replicas of a range that an entry has links to
-    :ivar rate: new sessions a second, over all entries
-    :ivar teams: each has a start that all of its prompts share
-    :ivar hot: share of the sessions that are of the one hottest team
-    :ivar lag: seconds before an event can be read
-    :ivar loss: share of events that is lost
-    :ivar news: prefixes that an agent tells in a second
-    :ivar cache_tokens: size of each engine's cache
-    :ivar seconds: time that counts, after a start that doesn't
+    """Parameters of a run.
+
+    :ivar way: choice by load only (``LOAD``), also by the prefixes that an
+        entry expects from its own choices (``GUESS``), or also by cache
+        events (``EVENTS``)
+    :ivar entries: number of entries; each turn of a session goes to a
+        random one
+    :ivar replicas: engines of each of the three layer ranges
+    :ivar subset: replicas of a layer range that an entry has links to
+    :ivar rate: new sessions per second over all entries
+    :ivar teams: number of teams; the prompts of a team share a prefix
+    :ivar hot: fraction of the sessions that belong to the busiest team
+    :ivar lag: seconds before a cache event can be read
+    :ivar loss: fraction of cache events that is lost
+    :ivar news: maximum prefixes that an agent publishes per second
+    :ivar cache_tokens: capacity of each engine's cache in tokens
+    :ivar seconds: duration of the measurement after the warm-up
+    :ivar seed: seed of all random choices
     :ivar factor: see ``selection.Chooser``
     """
 
@@ -84,16 +87,17 @@
 
 @attrs.frozen
 class Result:
-    """What came of a run, behind its start.
-
-    :ivar prefilled: prompt tokens run a stage, over those asked
-    :ivar first_token: seconds, 95 of 100 below
-    :ivar mean: seconds to the first token, mean
-    :ivar done: requests a second that had their first token
-    :ivar busiest: work of the busiest engine over its range's mean, in
-        the worst window and range
-    :ivar sent: bytes of news an agent and link, a second
-    :ivar gaps: gaps that agents saw in events
+    """Result of a run after its warm-up.
+
+    :ivar prefilled: fraction of the prompt tokens that stages computed
+        instead of finding them in a cache
+    :ivar first_token: 95th percentile of the seconds to the first token
+    :ivar mean: mean seconds to the first token
+    :ivar done: requests per second that got their first token
+    :ivar busiest: work of the busiest engine relative to the mean of its
+        layer range, in the worst window and range
+    :ivar sent: bytes of cache updates per agent, link and second
+    :ivar gaps: gaps that agents detected in the sequences of cache events
     """
 
     prefilled: float
@@ -159,7 +163,7 @@
             for index in range(shape.replicas)
         ]
         self.entries = [self._add_entry(stops) for _ in range(shape.entries)]
-        # Apart from the choices, so that all ways get the same load.
+        # Separate from ``rng``, so that all ways get the same load.
         self.load = random.Random(shape.seed)
         self.starts = [
             _draw(self.load, _SYSTEM_TOKENS) for _ in range(shape.teams)
@@ -216,7 +220,11 @@
         self.at(self.now + _WINDOW, self._watch)
 
     def _take_shares(self) -> list[float]:
-        """Give each range's busiest engine since the last call."""
+        """Compute the busiest engine's work of each range and reset it.
+
+        :returns: for each layer range the work of its busiest engine since
+            the last call, relative to the mean of the range
+        """
         shares = []
         for layer in range(_RANGES):
             works = [
@@ -339,5 +347,5 @@
 
 
 def run(shape: Shape) -> Result:
-    """Run a shape in its own time."""
+    """Simulate a run and return its result."""
     return _Model(shape).run()
--- a/packages/trials/src/dunlintide_trials/processes.py
+++ b/packages/trials/src/dunlintide_trials/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment, each with its log and its signals."""
+"""Start, signal and stop processes of a deployment, with their logs."""
 
 import json
 import pathlib
@@ -19,7 +19,7 @@
 
 
 class StartError(RuntimeError):
-    """A process ended or stayed silent before it was ready."""
+    """A process exited or timed out before it was ready."""
 
 
 def wait_for(
@@ -27,10 +27,10 @@
     seconds: float,
     pause: float = _POLL_SECONDS,
 ) -> bool:
-    """Wait until a condition holds; False when time is up.
+    """Wait until a condition holds; return False on a timeout.
 
-    :param seconds: longest wait
-    :param pause: seconds between two tries
+    :param seconds: timeout in seconds
+    :param pause: poll interval in seconds
     """
     end = time.monotonic() + seconds
     while not condition():
@@ -42,12 +42,13 @@
 
 @attrs.define(eq=False)
 class Process:
-    """One process, which can be stopped and started again.
+    """A process that can be restarted.
 
-    :ivar role: ``store``, ``engine``, ``agent``, ``entry`` and so on
-    :ivar command: program and arguments, the same at each start
-    :ivar log: file that takes its output
-    :ivar before_start: called before each start
+    :ivar role: ``platform``, ``engine``, ``service``, ``agent``, ``entry``
+    :ivar command: program and arguments of each start
+    :ivar log: file that its output is appended to
+    :ivar before_start: callback before each start
+    :ivar starts: number of starts
     """
 
     name: str
@@ -62,23 +63,23 @@
 
     @property
     def pid(self) -> int:
-        """Process id of the last start."""
+        """Process id of the latest start."""
         if self._popen is None:
             raise StartError(f'{self.name} was never started')
         return self._popen.pid
 
     @property
     def is_running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self._popen is not None and self._popen.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """Exit code, negative for a signal; None while it runs."""
+        """Exit code, negative for a signal, None before the exit."""
         return self._popen.poll() if self._popen is not None else None
 
     def start(self) -> None:
-        """Start it, without waiting until it is ready."""
+        """Start the process without waiting until it is ready."""
         self.before_start()
         self.starts += 1
         with self.log.open('ab') as log:
@@ -88,28 +89,28 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=subprocess.STDOUT,
-                # A Ctrl-C on the terminal is for the launcher, which
-                # stops the others in order.
+                # Ctrl-C must reach only the launcher, which stops the
+                # processes in order.
                 start_new_session=True,
             )
 
     def read_log(self) -> str:
-        """Read what it wrote since it was last started."""
+        """Read the output since the latest start."""
         with self.log.open('rb') as log:
             log.seek(self._offset)
             return log.read().decode(errors='replace')
 
     def find_ready_line(self) -> dict | None:
-        """Find the line in which a stand-in says that it is ready."""
+        """Find the line in which a stand-in reports that it is ready."""
         for line in self.read_log().splitlines():
             if line.startswith('{') and '"ready"' in line:
                 return json.loads(line)
         return None
 
     def check_start(self) -> None:
-        """Raise when it ended.
+        """Check that the process runs.
 
-        :raises StartError: with the last lines of its log
+        :raises StartError: when it exited; the text has the end of its log
         """
         if not self.is_running:
             tail = '\n'.join(self.read_log().splitlines()[-_TAIL_LINES:])
@@ -119,9 +120,10 @@
     def wait_ready(
         self, is_ready: Callable[[], bool], seconds: float = START_SECONDS
     ) -> None:
-        """Wait until it is ready.
+        """Wait until the process is ready.
 
-        :raises StartError: when it ends or time is up before that
+        :param seconds: timeout in seconds
+        :raises StartError: when the process exits or the wait times out
         """
 
         def check() -> bool:
@@ -132,37 +134,37 @@
             raise StartError(f'{self.name} was not ready in {seconds:.0f} s')
 
     def signal(self, number: int) -> None:
-        """Send it a signal, if it runs."""
+        """Send a signal to the process if it runs."""
         if self.is_running:
             self._popen.send_signal(number)
 
     def pause(self) -> None:
-        """Halt it as a stalled host would."""
+        """Suspend the process, which simulates a stalled host."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on after a pause."""
+        """Resume the process after ``pause``."""
         self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its exit."""
         if self.is_running:
             self._popen.kill()
             self._popen.wait(_KILL_SECONDS)
 
     def terminate(self) -> None:
-        """Ask it to stop; it also has to run for that."""
+        """Request a graceful stop, resuming a suspended process first."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
 
     def wait(self, seconds: float = STOP_SECONDS) -> bool:
-        """Wait until it has ended; False when time is up."""
+        """Wait until the process has exited; return False on a timeout."""
         return wait_for(lambda: not self.is_running, seconds)
 
     def stop(self, seconds: float = STOP_SECONDS) -> bool:
-        """Stop it gracefully, by force when it takes too long.
+        """Stop the process gracefully and kill it after a timeout.
 
-        :returns: whether no force was needed
+        :returns: whether it stopped without being killed
         """
         self.terminate()
         if self.wait(seconds):
--- a/packages/trials/src/dunlintide_trials/promises.py
+++ b/packages/trials/src/dunlintide_trials/promises.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked after a soak."""
+"""Checks after a soak that the deployment kept its guarantees."""
 
 import collections
 from typing import Iterable
@@ -28,11 +28,11 @@
     requests: load.Load,
     runs: records.Records,
 ) -> list[str]:
-    """List the promises that were broken.
+    """List the violations of guarantees for requests.
 
-    A complete answer is the right one; a refused request did not run; a
-    non-idempotent request ran at most once, and once when it was
-    complete; no answer is another request's.
+    A complete response has the expected content; a request that was refused
+    as not run did not run; a non-idempotent request ran at most once, and
+    exactly once when it completed; no response belongs to another request.
     """
     wrong: list[str] = []
     for asked in requests.completions:
@@ -62,9 +62,10 @@
 
 
 def check_crashes(crashes: Iterable[str], limit: int) -> list[str]:
-    """List the prompts that crashed too many engines.
+    """List the prompts that crashed more engines than allowed.
 
     :param crashes: prompt of each crash
+    :param limit: maximum crashes by one prompt
     """
     counts = collections.Counter(crashes)
     return [
@@ -75,9 +76,10 @@
 
 
 def check_revisions(shown: dict[str, int], accepted: list[int]) -> list[str]:
-    """List the daemons that are not at the newest accepted revision.
+    """List the daemons that are behind the newest accepted revision.
 
-    :param shown: revision that each daemon shows
+    :param shown: revision that each daemon reports
+    :param accepted: revisions that were accepted from operators
     """
     newest = max(accepted, default=0)
     wrong = [
@@ -91,7 +93,7 @@
 
 
 def check_recovered(running: deployment.Deployment) -> list[str]:
-    """Check that every entry completes a request again."""
+    """List the entries that don't complete a request in time."""
     team = next(iter(running.keys))
     wrong = []
     for number, entry in enumerate(running.plan.entries):
@@ -104,5 +106,8 @@
             return answer.is_complete
 
         if not processes.wait_for(completes, _RECOVERY_SECONDS, pause=0.2):
-            wrong.append(f'{entry.name} does not complete requests again')
+            wrong.append(
+                f'{entry.name} completed no request within '
+                f'{_RECOVERY_SECONDS:.0f} s'
+            )
     return wrong
--- a/packages/trials/src/dunlintide_trials/records.py
+++ b/packages/trials/src/dunlintide_trials/records.py
@@ -1,4 +1,4 @@
-"""Checks of answers against the stand-ins' own records."""
+"""Checks of responses against the runs that the stand-ins recorded."""
 
 import collections
 from typing import Any, Iterable
@@ -19,9 +19,11 @@
 
 @attrs.frozen
 class Asked:
-    """One request of a trial and what became of it.
+    """One request of a trial with its response.
 
+    :ivar team: team that sent the request
     :ivar prompt: prompt of a completion, empty for a service call
+    :ivar max_tokens: token limit of a completion
     :ivar key: idempotency key, empty without one
     """
 
@@ -35,16 +37,16 @@
 def compute_text(
     prompt: str, max_tokens: int, *, model: str, layers: int
 ) -> str:
-    """Compute what a right run of the whole model writes."""
+    """Compute the expected text of a completion by all layers."""
     tokens = reference.expected_tokens(prompt, max_tokens, layers, model)
     return ''.join(token.text for token in tokens)
 
 
 def check_text(asked: Asked, *, model: str, layers: int) -> list[str]:
-    """List what is wrong with a completion's text.
+    """List the errors in a completion's text.
 
-    Of an answer that is not whole, what came must be a beginning of the
-    right one: no token lost, doubled or another request's.
+    The text of an incomplete response must be a prefix of the expected
+    text: no token is missing, repeated or from another request.
     """
     right = compute_text(
         asked.prompt, asked.max_tokens, model=model, layers=layers
@@ -58,18 +60,18 @@
 
 
 class Records:
-    """Runs that the endpoints recorded, kept over their restarts."""
+    """Runs that the endpoints recorded, kept across their restarts."""
 
     def __init__(self) -> None:
         self._runs: dict[tuple[str, int], list[dict[str, Any]]] = {}
         self._lives: collections.Counter[str] = collections.Counter()
 
     def keep(self, endpoint: str, runs: list[dict[str, Any]]) -> None:
-        """Replace what is known of an endpoint's present life."""
+        """Replace the runs that are known since an endpoint's last start."""
         self._runs[endpoint, self._lives[endpoint]] = runs
 
     def end_life(self, endpoint: str) -> None:
-        """Begin a new record: the endpoint lost its own."""
+        """Note that an endpoint ended and starts with an empty record."""
         self._lives[endpoint] += 1
 
     def _list(self) -> Iterable[dict[str, Any]]:
@@ -77,7 +79,7 @@
             yield from runs
 
     def find(self, request_id: str) -> list[dict[str, Any]]:
-        """Give the runs of a request."""
+        """List the runs of a request."""
         return [run for run in self._list() if run['request_id'] == request_id]
 
     def count_by_key(self) -> dict[tuple[str, str], int]:
@@ -89,7 +91,7 @@
         )
 
     def check_refusals(self, asked: Iterable[Asked]) -> list[str]:
-        """List the requests that were refused as not run, but ran."""
+        """List the requests that were reported as not run, but ran."""
         ran = {run['request_id'] for run in self._list()}
         return [
             f'{one.answer.request_id}: told not-run ({one.answer.code}), '
@@ -100,7 +102,7 @@
         ]
 
     def check_once(self, keys: Iterable[tuple[str, str]]) -> list[str]:
-        """List the keys of non-idempotent calls that ran twice.
+        """List the keys of non-idempotent calls that ran more than once.
 
         :param keys: team and idempotency key of each service call
         """
@@ -112,9 +114,9 @@
         ]
 
     def check_single(self, request_ids: Iterable[str]) -> list[str]:
-        """List the requests that ran more than once.
+        """List the calls without a key that ran more than once.
 
-        :param request_ids: of non-idempotent calls without a key
+        :param request_ids: ids of non-idempotent calls without a key
         """
         counts = collections.Counter(run['request_id'] for run in self._list())
         return [
@@ -124,10 +126,11 @@
         ]
 
     def check_heads(self, keys: Iterable[tuple[str, str]]) -> list[str]:
-        """List the keyed completions that began more than once.
+        """List the keyed completions whose first layers ran too often.
+
+        The first layers of a completion may run for one request only, in
+        one incarnation of one endpoint, and once in each epoch.
 
-        The first layers of one may run in one life of one endpoint, for
-        one request, and only once in each epoch.
         :param keys: team and idempotency key of each completion
         """
         begun = collections.defaultdict(list)
@@ -145,7 +148,7 @@
         return wrong
 
     def check_teams(self, asked: Iterable[Asked]) -> list[str]:
-        """List the requests that ran in another team's name."""
+        """List the requests that ran on behalf of another team."""
         teams = {one.answer.request_id: one.team for one in asked}
         return [
             f'{run["request_id"]}: ran as {run["member"]}, was sent by '
--- a/packages/trials/src/dunlintide_trials/routing.py
+++ b/packages/trials/src/dunlintide_trials/routing.py
@@ -1,4 +1,4 @@
-"""Policies that route the sessions of the stage model."""
+"""Routing policies for the event model in ``stages``."""
 
 import itertools
 import random
@@ -17,7 +17,7 @@
 
 
 class Router:
-    """The policy of the product: learnt shares and two choices."""
+    """Policy of the product: planned shares and power of two choices."""
 
     def __init__(
         self,
@@ -27,9 +27,11 @@
         seed: int,
         learns: bool = True,
     ) -> None:
-        """Plan from declared capacities.
+        """Make a plan from declared capacities.
 
-        :param learns: whether it plans again from what it observes
+        :param stops: endpoints
+        :param layers: number of layers of the model
+        :param learns: whether observed load and intervals update the plan
         """
         self.replanner = replan.Replanner(layers, links)
         self.replanner.set_stops(stops)
@@ -45,7 +47,7 @@
         return self.replanner.plan
 
     def entry(self) -> stages.Entry:
-        """Give the callbacks for the model."""
+        """Build the callbacks for the event model."""
         return stages.Entry(
             choose=lambda now: self.chooser.choose(now, self._rng),
             begin=self.chooser.begin,
@@ -71,9 +73,9 @@
 
 
 def make_round_robin(stops: list[plans.Stage], layers: int) -> stages.Entry:
-    """Take the endpoints of each layer range in turn.
+    """Build a policy that uses the endpoints of each range in turn.
 
-    Ranges must not overlap in part, here and below.
+    The layer ranges of endpoints must be equal or disjoint.
     """
     turns = [
         itertools.cycle([stop for stop in stops if stop.layer_start == start])
@@ -85,7 +87,7 @@
 
 
 def make_shares_only(plan: plans.Plan, seed: int) -> stages.Entry:
-    """Draw one chain by its share, whatever its load."""
+    """Build a policy that draws chains by their planned shares only."""
     rng = random.Random(seed)
     shares = [chain.share for chain in plan.chains]
     return stages.Entry(choose=lambda now: rng.choices(plan.chains, shares)[0])
@@ -94,7 +96,10 @@
 def make_least_outstanding(
     stops: list[plans.Stage], layers: int, seed: int
 ) -> stages.Entry:
-    """Take for each range the endpoint with least work over capacity."""
+    """Build a policy of the least outstanding work relative to capacity.
+
+    The layer ranges of endpoints must be equal or disjoint.
+    """
     rng = random.Random(seed)
     own = {stop.agent: 0 for stop in stops}
     others = dict(own)
--- a/packages/trials/src/dunlintide_trials/saturation.py
+++ b/packages/trials/src/dunlintide_trials/saturation.py
@@ -1,8 +1,9 @@
-"""Real processes under many streams, against the bound of a plan.
+"""Deployment of real processes under many streams of completions.
 
-Engines are stand-ins whose steps sleep, so that the declared capacity is
-what a full batch delivers: up to ``BATCH`` tokens a step, a quarter of
-whose time is fixed. The capacities keep the machine far from its limit.
+Engines are stand-ins whose steps sleep. A full batch of ``BATCH`` tokens
+delivers the declared capacity, and ``FIXED_PART`` of its time is
+independent of the batch size. The capacities are low enough that the
+machine is not the bottleneck.
 """
 
 import collections
@@ -35,10 +36,10 @@
 
 BATCH = 16
 FIXED_PART = 0.25
-# Tokens/s of each endpoint, by kind of accelerator; the sums of the three
-# layer ranges are close to each other.
+# Tokens/s of an endpoint by kind of accelerator. The sums over each of the
+# three layer ranges are nearly equal.
 KINDS = {'k1': 600, 'k2': 400, 'k3': 250, 'k4': 150, 'k5': 90, 'k6': 50}
-# One that leaves the machine more to do than the engine's sleep.
+# A kind so fast that the machine's work outweighs the engine's sleep.
 FAST = 'fast'
 KINDS_WITH_FAST = KINDS | {FAST: 2000}
 RANGES = (
@@ -52,7 +53,7 @@
 TEAM = 'bench'
 TOKENS = (16, 96)
 MEAN_TOKENS = sum(TOKENS) / 2
-# A slow chain takes a minute for its last answers; they are given up.
+# Streams over a slow chain need up to a minute and are abandoned after this.
 DRAIN_SECONDS = 5.0
 _PAUSE_SECONDS = 0.2
 
@@ -102,10 +103,10 @@
     routings: Iterable[str],
     ranges: Iterable[Iterable[str]] = RANGES,
 ) -> Iterator[deployment.Deployment]:
-    """Start the deployment, with an entry for each routing.
+    """Start the deployment and stop it on leaving the context.
 
-    :param ranges: kinds of the endpoints that hold each third of the
-        layers
+    :param routings: the ``routing`` setting of each entry
+    :param ranges: kinds of the endpoints of each layer range
     """
     routings = tuple(routings)
     with tempfile.TemporaryDirectory(prefix='dunlintide-') as folder:
@@ -118,14 +119,14 @@
             try:
                 yield running
             finally:
-                # Streams that were given up would hold up a planned stop.
+                # A graceful stop would wait for the abandoned streams.
                 for role in (deployment.ENTRY, deployment.AGENT):
                     for process in running.list_processes(role):
                         process.kill()
 
 
 def list_stops(running: deployment.Deployment) -> list[plans.Stage]:
-    """Give the endpoints as a planner sees them."""
+    """List the endpoints as stages for the planner."""
     return [
         plans.Stage(
             agent.name,
@@ -139,18 +140,21 @@
 
 
 def find_bound(stops: Iterable[plans.Stage]) -> float:
-    """Give the tokens/s that endpoints can carry together."""
+    """Return the maximum tokens/s of all endpoints together."""
     return plans.make_plan(stops, LAYERS).bound
 
 
 @attrs.define
 class Streams:
-    """Callers that stream completions: a fixed number, or by arrivals.
-
-    :ivar entries: numbers of the entries that they ask in turn
-    :ivar count: callers that ask again once they are answered
-    :ivar arrivals: requests a second of Poisson arrivals
-    :ivar answers: what they got or are getting, in the order of starts
+    """Load of streamed completions by a fixed number of callers or a rate.
+
+    :ivar running: the deployment
+    :ivar entries: numbers of the entries, used in turn
+    :ivar count: number of callers that send the next request as soon as
+        one ends
+    :ivar arrivals: requests per second with Poisson arrivals
+    :ivar answers: finished and current responses in the order of their
+        requests
     """
 
     running: deployment.Deployment
@@ -167,7 +171,7 @@
         answer = client.Answer()
         self.answers.append(answer)
         caller.complete(
-            # One position: the bound is for decoding only.
+            # A prompt of one token, as the bound covers decoding only.
             name,
             model=MODEL,
             max_tokens=rng.randint(*TOKENS),
@@ -213,23 +217,23 @@
         return self
 
     def __exit__(self, *details: Any) -> None:
-        """Begin no new stream and wait a little for the ends."""
+        """Start no new streams and wait for a short time for their ends."""
         self._stopped.set()
         end = time.monotonic() + DRAIN_SECONDS
         for thread in list(self._threads):
             thread.join(max(0.0, end - time.monotonic()))
 
     def measure(self, seconds: float) -> float:
-        """Give the tokens/s that come in the next seconds."""
+        """Measure the tokens/s that arrive in the next seconds."""
         start = time.monotonic()
         time.sleep(seconds)
         return self.rate(start, start + seconds)
 
     def rate(self, start: float, end: float) -> float:
-        """Give the tokens/s that came in a window of the past.
+        """Return the tokens/s that arrived in a past window.
 
         :param start: monotonic time in seconds
-        :param end: the same
+        :param end: monotonic time in seconds, not included
         """
         tokens = sum(
             start <= moment < end
@@ -239,7 +243,7 @@
         return tokens / (end - start)
 
     def count_failed(self) -> collections.Counter[tuple[str, str]]:
-        """Count answers that ended and were not complete, by why."""
+        """Count the incomplete responses by outcome and error code."""
         return collections.Counter(
             (str(answer.outcome), answer.code)
             for answer in self.answers
--- a/packages/trials/src/dunlintide_trials/scenes.py
+++ b/packages/trials/src/dunlintide_trials/scenes.py
@@ -1,4 +1,4 @@
-"""Steps of the demo, each of which checks what it shows."""
+"""Steps of the demo, which print results and check them."""
 
 import copy
 import threading
@@ -73,7 +73,7 @@
 
 
 def _stream(running: deployment.Deployment, team: str) -> Wrong:
-    """Stream the specials blurb."""
+    """Stream a completion and check its text and its layers."""
     caller = running.make_caller(0, team)
     answer = caller.complete(
         SPECIALS, model=running.model, max_tokens=STREAM_TOKENS, stream=True
@@ -85,13 +85,13 @@
     _say(f'   ran at {_name_domains(running, answer.request_id)}')
     asked = records.Asked(team, answer, SPECIALS, STREAM_TOKENS)
     wrong = _check_text(running, asked)
-    # The last token ends the answer and is not run itself.
+    # The last token is not run through the model.
     positions = len(reference.tokenize(SPECIALS)) + STREAM_TOKENS - 1
     return wrong + _check_layers(running, answer.request_id, positions)
 
 
 def _complete(running: deployment.Deployment, team: str) -> Wrong:
-    """Ask for a completion without streaming, at another entry."""
+    """Request a completion without streaming from another entry."""
     caller = running.make_caller(1, team)
     answer = caller.complete(
         BLURB, model=running.model, max_tokens=STREAM_TOKENS
@@ -104,7 +104,7 @@
 
 
 def _order(running: deployment.Deployment, team: str) -> Wrong:
-    """Send a non-idempotent call, and the same again elsewhere."""
+    """Send a non-idempotent call and repeat it at another entry."""
     service = running.plan.blueprint.services[0]
     key = f'demo-{time.time_ns()}'
     answers = [
@@ -133,7 +133,7 @@
 
 
 def _edit(running: deployment.Deployment, team: str) -> Wrong:
-    """Refuse a model to a team by a new first rule."""
+    """Apply a rule that refuses a model to a team and check its effect."""
     edited: dict[str, Any] = copy.deepcopy(running.rules)
     rule = {
         'name': 'demo-pause',
@@ -177,7 +177,7 @@
 
 
 class _Background:
-    """A stream that is read on a thread of its own."""
+    """A completion that is streamed on a background thread."""
 
     def __init__(self, caller: client.Caller, model: str) -> None:
         self.answer: client.Answer | None = None
@@ -192,13 +192,13 @@
         )
 
     def wait(self) -> client.Answer:
-        """Wait for the end and give the answer, empty when late."""
+        """Wait for the response; return an empty one on a timeout."""
         self._thread.join(_PATIENCE_SECONDS)
         return self.answer or client.Answer()
 
 
 def _find_busy(running: deployment.Deployment, team: str) -> str | None:
-    """Find an engine that works for a team, by its load."""
+    """Return the agent of an engine under load, None without one."""
     for agent in running.plan.agents:
         standin = agent.endpoint.standin
         if agent.endpoint.kind == deployment.ENGINE:
@@ -209,7 +209,7 @@
 
 
 def _drain(running: deployment.Deployment, team: str) -> Wrong:
-    """Drain an endpoint in the midst of a stream."""
+    """Drain an endpoint during a stream."""
     stream = _Background(running.make_caller(0, team), running.model)
     found: list[str] = []
 
@@ -219,7 +219,7 @@
         return bool(found)
 
     if not processes.wait_for(look, _DRAIN_SECONDS):
-        return ['no engine was seen at work']
+        return [f'no engine had load within {_DRAIN_SECONDS:.0f} s']
     plan = next(one for one in running.plan.agents if one.name == found[0])
     running.post_json(f'{plan.admin_url}/drain', {})
     _say(f'   draining {plan.name} ({plan.failure_domain})')
@@ -260,7 +260,7 @@
 
 
 def play(running: deployment.Deployment) -> Wrong:
-    """Run all steps and return what was wrong."""
+    """Run all steps and return the failed checks."""
     teams = list(running.keys)
     wrong: Wrong = []
     for number, (title, scene) in enumerate(_SCENES, 1):
@@ -274,7 +274,7 @@
 
 
 def print_start(running: deployment.Deployment, seconds: float) -> None:
-    """Tell what was started."""
+    """Print which processes were started."""
     plan = running.plan
     roles = [process.role for process in running.started.values()]
     counts = ', '.join(
@@ -288,7 +288,7 @@
 def print_end(
     running: deployment.Deployment, wrong: Wrong, seconds: float
 ) -> None:
-    """Tell how it ended."""
+    """Print the result after the stop of all processes."""
     left = [p.name for p in running.started.values() if p.is_running]
     _say(f'\nstopped all {len(running.started)} processes, left: {left}')
     verdict = f'{len(wrong)} wrong' if wrong else 'every step as promised'
@@ -296,7 +296,7 @@
 
 
 def print_commands(running: deployment.Deployment) -> None:
-    """Print curl commands that work as they stand."""
+    """Print curl commands for the running deployment."""
     url = running.plan.entries[0].url
     key = next(iter(running.keys.values()))
     auth = f"-H 'Authorization: Bearer {key}'"
--- a/packages/trials/src/dunlintide_trials/signals.py
+++ b/packages/trials/src/dunlintide_trials/signals.py
@@ -1,4 +1,4 @@
-"""Signals that end a trial turned into an orderly stop."""
+"""Conversion of SIGINT and SIGTERM into an orderly stop of a trial."""
 
 import contextlib
 import signal
@@ -17,14 +17,14 @@
 
 
 def _exit(number: int, _frame: object) -> None:
-    # A second signal must not cut short the stopping of processes.
+    # A second signal must not interrupt the stop of the processes.
     _ignore()
     raise SystemExit(_SHELL_BASE + number)
 
 
 @contextlib.contextmanager
 def exit_on_signals() -> Iterator[None]:
-    """Raise SystemExit in the block on SIGINT or SIGTERM."""
+    """Raise SystemExit within the context on SIGINT or SIGTERM."""
     before = [signal.signal(number, _exit) for number in _NUMBERS]
     try:
         yield
@@ -34,7 +34,7 @@
 
 
 def wait_for_signal() -> None:
-    """Wait for SIGINT or SIGTERM, and ignore those that follow."""
+    """Wait for SIGINT or SIGTERM and ignore further ones."""
     came = threading.Event()
     for number in _NUMBERS:
         signal.signal(number, lambda *_: came.set())
--- a/packages/trials/src/dunlintide_trials/soak.py
+++ b/packages/trials/src/dunlintide_trials/soak.py
@@ -1,7 +1,7 @@
-"""A soak: real processes under load and seeded random faults.
+"""Soak test of real processes under load and seeded random faults.
 
-At the end every promise is checked against the stand-ins' own records.
-The exit code is 1 when one was broken.
+At the end the guarantees of the router are checked against the runs that
+the stand-ins recorded. The exit code is 1 when one was violated.
 """
 
 import argparse
@@ -39,9 +39,9 @@
 THREADS = 16
 EXAMPLE = pathlib.Path('examples/cooperative.jsonc')
 EXIT_BROKEN = 1
-# In the work folder: when each fault came and went.
+# Log of the start and the end of each fault, in the work folder.
 NOTES = 'faults.txt'
-# Most seconds from the end of the faults until everything serves.
+# Maximum seconds from the end of the faults until all daemons serve.
 RECOVERY_SECONDS = 60.0
 _GAP_SECONDS = (0.2, 2.0)
 _FAULT_SECONDS = (0.5, 5.0)
@@ -60,9 +60,12 @@
 
 @attrs.frozen(order=False)
 class _Running:
-    """A fault that has to be healed.
+    """An active fault.
 
-    :ivar again: whether the same harm comes once more to the same target
+    :ivar fault: function that injected the fault
+    :ivar heal: function that reverts the fault
+    :ivar target: name of the process or relay under the fault
+    :ivar again: whether to apply the fault to the target a second time
     """
 
     fault: fields.Fault
@@ -73,10 +76,11 @@
 
 @attrs.define(eq=False)
 class Driver:
-    """Applies faults and heals them when their time has come.
+    """Applies random faults and reverts them after their duration.
 
-    :ivar counts: faults applied, by name
-    :ivar combined: those that came in pairs or again, by how
+    :ivar field: state that the faults share
+    :ivar counts: number of applied faults by name
+    :ivar combined: number of simultaneous and of repeated faults
     """
 
     field: fields.Field
@@ -89,10 +93,11 @@
     _seconds: list[_Running] = attrs.field(factory=list)
 
     def apply(self, fault: fields.Fault, again: bool) -> bool:
-        """Apply a fault and plan its end.
+        """Apply a fault and schedule its end.
 
-        :param again: apply it to the same target when it has ended
-        :returns: whether it found something to harm
+        :param again: whether to apply the fault to the same target again
+            after its end
+        :returns: whether the fault had a target
         """
         heal = fault(self.field)
         if heal is None:
@@ -106,12 +111,16 @@
         return True
 
     def _note(self, what: str, fault: str, target: str) -> None:
-        """Write down when a fault comes and goes, for a look afterwards."""
+        """Log the start or the end of a fault with the time."""
         with (self.field.folder / NOTES).open('a') as notes:
             print(f'{time.time():.2f} {what} {fault}: {target}', file=notes)
 
     def heal_due(self, now: float) -> None:
-        """Heal the faults whose time is over."""
+        """Revert the faults whose duration is over.
+
+        :param now: monotonic time in seconds, infinite to revert all
+            faults without applying any again
+        """
         while self._heals and self._heals[0][0] <= now:
             ended = heapq.heappop(self._heals)[2]
             ended.heal()
@@ -120,7 +129,7 @@
                 self._apply_again(ended)
 
     def _apply_again(self, ended: _Running) -> None:
-        """Apply a fault anew where it was; a restart is awaited first."""
+        """Queue a fault for its target when the target has been released."""
 
         def wait() -> None:
             free = processes.wait_for(
@@ -141,7 +150,11 @@
             self.field.wanted = ''
 
     def check_processes(self) -> None:
-        """Take note of processes that ended on their own."""
+        """Detect processes that exited without a fault.
+
+        An engine that a prompt crashed is restarted; any other exit is
+        reported as wrong.
+        """
         for process in self.field.running.started.values():
             if process.is_running or not self.field.take_name(process.name):
                 continue
@@ -162,7 +175,7 @@
             self.combined['two at once'] += applied and second
 
     def run(self, seconds: float) -> None:
-        """Apply random faults for so long, then heal them all."""
+        """Apply random faults for some seconds, then revert all faults."""
         rng = self.field.rng
         end = time.monotonic() + seconds
         while (now := time.monotonic()) < end:
@@ -185,12 +198,15 @@
 
 
 def _wait_recovered(driver: Driver) -> list[str]:
-    """Wait until everything serves again, and tell how long it took."""
+    """Wait until all daemons serve again and print the time it took.
+
+    :returns: problems of the recovery
+    """
     field = driver.field
     begin = time.monotonic()
 
     def has_ended() -> bool:
-        # A prompt that was sent before the end may still crash one.
+        # Prompts that were sent before the end may still crash engines.
         driver.check_processes()
         return not field.taken
 
@@ -224,7 +240,7 @@
 def run(
     running: deployment.Deployment, seed: int, seconds: float
 ) -> list[str]:
-    """Put load and faults on a deployment; return broken promises."""
+    """Run load and faults on a deployment and return the violations."""
     runs = records.Records()
     *teams, poison_team = running.keys
     watch = watching.Watch(running)
@@ -236,7 +252,7 @@
     try:
         driver.run(seconds)
     except BaseException:
-        # All processes are stopped next, and none may come back.
+        # All processes are stopped next, so faults must not restart any.
         field.close()
         raise
     wrong = _wait_recovered(driver)
@@ -244,7 +260,7 @@
     waiting = requests.stop(_SETTLE_SECONDS)
     if waiting:
         wrong.append(f'{waiting} requests had no answer in time')
-    # What crashed or ended after the last fault counts too.
+    # Include processes that crashed or exited after the last fault.
     driver.check_processes()
     field.join(_SETTLE_SECONDS)
     _collect_runs(running, runs)
--- a/packages/trials/src/dunlintide_trials/stagelosses.py
+++ b/packages/trials/src/dunlintide_trials/stagelosses.py
@@ -1,8 +1,9 @@
-"""Deaths of a stage under streams, measured at the callers.
+"""Effect of the loss of a stage on the streams through it.
 
-A round opens streams through all entries, kills the agent or the engine
-of one middle stage once each has its tokens, and looks at the streams
-that ran over it. The engines' records tell what ran again.
+A round opens streams through all entries, kills the agent or the engine of
+one middle stage when each stream has some tokens, and measures the gap in
+the streams through that stage. The records of the engines show which steps
+were recomputed.
 """
 
 from concurrent import futures
@@ -27,12 +28,12 @@
 
 AGENT = 'agent'
 ENGINE = 'engine'
-# So many that no entry comes to the end of its ten retries.
+# With fewer entries one of them would use up its ten initial retries.
 ENTRIES = 8
 STREAMS = 16
 TOKENS_BEFORE = 64
 TOKENS = 160
-# Three stages make 24 ms a token, close to the aim of 26 ms.
+# Three stages take 24 ms per token, close to the target of 26 ms.
 STEP_SECONDS = 0.008
 _WAIT_SECONDS = 60.0
 _EXAMPLE = launcher.EXAMPLE
@@ -40,13 +41,14 @@
 
 @attrs.frozen
 class Loss:
-    """What the death of one stage did to the streams over it.
-
-    :ivar seconds: from the kill to the next token, for each stream
-    :ivar again: layer-steps that ran beyond what one run takes, likewise
-    :ivar wrong: streams whose answer was not whole and right
-    :ivar kept: bytes of activations that a head kept for a stream
-    :ivar denied: retries that the entries' budgets did not cover
+    """Effect of the loss of a stage on the streams through it.
+
+    :ivar seconds: time from the kill to the next token of each stream
+    :ivar again: layer steps of each stream beyond those of a single run
+    :ivar wrong: number of streams with an incomplete or wrong response
+    :ivar kept: mean bytes of activations for a stream at each agent that
+        kept some
+    :ivar denied: retries that the retry budgets of the entries denied
     """
 
     seconds: list[float]
@@ -56,7 +58,10 @@
     denied: int = 0
 
     def tell_percentile(self, part: float) -> float:
-        """Return a percentile of the seconds, 0 to 1."""
+        """Return a percentile of the seconds.
+
+        :param part: percentile as a fraction
+        """
         if len(self.seconds) < 2:
             return statistics.fmean(self.seconds)
         cuts = statistics.quantiles(self.seconds, n=100, method='inclusive')
@@ -64,7 +69,7 @@
 
 
 def join(losses: Iterable[Loss]) -> Loss:
-    """Put the streams of several rounds together."""
+    """Combine the losses of several rounds."""
     losses = list(losses)
     return Loss(
         [second for loss in losses for second in loss.seconds],
@@ -77,9 +82,9 @@
 
 @contextlib.contextmanager
 def run(recovery: str) -> Iterator[deployment.Deployment]:
-    """Start three stages of two engines each, and entries.
+    """Start a deployment of three stages with two engines each.
 
-    :param recovery: the entries' setting of that name
+    :param recovery: the ``recovery`` setting of the entries
     """
     blueprint = blueprints.shrink(blueprints.load_blueprint(_EXAMPLE))
     pipeline = blueprint.pipelines[0]
@@ -94,7 +99,7 @@
     )
     rules = operators.load_rules(_EXAMPLE.parent / blueprint.rules)
     for rule in rules['rules']:
-        # A new entry has but a small share of a team's limit.
+        # A new entry has only a small share of a team's limit.
         rule['then'].pop('concurrency', None)
     with tempfile.TemporaryDirectory(prefix='dunlintide-') as folder:
         path = pathlib.Path(folder)
@@ -104,7 +109,7 @@
 
 
 def _make_prompt(name: str, number: int, words: int) -> str:
-    # The first word keeps the streams from sharing a prefix.
+    # A unique first word prevents that streams share a prefix.
     return ' '.join([f'{name}-{number}'] + ['special'] * (words - 1))
 
 
@@ -128,13 +133,16 @@
         return len(found - old) >= STREAMS
 
     if not processes.wait_for(have, _WAIT_SECONDS, pause=0.005):
-        raise RuntimeError('the streams did not get their tokens')
+        raise RuntimeError(
+            f'fewer than {STREAMS} streams reached {positions} positions '
+            f'within {_WAIT_SECONDS:.0f} s'
+        )
 
 
 def _tell_delay(answer: client.Answer, killed: float) -> float:
-    """Return the seconds from the kill to the token behind the gap.
+    """Return the seconds from the kill to the token after the longest gap.
 
-    A token that was past the stage may still come after the kill.
+    The first token after the kill may have passed the stage before it.
     """
     gaps = [
         (after - before, after)
@@ -154,7 +162,7 @@
 
 
 def _read_kept(running: deployment.Deployment) -> list[float]:
-    """Read the mean bytes of a session at each agent that keeps some."""
+    """Read the mean activation bytes per session of each agent with any."""
     found = []
     for agent in running.plan.agents:
         if agent.endpoint.kind == ENGINE:
@@ -174,7 +182,12 @@
 def _read_runs(
     running: deployment.Deployment, engine: str, over: list[dict] | None
 ) -> list[dict]:
-    """Read all records; those of a dead engine were read before."""
+    """Read the runs of all engines.
+
+    :param engine: engine that may have been killed
+    :param over: runs of that engine from before the kill, None when it
+        still runs
+    """
     if over is None:
         return running.read_runs(ENGINE)
     names = [
@@ -192,10 +205,12 @@
 def lose_stage(
     running: deployment.Deployment, kind: str, name: str, words: int
 ) -> Loss:
-    """Kill one middle stage under streams, and start it again after.
+    """Kill the agent or engine of one middle stage during streams.
+
+    The killed process is restarted at the end.
 
-    :param kind: what is killed, ``AGENT`` or ``ENGINE``
-    :param name: begins each prompt, so it must be new
+    :param kind: process to kill, ``AGENT`` or ``ENGINE``
+    :param name: unique start of each prompt
     :param words: tokens of each prompt
     """
     teams = list(running.keys)
--- a/packages/trials/src/dunlintide_trials/stages.py
+++ b/packages/trials/src/dunlintide_trials/stages.py
@@ -1,12 +1,16 @@
-"""A small event model of stages, links and entries, for planning.
-
-It is no cluster simulator. Assumptions: decoding only, one token in
-flight for each session; a stage runs what waits, up to a fixed batch, in
-a step whose duration has a fixed part and one by token; a link between
-two failure domains is one channel for each layer boundary and direction,
-which serialises and then delays; entries see load reports late; memory
-never limits; requests come from a fixed number of callers that ask again
-when answered, or by Poisson arrivals, or both.
+"""Small event model of stages, links and entries for routing policies.
+
+Assumptions of the model:
+
+- Sessions only decode, with one token in flight for each session.
+- A stage runs the waiting tokens, up to a fixed batch size, in a step
+  whose duration has a fixed part and a part per token.
+- A link between two failure domains is one channel for each layer boundary
+  and direction, which serialises and then delays.
+- Entries get load reports late.
+- Memory is never a limit.
+- Requests come from a fixed number of callers, which send the next request
+  when one is answered, from Poisson arrivals, or from both.
 """
 
 import collections
@@ -31,18 +35,22 @@
 REPORT_SECONDS = 0.5
 REPORT_LAG_SECONDS = 0.5
 SESSION_TOKENS = (16, 96)
-# Mean token interval of a session is told to its entry this often.
+# Tokens of a session between two reports of their mean interval.
 TOKENS_PER_OBSERVATION = 8
 TICK_SECONDS = 0.5
 
 
 @attrs.define(eq=False)
 class Session:
-    """One caller's running request.
-
-    :ivar again: whether the caller asks again when answered
-    :ivar left: tokens to come
-    :ivar observed: when the last mean interval was told, in seconds
+    """A running request.
+
+    :ivar entry: entry that routed it
+    :ivar chain: chain that it runs on
+    :ivar again: whether its caller sends the next request at its end
+    :ivar left: remaining tokens
+    :ivar observed: time of the last report of its token interval in
+        seconds
+    :ivar stage: index in the chain of the stage that runs it
     """
 
     entry: 'Entry'
@@ -55,13 +63,15 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """Callbacks of one entry's policy; all take the time last.
-
-    :ivar choose: gives the chain of a new session
-    :ivar begin: hears of its start, and ``end`` of its end
-    :ivar report: hears an agent's late load report
-    :ivar tokens: hears a session's mean token interval
-    :ivar tick: runs each half second
+    """Callbacks of the routing policy of one entry.
+
+    :ivar choose: returns the chain of a new session at a time
+    :ivar begin: called with the chain of a session that starts
+    :ivar end: called with the chain of a session that ends
+    :ivar report: called with an agent, its load report and the time
+    :ivar tokens: called with a chain, the mean token interval of a session
+        on it in seconds and the time
+    :ivar tick: called with the time every ``TICK_SECONDS``
     """
 
     choose: Callable[[float], plans.Chain]
@@ -78,7 +88,7 @@
 
 @attrs.define(eq=False)
 class _Stage:
-    """An endpoint that batches what waits for it."""
+    """An endpoint that runs waiting tokens in batches."""
 
     capacity: float
     speed: float = 1.0
@@ -123,12 +133,15 @@
         arrivals: float = 0.0,
         tells_queue: bool = False,
     ) -> None:
-        """Set the sessions up; ``run`` begins.
-
-        :param sessions: number of callers that ask again when answered
-        :param arrivals: further requests a second, by Poisson arrivals
-        :param tells_queue: whether reports show work that waits; without
-            it, as with agents whose engines queue, steps must tell
+        """Schedule the first events, which ``run`` processes.
+
+        :param sessions: number of callers that send the next request when
+            one is answered
+        :param arrivals: additional requests per second with Poisson
+            arrivals
+        :param tells_queue: whether load reports include queued work;
+            without it a policy has to infer queues from step times, as with
+            engines that queue internally
         """
         self.now = 0.0
         self.done: list[float] = []
@@ -159,7 +172,7 @@
         self.now = until
 
     def rate(self, start: float, end: float) -> float:
-        """Give the tokens/s that callers got between two times."""
+        """Return the tokens/s that callers got between two times."""
         count = sum(start <= when < end for when in self.done)
         return count / (end - start)
 
--- a/packages/trials/src/dunlintide_trials/steady.py
+++ b/packages/trials/src/dunlintide_trials/steady.py
@@ -1,4 +1,4 @@
-"""A steady load of completions, with the time of each."""
+"""Constant load of completions with the duration of each request."""
 
 import statistics
 import threading
@@ -17,10 +17,12 @@
 
 @attrs.frozen
 class Sample:
-    """One request.
+    """Times and outcome of one request.
 
-    :ivar started: monotonic time in seconds
-    :ivar code: why it is not complete, empty when it is
+    :ivar started: monotonic time of the request in seconds
+    :ivar ended: monotonic time of the end of the response in seconds
+    :ivar outcome: see ``client.Answer``
+    :ivar code: error code, empty for a complete response
     """
 
     started: float
@@ -30,17 +32,20 @@
 
     @property
     def seconds(self) -> float:
-        """How long it took."""
+        """Duration of the request in seconds."""
         return self.ended - self.started
 
     @property
     def is_complete(self) -> bool:
-        """Whether its whole answer came."""
+        """Whether the response arrived complete."""
         return self.outcome == outcomes.Outcome.COMPLETE
 
 
 class SteadyLoad:
-    """Threads that each ask again as soon as they have an answer."""
+    """Threads that each send the next request when one is answered.
+
+    :ivar samples: finished requests
+    """
 
     def __init__(
         self,
@@ -49,9 +54,11 @@
         threads: int,
         max_tokens: int,
     ) -> None:
-        """Prepare the threads; ``start`` begins.
+        """Prepare the threads, which ``start`` starts.
 
-        :param entries: numbers of the entries that are asked
+        :param entries: numbers of the entries that get requests
+        :param threads: number of concurrent requests
+        :param max_tokens: tokens that each request generates
         """
         self.samples: list[Sample] = []
         self._max_tokens = max_tokens
@@ -89,20 +96,23 @@
         caller.close()
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Ask nothing new and wait for the answers."""
+        """Stop sending and wait for outstanding responses."""
         self._stopped.set()
         for thread in self._threads:
             thread.join(_JOIN_SECONDS)
 
     def find_disturbed(self, moment: float, slowness: float) -> list[Sample]:
-        """List what failed, or was slow, and ended after a moment.
+        """List the requests after a moment that failed or were slow.
 
-        :param slowness: times the median of those before the moment
+        :param moment: monotonic time in seconds; requests that ended later
+            are checked
+        :param slowness: requests are slow at this multiple of the median
+            duration before the moment
         """
         usual = statistics.median(
             one.seconds for one in self.samples if one.ended < moment
--- a/packages/trials/src/dunlintide_trials/streams.py
+++ b/packages/trials/src/dunlintide_trials/streams.py
@@ -1,7 +1,7 @@
-"""Many streams at the pace of real tokens through one real entry.
+"""Many concurrent streams through one real entry at a realistic token rate.
 
-The entry, its agents and the callers are three processes, so that the
-entry's CPU time and memory are its own.
+The entry, its agents and the callers run in three processes, so that the
+CPU time and memory of the entry can be measured separately.
 """
 
 import contextlib
@@ -36,7 +36,7 @@
 ]
 
 STEP_SECONDS = 0.026
-# As many links as would carry an entry's streams in a large deployment.
+# Links that carry the streams of an entry in a large deployment.
 AGENTS = 16
 THREADS = 256
 WARMUP_SECONDS = 0.8
@@ -52,11 +52,12 @@
 
 @attrs.frozen
 class Usage:
-    """What a server spent on streams.
+    """Resources that a server used for streams.
 
-    :ivar cpu_token: CPU time for one token, in microseconds
+    :ivar cpu_token: CPU time per token in microseconds
     :ivar resident: resident memory in MB while all streams ran
-    :ivar complete: streams that ended whole
+    :ivar threads: number of threads of the server
+    :ivar complete: number of streams that completed
     """
 
     cpu_token: float
@@ -66,7 +67,7 @@
 
 
 class _Agent:
-    """An agent whose endpoint makes a token for each session at a step."""
+    """An agent that sends one token to each session per step."""
 
     def __init__(self, number: int) -> None:
         self.name = f'agent-{number}'
@@ -137,7 +138,7 @@
 
 
 class _Writer:
-    """No request of the load is bound to an executor."""
+    """Claim writer without a store; no request of the load has a key."""
 
     def bind(self, wanted: claims.Binding, timeout: float):
         return result.Err('no store')
@@ -153,7 +154,7 @@
 
 
 def _make_key(number: int) -> str:
-    # A stream each, as one team may not take all of an entry's threads.
+    # One team per stream, as a team must not use all threads of an entry.
     return f'bench-{number}'
 
 
@@ -199,13 +200,16 @@
         deadline = time.monotonic() + _START_SECONDS
         while len(entry.describe()['fleet']['agents']) < len(addresses):
             if time.monotonic() > deadline:
-                raise TimeoutError('agents were not reached')
+                raise TimeoutError(
+                    f'entry did not reach {len(addresses)} agents within '
+                    f'{_START_SECONDS:.0f} s'
+                )
             time.sleep(0.01)
         yield entry.port
 
 
 def _stream_toy(environ, start_response) -> Iterator[bytes]:
-    """Stream the same events without any router's code."""
+    """Stream the same events without code of the router."""
     size = int(environ['CONTENT_LENGTH'])
     asked = json.loads(environ['wsgi.input'].read(size))
     head = json.dumps({'id': 'cmpl-toy', 'object': 'text_completion'})
@@ -259,7 +263,12 @@
 
 
 class _Callers:
-    """Callers that only count what they get."""
+    """Callers that count events without parsing them.
+
+    :ivar events: number of events received
+    :ivar complete: number of streams with an end marker
+    :ivar open: number of streams that have not ended
+    """
 
     def __init__(self, port: int, count: int, tokens: int) -> None:
         self.events = 0
@@ -274,14 +283,15 @@
             self._selector.register(caller, selectors.EVENT_READ)
 
     def read(self, until: float) -> None:
-        """Read until a moment, or until all streams have ended."""
+        """Read until a monotonic time or the end of all streams."""
         while self.open and (left := until - time.monotonic()) > 0:
             for key, _ in self._selector.select(left):
                 self._take(key.fileobj)
 
     def _take(self, caller: socket.socket) -> None:
         data = caller.recv(1 << 16)
-        # An event may be split, but its mark seldom is; all have one size.
+        # A marker that is split between two reads is not counted, which is
+        # rare enough to be ignored.
         self.events += data.count(_EVENT)
         self.complete += data.count(b'[DONE]')
         if not data:
@@ -305,10 +315,10 @@
 
 
 def run_entry(count: int, seconds: float) -> Usage:
-    """Stream through an entry and measure it.
+    """Measure an entry under concurrent streams.
 
-    :param count: streams at once
-    :param seconds: time that is measured
+    :param count: number of concurrent streams
+    :param seconds: duration of the measurement
     """
     with (
         pairs.start(_host_agents) as agents,
@@ -318,6 +328,9 @@
 
 
 def run_toy(count: int, seconds: float) -> Usage:
-    """Stream the same from a program that does nothing else."""
+    """Measure a minimal WSGI application under the same streams.
+
+    The parameters are those of ``run_entry``.
+    """
     with pairs.start(_host_server, _serve_toy, []) as toy:
         return _measure(toy, count, seconds)
--- a/packages/trials/src/dunlintide_trials/summary.py
+++ b/packages/trials/src/dunlintide_trials/summary.py
@@ -1,4 +1,4 @@
-"""What a soak prints at its end."""
+"""Summary that a soak prints at its end."""
 
 import collections
 import json
@@ -14,14 +14,14 @@
 
 
 def print_counts(title: str, counts: Mapping[str, int]) -> None:
-    """Print a total and what it is made of."""
+    """Print a total and its parts by name."""
     print(f'{title}: {sum(counts.values())}')
     for name, count in sorted(counts.items()):
         print(f'  {count:6d} {name}')
 
 
 def print_load(requests: load.Load) -> None:
-    """Print requests by kind and outcome."""
+    """Print the requests by kind and outcome."""
     print_counts('requests', requests.count_outcomes())
     quiet, span = requests.count_quiet_seconds()
     print(f'seconds without a whole completion: {quiet} of {span}')
@@ -39,7 +39,7 @@
 
 
 def print_field(field: fields.Field, requests: load.Load) -> None:
-    """Print what the faults met and what the records hold."""
+    """Print the findings of the faults and totals of the records."""
     print_counts('races of operators', collections.Counter(field.notes))
     crashes = collections.Counter(collections.Counter(field.crashes).values())
     told = {f'with {crashed}': count for crashed, count in crashes.items()}
--- a/packages/trials/src/dunlintide_trials/topology.py
+++ b/packages/trials/src/dunlintide_trials/topology.py
@@ -8,7 +8,7 @@
 
 
 def describe(running: deployment.Deployment) -> dict[str, Any]:
-    """Describe the deployment for programs that drive it."""
+    """Describe the deployment as JSON data with URLs, keys and pids."""
     pids = {name: one.pid for name, one in running.started.items()}
     store = running.plan.store
     return {
--- a/packages/trials/src/dunlintide_trials/watching.py
+++ b/packages/trials/src/dunlintide_trials/watching.py
@@ -1,4 +1,4 @@
-"""Watches the revisions that daemons show during a soak."""
+"""Monitor of the configuration revisions of daemons during a soak."""
 
 import threading
 from typing import Any
@@ -15,10 +15,12 @@
 
 
 def read_revision(state: dict[str, Any]) -> int:
-    """Read which configuration a daemon's state says is in force.
+    """Return the configuration revision in a daemon's state dump.
 
-    Entries act on it; agents only hold and pass it on.
-    :param state: what ``/debug/state`` gave
+    Entries apply the configuration; agents only store and forward it, so
+    their dump has it in another place.
+
+    :param state: state dump of ``/debug/state``
     """
     held = state.get('configuration') or state.get('state') or {}
     return held.get('revision') or 0
@@ -26,12 +28,14 @@
 
 @attrs.define(eq=False)
 class Watch:
-    """A thread that reads the state of every daemon again and again.
+    """Thread that polls the revisions of all daemons.
+
+    A daemon without a configuration, as after its start, shows revision 0.
 
-    One that has no configuration yet, as after its start, shows 0.
+    :ivar running: the deployment
     :ivar highest: highest revision that each daemon has shown
-    :ivar wrong: daemons that showed a lower one than before
-    :ivar looks: number of states read
+    :ivar wrong: daemons whose revision went back
+    :ivar looks: number of states that were read
     """
 
     running: deployment.Deployment
@@ -42,17 +46,17 @@
     _thread: threading.Thread = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin to watch."""
+        """Start the thread."""
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop the thread."""
         self._stopped.set()
         self._thread.join()
 
     def note(self, name: str, revision: int) -> None:
-        """Take note of a revision that a daemon shows."""
+        """Record a revision that a daemon shows."""
         self.looks += 1
         highest = self.highest.get(name, 0)
         if 0 < revision < highest:
@@ -68,5 +72,5 @@
                 try:
                     state = pool.request('GET', url).json()
                 except urllib3.exceptions.HTTPError:
-                    continue  # It is paused, dead or starting.
+                    continue  # The daemon is paused, dead or starting.
                 self.note(daemon.name, read_revision(state))
