--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -14,11 +14,11 @@
 from dunlintide_core import outcomes
 from dunlintide_standins.engine import server as engine
 from dunlintide_trials import client
-from dunlintide_trials import field
+from dunlintide_trials import faultcontext
 from dunlintide_trials import load
 from dunlintide_trials import promises
 from dunlintide_trials import records
-from dunlintide_trials import watching
+from dunlintide_trials import revisionmonitor
 
 MODEL = 'copy-7b'
 LAYERS = 6
@@ -162,11 +162,11 @@
 
 @behave.when('an entry shows revisions {shown}')
 def show_revisions(context, shown):
-    watch = watching.Watch(mock.Mock())
+    watch = revisionmonitor.RevisionMonitor(mock.Mock())
     watch.stop()
     for revision in shown.split(', '):
-        watch.note('entry-0', int(revision))
-    context.wrong = watch.wrong
+        watch.record('entry-0', int(revision))
+    context.wrong = watch.violations
 
 
 @behave.when('an engine crashes by a prompt')
@@ -185,7 +185,7 @@
                 body = {'steps': [step]}
                 urllib3.request('POST', url, json=body, retries=False)
         assert crashed.wait(WAIT_SECONDS)
-    context.left = field.find_left_records(printed.getvalue())
+    context.left = faultcontext.find_crash_records(printed.getvalue())
 
 
 @behave.then('its record of runs is found in what it printed')
--- a/packages/trials/src/dunlintide_trials/cases/idle_links.py
+++ b/packages/trials/src/dunlintide_trials/cases/idle_links.py
@@ -14,8 +14,8 @@
 from dunlintide_adapters import linkserver
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_daemon.agent import reports
+from dunlintide_trials import childprocesses
 from dunlintide_trials import figures
-from dunlintide_trials import pairs
 
 __all__ = ['CASES', 'GROUP', 'Usage', 'measure']
 
@@ -57,7 +57,7 @@
     """Act as an agent that accepts links and reports its load on them."""
     handlers = links.Handlers(_ignore, _ignore, _ignore)
     hello = link_pb2.Hello(name='agent', role='agent', incarnation=1)
-    transport = pairs.open_transport(folder, 'agent', 'agent')
+    transport = childprocesses.open_transport(folder, 'agent', 'agent')
     server = linkserver.LinkServer(
         '127.0.0.1:0', lambda: hello, handlers, transport=transport
     )
@@ -79,7 +79,7 @@
     up = threading.Semaphore(0)
     handlers = links.Handlers(lambda link: up.release(), _ignore, _ignore)
     hello = link_pb2.Hello(name='entry', role='entry', incarnation=1)
-    transport = pairs.open_transport(folder, 'entry', 'entry')
+    transport = childprocesses.open_transport(folder, 'entry', 'entry')
     dialers = [
         links.Dialer(
             f'127.0.0.1:{port}',
@@ -114,8 +114,10 @@
     :param running: requests that the accepting side reports as running
     """
     with (
-        pairs.start(_accept, folder, running) as accepting,
-        pairs.start(_dial, accepting.first, count, folder) as dialling,
+        childprocesses.start(_accept, folder, running) as accepting,
+        childprocesses.start(
+            _dial, accepting.first, count, folder
+        ) as dialling,
     ):
         both = [dialling, accepting]
         time.sleep(_SETTLE_SECONDS)
--- a/packages/trials/src/dunlintide_trials/cases/plan.py
+++ b/packages/trials/src/dunlintide_trials/cases/plan.py
@@ -10,7 +10,7 @@
 from dunlintide_core import plan as plans
 from dunlintide_core import selection
 from dunlintide_trials import figures
-from dunlintide_trials import mixes
+from dunlintide_trials import randomfleets
 
 __all__ = ['CASES']
 
@@ -25,11 +25,11 @@
 REPLAN_GUARD_MILLISECONDS = 1_000.0
 
 
-def _draw() -> mixes.Mix:
-    return mixes.draw(1, LAYERS, KINDS_EACH, DOMAINS)
+def _draw() -> randomfleets.Mix:
+    return randomfleets.draw(1, LAYERS, KINDS_EACH, DOMAINS)
 
 
-def _make_chooser(mix: mixes.Mix) -> selection.Chooser:
+def _make_chooser(mix: randomfleets.Mix) -> selection.Chooser:
     chooser = selection.Chooser()
     plan = plans.make_plan(mix.stops, mix.layers, mix.links)
     chooser.adopt(plan, mix.stops, mix.layers)
--- a/packages/trials/src/dunlintide_trials/cases/throughput.py
+++ b/packages/trials/src/dunlintide_trials/cases/throughput.py
@@ -16,7 +16,7 @@
 
 from dunlintide_core import plan as plans
 from dunlintide_trials import figures
-from dunlintide_trials import mixes
+from dunlintide_trials import randomfleets
 from dunlintide_trials import routing
 from dunlintide_trials import saturation
 from dunlintide_trials import stages
@@ -50,33 +50,39 @@
 _MEAN_TOKENS = sum(stages.SESSION_TOKENS) / 2
 _MODEL = 'event model, worst of 6 fleets'
 
-_Policy = Callable[[mixes.Mix, plans.Plan, int], stages.Entry]
+_Policy = Callable[[randomfleets.Mix, plans.Plan, int], stages.Entry]
 
 
-def _route(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
+def _route(mix: randomfleets.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
     return routing.Router(mix.stops, mix.layers, mix.links, seed).entry()
 
 
 def _route_unlearnt(
-    mix: mixes.Mix, plan: plans.Plan, seed: int
+    mix: randomfleets.Mix, plan: plans.Plan, seed: int
 ) -> stages.Entry:
     router = routing.Router(mix.stops, mix.layers, mix.links, seed, False)
     return router.entry()
 
 
-def _take_turns(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
+def _take_turns(
+    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+) -> stages.Entry:
     return routing.make_round_robin(mix.stops, mix.layers)
 
 
-def _take_least(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
+def _take_least(
+    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+) -> stages.Entry:
     return routing.make_least_outstanding(mix.stops, mix.layers, seed)
 
 
-def _take_shares(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
+def _take_shares(
+    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+) -> stages.Entry:
     return routing.make_shares_only(plan, seed)
 
 
-def _plan(mix: mixes.Mix) -> plans.Plan:
+def _plan(mix: randomfleets.Mix) -> plans.Plan:
     return plans.make_plan(mix.stops, mix.layers, mix.links)
 
 
@@ -89,7 +95,7 @@
 
 
 def _build(
-    mix: mixes.Mix, plan: plans.Plan, policy: _Policy, opened: bool
+    mix: randomfleets.Mix, plan: plans.Plan, policy: _Policy, opened: bool
 ) -> stages.Model:
     entries = [policy(mix, plan, seed) for seed in range(ENTRIES)]
     sessions = 0 if opened else _count_sessions(plan)
@@ -105,7 +111,7 @@
 
 
 def _reach(policy: _Policy, seed: int) -> float:
-    mix = mixes.draw(seed)
+    mix = randomfleets.draw(seed)
     plan = _plan(mix)
     model = _build(mix, plan, policy, opened=False)
     end = WARM_UP_SECONDS + WINDOW_SECONDS
@@ -221,7 +227,7 @@
     return max(carried, key=carried.get)
 
 
-def _slow_stop(mix: mixes.Mix, model: stages.Model) -> plans.Plan:
+def _slow_stop(mix: randomfleets.Mix, model: stages.Model) -> plans.Plan:
     agent = _busiest_stop(_plan(mix))
     model.stages[agent].speed = 1.0 / SLOWDOWN
     stops = [
@@ -235,7 +241,7 @@
     return plans.make_plan(stops, mix.layers, mix.links)
 
 
-def _slow_link(mix: mixes.Mix, model: stages.Model) -> plans.Plan:
+def _slow_link(mix: randomfleets.Mix, model: stages.Model) -> plans.Plan:
     pair = _busiest_link(_plan(mix))
     model.slowdowns[pair] = SLOWDOWN
     usual = mix.links.domains[pair]
@@ -248,11 +254,11 @@
 
 def _react(
     policy: _Policy,
-    slow: Callable[[mixes.Mix, stages.Model], plans.Plan],
+    slow: Callable[[randomfleets.Mix, stages.Model], plans.Plan],
     opened: bool,
     seed: int,
 ) -> float:
-    mix = mixes.draw(seed)
+    mix = randomfleets.draw(seed)
     model = _build(mix, _plan(mix), policy, opened)
     model.run(WARM_UP_SECONDS)
     degraded = slow(mix, model)
--- a/packages/trials/src/dunlintide_trials/cases/tls.py
+++ b/packages/trials/src/dunlintide_trials/cases/tls.py
@@ -22,8 +22,8 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_trials import authority
 from dunlintide_trials.cases import idle_links
+from dunlintide_trials import childprocesses
 from dunlintide_trials import figures
-from dunlintide_trials import pairs
 
 __all__ = ['CASES']
 
@@ -75,7 +75,7 @@
         f'{_HOST}:0',
         lambda: hello,
         handlers,
-        transport=pairs.open_transport(folder, 'agent', 'agent'),
+        transport=childprocesses.open_transport(folder, 'agent', 'agent'),
     )
     with linkserver.serve(server):
         pipe.send(server.port)
@@ -110,7 +110,7 @@
         lambda: hello,
         handlers,
         batch_bytes=1,
-        transport=pairs.open_transport(folder, 'agent', 'other'),
+        transport=childprocesses.open_transport(folder, 'agent', 'other'),
         role='agent',
     )
     dialer.start()
@@ -124,8 +124,8 @@
 
 def _measure_steps(size: int, folder: str | None) -> _Cost:
     with (
-        pairs.start(_answer, folder) as near,
-        pairs.start(_ask, near.first, size, folder) as far,
+        childprocesses.start(_answer, folder) as near,
+        childprocesses.start(_ask, near.first, size, folder) as far,
     ):
         time.sleep(_SETTLE_SECONDS)
         begin, count = time.monotonic(), near.ask()
@@ -235,7 +235,7 @@
         context = ssl.create_default_context(
             cafile=f'{folder}/entry.authorities.pem'
         )
-    with pairs.start(_serve_callers, folder) as server:
+    with childprocesses.start(_serve_callers, folder) as server:
         begin = server.read_time()
         for _ in range(_CONNECTIONS):
             with contextlib.closing(_connect(server.first, context)) as caller:
--- a/packages/trials/src/dunlintide_trials/demo.py
+++ b/packages/trials/src/dunlintide_trials/demo.py
@@ -14,11 +14,11 @@
 import time
 
 from dunlintide_trials import blueprints
+from dunlintide_trials import demosteps
 from dunlintide_trials import deployment
 from dunlintide_trials import launcher
 from dunlintide_trials import operators
 from dunlintide_trials import processes
-from dunlintide_trials import scenes
 from dunlintide_trials import signals
 from dunlintide_trials import topology
 
@@ -53,7 +53,7 @@
     draft = path.with_suffix('.part')
     draft.write_text(json.dumps(topology.describe(running), indent=2))
     draft.rename(path)
-    scenes.print_commands(running)
+    demosteps.print_commands(running)
     print(f'\nRunning until Ctrl-C; addresses and keys are in {path}.')
     sys.stdout.flush()
     signals.wait_for_signal()
@@ -72,12 +72,12 @@
         folder = _make_folder(stack, options.keep)
         begin = time.monotonic()
         running = stack.enter_context(launcher.run(blueprint, rules, folder))
-        scenes.print_start(running, time.monotonic() - begin)
+        demosteps.print_start(running, time.monotonic() - begin)
         if options.keep:
             _keep_running(running)
             return 0
-        wrong = scenes.play(running)
-    scenes.print_end(running, wrong, time.monotonic() - begin)
+        wrong = demosteps.play(running)
+    demosteps.print_end(running, wrong, time.monotonic() - begin)
     return EXIT_WRONG if wrong else 0
 
 
--- a/packages/trials/src/dunlintide_trials/edge/faults.py
+++ b/packages/trials/src/dunlintide_trials/edge/faults.py
@@ -10,7 +10,7 @@
 from typing import Callable
 
 from dunlintide_standins.fleet import operators
-from dunlintide_trials.edge import field as fields
+from dunlintide_trials.edge import soakscene as fields
 
 __all__ = ['FAULTS']
 
--- a/packages/trials/src/dunlintide_trials/edge/promises.py
+++ b/packages/trials/src/dunlintide_trials/edge/promises.py
@@ -3,7 +3,7 @@
 from typing import Iterator
 
 from dunlintide_standins.fleet import operators
-from dunlintide_trials.edge import field as fields
+from dunlintide_trials.edge import soakscene as fields
 from dunlintide_trials.edge import windows
 
 __all__ = ['list_broken']
--- a/packages/trials/src/dunlintide_trials/edge/soak.py
+++ b/packages/trials/src/dunlintide_trials/edge/soak.py
@@ -16,8 +16,8 @@
 from typing import Sequence
 
 from dunlintide_trials.edge import faults
-from dunlintide_trials.edge import field as fields
 from dunlintide_trials.edge import promises
+from dunlintide_trials.edge import soakscene as fields
 from dunlintide_trials import ports
 
 __all__ = ['main', 'run']
--- a/packages/trials/src/dunlintide_trials/fleetfaults.py
+++ b/packages/trials/src/dunlintide_trials/fleetfaults.py
@@ -10,29 +10,29 @@
 
 from dunlintide_standins import relay as relays
 from dunlintide_trials import deployment
+from dunlintide_trials import faultcontext
 from dunlintide_trials import faults
-from dunlintide_trials import field as fields
 from dunlintide_trials import plans
 from dunlintide_trials import processes
 
 __all__ = ['FAULTS', 'SECONDS']
 
-Field = fields.Field
-Heal = fields.Heal
+FaultContext = faultcontext.FaultContext
+Heal = faultcontext.Heal
 
 _ENDPOINTS = (deployment.ENGINE, deployment.SERVICE)
 # Longer than the failure detection timeout between peers.
-_APART_SECONDS = (6.0, 15.0)
+_PARTITION_SECONDS = (6.0, 15.0)
 _LAG_SECONDS = (0.5, 5.0)
-_REPLACED = 3
-_HOSTS = 'hosts.json'
+_AFFECTED_HOSTS = 3
+_HOSTS_FILE = 'hosts.json'
 _LIVE = 'live'
 _LEAVING = 'leaving'
 
 
-def _list_domain(field: Field, domain: str) -> list[str]:
+def _list_domain(context: FaultContext, domain: str) -> list[str]:
     """List the names of a failure domain's daemons and endpoints."""
-    plan = field.running.plan
+    plan = context.running.plan
     names = [one.name for one in plan.daemons if one.failure_domain == domain]
     return names + [
         agent.endpoint.standin.name
@@ -41,83 +41,87 @@
     ]
 
 
-def _take_domain(field: Field) -> tuple[str, list[processes.Process]] | None:
+def _reserve_domain(
+    context: FaultContext,
+) -> tuple[str, list[processes.Process]] | None:
     """Reserve a failure domain and its processes that are not in a fault."""
-    domains = field.running.plan.blueprint.failure_domains
+    domains = context.running.plan.blueprint.failure_domains
     names = {f'failure domain {domain}': domain for domain in domains}
     # Only one of the three failure domains may be lost at a time.
-    if not field.take_name('failure domains'):
+    if not context.reserve_name('failure domains'):
         return None
-    chosen = field.take_one(list(names))
-    started = field.running.started
+    chosen = context.reserve_any(list(names))
+    started = context.running.started
     found = [
         started[name]
-        for name in _list_domain(field, names[chosen])
-        if started[name].is_running and field.take_name(name)
+        for name in _list_domain(context, names[chosen])
+        if started[name].is_running and context.reserve_name(name)
     ]
-    field.last = chosen
+    context.last_target = chosen
     return chosen, found
 
 
-def _release_domain(field: Field, chosen: str) -> None:
-    field.release(chosen)
-    field.release('failure domains')
+def _release_domain(context: FaultContext, chosen: str) -> None:
+    context.release(chosen)
+    context.release('failure domains')
 
 
-def kill_domain(field: Field) -> Heal | None:
+def kill_domain(context: FaultContext) -> Heal | None:
     """Kill all processes of a failure domain and restart them."""
-    taken = _take_domain(field)
-    if taken is None:
+    stalled = _reserve_domain(context)
+    if stalled is None:
         return None
-    chosen, lost = taken
+    chosen, affected = stalled
     # Endpoints are killed last because reading their records takes time.
-    for process in lost:
+    for process in affected:
         if process.role not in _ENDPOINTS:
             process.kill()
-    for process in lost:
+    for process in affected:
         if process.role in _ENDPOINTS:
-            field.kill_endpoint(process)
+            context.kill_endpoint(process)
 
     def heal() -> None:
-        for process in lost:
-            field.restart(process)
-        _release_domain(field, chosen)
+        for process in affected:
+            context.restart(process)
+        _release_domain(context, chosen)
 
     return heal
 
 
-def freeze_domain(field: Field) -> Heal | None:
+def freeze_domain(context: FaultContext) -> Heal | None:
     """Suspend all processes of a failure domain for longer than a lease."""
-    taken = _take_domain(field)
-    if taken is None:
+    stalled = _reserve_domain(context)
+    if stalled is None:
         return None
-    chosen, lost = taken
-    for process in lost:
+    chosen, affected = stalled
+    for process in affected:
         process.pause()
 
     def heal() -> None:
-        for process in lost:
+        for process in affected:
             process.resume()
-            field.release(process.name)
-        _release_domain(field, chosen)
+            context.release(process.name)
+        _release_domain(context, chosen)
 
     return heal
 
 
-def replace_hosts(field: Field) -> Heal | None:
+def replace_hosts(context: FaultContext) -> Heal | None:
     """Stop several daemons gracefully and restart them."""
     stops = [faults.stop_agent, faults.stop_entry]
-    stops += [faults.stop_agent] * (_REPLACED - len(stops))
-    return _apply_all(field, stops)
+    stops += [faults.stop_agent] * (_AFFECTED_HOSTS - len(stops))
+    return _inject_all(context, stops)
 
 
-def lose_hosts(field: Field) -> Heal | None:
+def lose_hosts(context: FaultContext) -> Heal | None:
     """Kill several agents at once and restart them."""
-    return _apply_all(field, [faults.kill_agent] * _REPLACED)
+    return _inject_all(context, [faults.kill_agent] * _AFFECTED_HOSTS)
 
 
-def _apply_all(field: Field, some: list[fields.Fault]) -> Heal | None:
-    heals = [heal for fault in some if (heal := fault(field))]
+def _inject_all(
+    context: FaultContext, chosen: list[faultcontext.Fault]
+) -> Heal | None:
+    heals = [heal for fault in chosen if (heal := fault(context))]
     if not heals:
         return None
 
@@ -128,82 +132,84 @@
     return heal_all
 
 
-def _hold_relays(field: Field, wanted: Callable[..., bool]) -> Heal | None:
+def _stall_relays(
+    context: FaultContext, matches: Callable[..., bool]
+) -> Heal | None:
     """Stall matching relays for existing and for new connections.
 
-    :param wanted: predicate of a relay's hop and daemon
+    :param matches: predicate of a relay's hop and daemon
     """
-    taken = []
-    for (hop, daemon), relay in field.running.relays.items():
+    stalled = []
+    for (hop, daemon), relay in context.running.relays.items():
         name = f'{hop} {daemon}'
-        if wanted(hop, daemon) and field.take_name(name):
+        if matches(hop, daemon) and context.reserve_name(name):
             relay.stall(relays.Direction.BOTH, new=True)
-            taken.append((name, relay))
-    if not taken:
+            stalled.append((name, relay))
+    if not stalled:
         return None
 
     def heal() -> None:
-        for name, relay in taken:
+        for name, relay in stalled:
             relay.resume()
-            field.release(name)
+            context.release(name)
 
     return heal
 
 
-def part_domain(field: Field) -> Heal | None:
+def part_domain(context: FaultContext) -> Heal | None:
     """Partition the agents of a failure domain from all peers."""
-    domain = field.rng.choice(field.running.plan.blueprint.failure_domains)
-    names = set(_list_domain(field, domain))
+    domain = context.rng.choice(context.running.plan.blueprint.failure_domains)
+    names = set(_list_domain(context, domain))
     hops = (plans.Hop.ENTRY_AGENT, plans.Hop.AGENT_AGENT)
-    return _hold_relays(
-        field, lambda hop, daemon: hop in hops and daemon in names
+    return _stall_relays(
+        context, lambda hop, daemon: hop in hops and daemon in names
     )
 
 
-def part_store(field: Field) -> Heal | None:
+def part_store(context: FaultContext) -> Heal | None:
     """Partition all entries but one from the store."""
-    entries = [entry.name for entry in field.running.plan.entries]
-    cut_off = set(field.rng.sample(entries, len(entries) - 1))
-    return _hold_relays(
-        field,
+    entries = [entry.name for entry in context.running.plan.entries]
+    cut_off = set(context.rng.sample(entries, len(entries) - 1))
+    return _stall_relays(
+        context,
         lambda hop, daemon: (
             hop is plans.Hop.ENTRY_STORE and daemon in cut_off
         ),
     )
 
 
-def call_leaving(field: Field) -> Heal | None:
+def call_leaving(context: FaultContext) -> Heal | None:
     """Make the host list report some live agents as leaving, with a lag."""
-    listed = json.loads((field.folder / _HOSTS).read_text())['hosts']
+    listed = json.loads((context.folder / _HOSTS_FILE).read_text())['hosts']
     agents = [host['name'] for host in listed if host['role'] == 'agent']
-    chosen = set(field.rng.sample(agents, _REPLACED))
+    chosen = set(context.rng.sample(agents, _AFFECTED_HOSTS))
     changed = [
         host | {'state': _LEAVING if host['name'] in chosen else _LIVE}
         for host in listed
     ]
-    lag = field.rng.uniform(*_LAG_SECONDS)
-    return field.control(
-        field.running.plan.host_list.name,
+    lag = context.rng.uniform(*_LAG_SECONDS)
+    return context.control(
+        context.running.plan.host_list.name,
         {'hosts': changed, 'lag_seconds': lag},
         {'hosts': listed, 'lag_seconds': 0.0},
     )
 
 
-def fail_host_list(field: Field) -> Heal | None:
+def fail_host_list(context: FaultContext) -> Heal | None:
     """Make the host list close connections without a response."""
-    return field.control(
-        field.running.plan.host_list.name, {'down': True}, {'down': False}
+    return context.control(
+        context.running.plan.host_list.name, {'down': True}, {'down': False}
     )
 
 
-def hang_host_list(field: Field) -> Heal | None:
+def hang_host_list(context: FaultContext) -> Heal | None:
     """Make the host list accept requests and never respond."""
-    return field.control(
-        field.running.plan.host_list.name, {'hang': True}, {'hang': False}
+    return context.control(
+        context.running.plan.host_list.name, {'hang': True}, {'hang': False}
     )
 
 
-FAULTS: tuple[fields.Fault, ...] = (
+FAULTS: tuple[faultcontext.Fault, ...] = (
     kill_domain,
     freeze_domain,
     replace_hosts,
@@ -214,8 +220,8 @@
     fail_host_list,
     hang_host_list,
 )
-SECONDS: dict[fields.Fault, tuple[float, float]] = {
-    freeze_domain: _APART_SECONDS,
-    part_domain: _APART_SECONDS,
-    part_store: _APART_SECONDS,
+SECONDS: dict[faultcontext.Fault, tuple[float, float]] = {
+    freeze_domain: _PARTITION_SECONDS,
+    part_domain: _PARTITION_SECONDS,
+    part_store: _PARTITION_SECONDS,
 }
--- a/packages/trials/src/dunlintide_trials/load.py
+++ b/packages/trials/src/dunlintide_trials/load.py
@@ -275,7 +275,7 @@
         asked += [c.key for c in self.calls if c.key for _ in c.answers]
         return len(set(asked)), len(asked) - len(set(asked))
 
-    def count_quiet_seconds(self) -> tuple[int, int]:
+    def count_failing_seconds(self) -> tuple[int, int]:
         """Count the seconds in which no completion succeeded.
 
         :returns: these seconds, and the seconds from the first response to
--- a/packages/trials/src/dunlintide_trials/watching.py
+++ b/packages/trials/src/dunlintide_trials/revisionmonitor.py
@@ -8,10 +8,10 @@
 
 from dunlintide_trials import deployment
 
-__all__ = ['Watch', 'read_revision']
+__all__ = ['RevisionMonitor', 'read_revision']
 
-_PAUSE_SECONDS = 0.3
-_ANSWER_SECONDS = 1.0
+_POLL_SECONDS = 0.3
+_TIMEOUT_SECONDS = 1.0
 
 
 def read_revision(state: dict[str, Any]) -> int:
@@ -27,21 +27,21 @@
 
 
 @attrs.define(eq=False)
-class Watch:
+class RevisionMonitor:
     """Thread that polls the revisions of all daemons.
 
     A daemon without a configuration, as after its start, shows revision 0.
 
     :ivar running: the deployment
     :ivar highest: highest revision that each daemon has shown
-    :ivar wrong: daemons whose revision went back
-    :ivar looks: number of states that were read
+    :ivar violations: daemons whose revision went back
+    :ivar reads: number of states that were read
     """
 
     running: deployment.Deployment
     highest: dict[str, int] = attrs.field(factory=dict)
-    wrong: list[str] = attrs.field(factory=list)
-    looks: int = 0
+    violations: list[str] = attrs.field(factory=list)
+    reads: int = 0
     _stopped: threading.Event = attrs.field(factory=threading.Event)
     _thread: threading.Thread = attrs.field(init=False)
 
@@ -55,22 +55,22 @@
         self._stopped.set()
         self._thread.join()
 
-    def note(self, name: str, revision: int) -> None:
+    def record(self, name: str, revision: int) -> None:
         """Record a revision that a daemon shows."""
-        self.looks += 1
+        self.reads += 1
         highest = self.highest.get(name, 0)
         if 0 < revision < highest:
-            self.wrong.append(f'{name} went from {highest} to {revision}')
+            self.violations.append(f'{name} went from {highest} to {revision}')
         self.highest[name] = max(highest, revision)
 
     def _run(self) -> None:
-        pool = urllib3.PoolManager(retries=False, timeout=_ANSWER_SECONDS)
+        pool = urllib3.PoolManager(retries=False, timeout=_TIMEOUT_SECONDS)
         daemons = self.running.plan.daemons
-        while not self._stopped.wait(_PAUSE_SECONDS):
+        while not self._stopped.wait(_POLL_SECONDS):
             for daemon in daemons:
                 url = f'{daemon.admin_url}/debug/state'
                 try:
                     state = pool.request('GET', url).json()
                 except urllib3.exceptions.HTTPError:
                     continue  # The daemon is paused, dead or starting.
-                self.note(daemon.name, read_revision(state))
+                self.record(daemon.name, read_revision(state))
--- a/packages/trials/src/dunlintide_trials/soak.py
+++ b/packages/trials/src/dunlintide_trials/soak.py
@@ -19,20 +19,20 @@
 
 from dunlintide_trials import blueprints
 from dunlintide_trials import deployment
+from dunlintide_trials import faultcontext
 from dunlintide_trials import faults
-from dunlintide_trials import field as fields
 from dunlintide_trials import fleetfaults
 from dunlintide_trials import launcher
 from dunlintide_trials import linkfaults
 from dunlintide_trials import load
 from dunlintide_trials import operators
-from dunlintide_trials import people
 from dunlintide_trials import processes
 from dunlintide_trials import promises
 from dunlintide_trials import records
+from dunlintide_trials import revisionmonitor
 from dunlintide_trials import signals
 from dunlintide_trials import summary
-from dunlintide_trials import watching
+from dunlintide_trials import userfaults
 
 __all__ = ['Driver', 'main', 'run']
 
@@ -40,26 +40,26 @@
 EXAMPLE = pathlib.Path('examples/cooperative.jsonc')
 EXIT_BROKEN = 1
 # Log of the start and the end of each fault, in the work folder.
-NOTES = 'faults.txt'
+FAULT_LOG = 'faults.txt'
 # Maximum seconds from the end of the faults until all daemons serve.
 RECOVERY_SECONDS = 60.0
-_GAP_SECONDS = (0.2, 2.0)
+_FAULT_GAP_SECONDS = (0.2, 2.0)
 _FAULT_SECONDS = (0.5, 5.0)
 _POLL_SECONDS = 0.05
 _SETTLE_SECONDS = 60.0
-_PAIR_RATE = 0.2
-_TWICE_RATE = 0.15
+_PAIR_PROBABILITY = 0.2
+_REPEAT_PROBABILITY = 0.15
 _FAULTS = (
     *faults.FAULTS,
     *fleetfaults.FAULTS,
     *linkfaults.FAULTS,
-    *people.FAULTS,
+    *userfaults.FAULTS,
 )
-_LASTING = faults.SECONDS | fleetfaults.SECONDS | linkfaults.SECONDS
+_DURATIONS = faults.SECONDS | fleetfaults.SECONDS | linkfaults.SECONDS
 
 
 @attrs.frozen(order=False)
-class _Running:
+class _ActiveFault:
     """An active fault.
 
     :ivar fault: function that injected the fault
@@ -68,8 +68,8 @@
     :ivar again: whether to apply the fault to the target a second time
     """
 
-    fault: fields.Fault
-    heal: fields.Heal
+    fault: faultcontext.Fault
+    heal: faultcontext.Heal
     target: str
     again: bool
 
@@ -78,41 +78,41 @@
 class Driver:
     """Applies random faults and reverts them after their duration.
 
-    :ivar field: state that the faults share
+    :ivar context: state that the faults share
     :ivar counts: number of applied faults by name
     :ivar combined: number of simultaneous and of repeated faults
     """
 
-    field: fields.Field
+    context: faultcontext.FaultContext
     counts: collections.Counter[str] = attrs.field(factory=collections.Counter)
     combined: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
-    _heals: list[tuple[float, int, _Running]] = attrs.field(factory=list)
-    _number: itertools.count = attrs.field(factory=itertools.count)
-    _seconds: list[_Running] = attrs.field(factory=list)
+    _active: list[tuple[float, int, _ActiveFault]] = attrs.field(factory=list)
+    _sequence: itertools.count = attrs.field(factory=itertools.count)
+    _due_repeats: list[_ActiveFault] = attrs.field(factory=list)
 
-    def apply(self, fault: fields.Fault, again: bool) -> bool:
+    def apply(self, fault: faultcontext.Fault, again: bool) -> bool:
         """Apply a fault and schedule its end.
 
         :param again: whether to apply the fault to the same target again
             after its end
         :returns: whether the fault had a target
         """
-        heal = fault(self.field)
+        heal = fault(self.context)
         if heal is None:
             return False
         self.counts[fault.__name__] += 1
-        self._note('begins', fault.__name__, self.field.last)
-        least, most = _LASTING.get(fault, _FAULT_SECONDS)
-        due = time.monotonic() + self.field.rng.uniform(least, most)
-        running = _Running(fault, heal, self.field.last, again)
-        heapq.heappush(self._heals, (due, next(self._number), running))
+        self._log('begins', fault.__name__, self.context.last_target)
+        shortest, longest = _DURATIONS.get(fault, _FAULT_SECONDS)
+        due = time.monotonic() + self.context.rng.uniform(shortest, longest)
+        running = _ActiveFault(fault, heal, self.context.last_target, again)
+        heapq.heappush(self._active, (due, next(self._sequence), running))
         return True
 
-    def _note(self, what: str, fault: str, target: str) -> None:
+    def _log(self, what: str, fault: str, target: str) -> None:
         """Log the start or the end of a fault with the time."""
-        with (self.field.folder / NOTES).open('a') as notes:
+        with (self.context.folder / FAULT_LOG).open('a') as notes:
             print(f'{time.time():.2f} {what} {fault}: {target}', file=notes)
 
     def heal_due(self, now: float) -> None:
@@ -121,33 +121,34 @@
         :param now: monotonic time in seconds, infinite to revert all
             faults without applying any again
         """
-        while self._heals and self._heals[0][0] <= now:
-            ended = heapq.heappop(self._heals)[2]
+        while self._active and self._active[0][0] <= now:
+            ended = heapq.heappop(self._active)[2]
             ended.heal()
-            self._note('ends', ended.fault.__name__, ended.target)
+            self._log('ends', ended.fault.__name__, ended.target)
             if ended.again and now != float('inf'):
-                self._apply_again(ended)
+                self._schedule_repeat(ended)
 
-    def _apply_again(self, ended: _Running) -> None:
+    def _schedule_repeat(self, ended: _ActiveFault) -> None:
         """Queue a fault for its target when the target has been released."""
 
         def wait() -> None:
             free = processes.wait_for(
-                lambda: ended.target not in self.field.taken, _SETTLE_SECONDS
+                lambda: ended.target not in self.context.reserved,
+                _SETTLE_SECONDS,
             )
             if free:
-                self._seconds.append(ended)
+                self._due_repeats.append(ended)
 
-        self.field.work(wait)
+        self.context.run_in_background(wait)
 
-    def _apply_seconds(self) -> None:
-        while self._seconds:
-            ended = self._seconds.pop()
-            self.field.wanted = ended.target
+    def _apply_repeats(self) -> None:
+        while self._due_repeats:
+            ended = self._due_repeats.pop()
+            self.context.next_target = ended.target
             done = self.apply(ended.fault, again=False)
-            if done and self.field.last == ended.target:
+            if done and self.context.last_target == ended.target:
                 self.combined['twice in a row on one target'] += 1
-            self.field.wanted = ''
+            self.context.next_target = ''
 
     def check_processes(self) -> None:
         """Detect processes that exited without a fault.
@@ -155,35 +156,37 @@
         An engine that a prompt crashed is restarted; any other exit is
         reported as wrong.
         """
-        for process in self.field.running.started.values():
-            if process.is_running or not self.field.take_name(process.name):
+        for process in self.context.running.started.values():
+            if process.is_running or not self.context.reserve_name(
+                process.name
+            ):
                 continue
-            if self.field.take_crash(process):
+            if self.context.handle_crash(process):
                 continue
             tail = process.read_log().splitlines()[-1:]
-            self.field.wrong.append(
+            self.context.violations.append(
                 f'{process.name} ended on its own with '
                 f'{process.exit_code}: {tail}'
             )
 
-    def _apply_some(self) -> None:
-        rng = self.field.rng
-        again = rng.random() < _TWICE_RATE
+    def _apply_random(self) -> None:
+        rng = self.context.rng
+        again = rng.random() < _REPEAT_PROBABILITY
         applied = self.apply(rng.choice(_FAULTS), again)
-        if rng.random() < _PAIR_RATE:
+        if rng.random() < _PAIR_PROBABILITY:
             second = self.apply(rng.choice(_FAULTS), False)
             self.combined['two at once'] += applied and second
 
     def run(self, seconds: float) -> None:
         """Apply random faults for some seconds, then revert all faults."""
-        rng = self.field.rng
+        rng = self.context.rng
         end = time.monotonic() + seconds
         while (now := time.monotonic()) < end:
-            self._apply_some()
-            pause_end = now + rng.uniform(*_GAP_SECONDS)
+            self._apply_random()
+            pause_end = now + rng.uniform(*_FAULT_GAP_SECONDS)
             while (now := time.monotonic()) < min(pause_end, end):
                 self.heal_due(now)
-                self._apply_seconds()
+                self._apply_repeats()
                 self.check_processes()
                 time.sleep(_POLL_SECONDS)
         self.heal_due(float('inf'))
@@ -202,18 +205,18 @@
 
     :returns: problems of the recovery
     """
-    field = driver.field
+    context = driver.context
     begin = time.monotonic()
 
     def has_ended() -> bool:
         # Prompts that were sent before the end may still crash engines.
         driver.check_processes()
-        return not field.taken
+        return not context.reserved
 
     processes.wait_for(has_ended, RECOVERY_SECONDS)
     try:
-        field.running.wait_all_ready()
-        wrong = promises.check_recovered(field.running)
+        context.running.wait_all_ready()
+        wrong = promises.check_recovered(context.running)
     except processes.StartError as error:
         wrong = [f'no recovery: {error}']
     seconds = time.monotonic() - begin
@@ -223,18 +226,18 @@
     return wrong
 
 
-def _check_revisions(field: fields.Field) -> list[str]:
+def _check_revisions(context: faultcontext.FaultContext) -> list[str]:
     def find_wrong() -> list[str]:
         shown = {
-            one.name: watching.read_revision(
-                field.running.read_state(one.name)
+            one.name: revisionmonitor.read_revision(
+                context.running.read_state(one.name)
             )
-            for one in field.running.plan.daemons
+            for one in context.running.plan.daemons
         }
-        return promises.check_revisions(shown, field.accepted)
+        return promises.check_revisions(shown, context.accepted)
 
     processes.wait_for(lambda: not find_wrong(), RECOVERY_SECONDS, pause=0.2)
-    return find_wrong() + field.watch.wrong
+    return find_wrong() + context.monitor.violations
 
 
 def run(
@@ -243,36 +246,38 @@
     """Run load and faults on a deployment and return the violations."""
     runs = records.Records()
     *teams, poison_team = running.keys
-    watch = watching.Watch(running)
+    monitor = revisionmonitor.RevisionMonitor(running)
     rng = random.Random(seed)
-    field = fields.Field(running, runs, rng, poison_team, watch)
-    driver = Driver(field)
+    context = faultcontext.FaultContext(
+        running, runs, rng, poison_team, monitor
+    )
+    driver = Driver(context)
     requests = load.Load(running, teams, seed, THREADS)
     requests.start()
     try:
         driver.run(seconds)
     except BaseException:
         # All processes are stopped next, so faults must not restart any.
-        field.close()
+        context.close()
         raise
     wrong = _wait_recovered(driver)
-    field.join(_SETTLE_SECONDS)
+    context.join(_SETTLE_SECONDS)
     waiting = requests.stop(_SETTLE_SECONDS)
     if waiting:
         wrong.append(f'{waiting} requests had no answer in time')
     # Include processes that crashed or exited after the last fault.
     driver.check_processes()
-    field.join(_SETTLE_SECONDS)
+    context.join(_SETTLE_SECONDS)
     _collect_runs(running, runs)
     wrong += promises.check(running, requests, runs)
-    wrong += promises.check_crashes(field.crashes, people.MAX_CRASHES)
-    wrong += _check_revisions(field)
-    watch.stop()
+    wrong += promises.check_crashes(context.crashes, userfaults.MAX_CRASHES)
+    wrong += _check_revisions(context)
+    monitor.stop()
     summary.print_load(requests)
     summary.print_counts('faults', driver.counts)
     summary.print_counts('faults that were combined', driver.combined)
-    summary.print_field(field, requests)
-    return wrong + field.wrong
+    summary.print_findings(context, requests)
+    return wrong + context.violations
 
 
 def _parse(arguments: list[str]) -> argparse.Namespace:
--- a/packages/trials/src/dunlintide_trials/streams.py
+++ b/packages/trials/src/dunlintide_trials/streams.py
@@ -26,7 +26,7 @@
 from dunlintide_core import settings
 from dunlintide_daemon.entry import role
 from dunlintide_daemon.entry import sources
-from dunlintide_trials import pairs
+from dunlintide_trials import childprocesses
 
 __all__ = [
     'STEP_SECONDS',
@@ -300,7 +300,9 @@
             self.open -= 1
 
 
-def _measure(server: pairs.Started, count: int, seconds: float) -> Usage:
+def _measure(
+    server: childprocesses.Started, count: int, seconds: float
+) -> Usage:
     tokens = int((WARMUP_SECONDS * 2 + seconds) / STEP_SECONDS)
     process = server.process
     callers = _Callers(server.first, count, tokens)
@@ -321,8 +323,10 @@
     :param seconds: duration of the measurement
     """
     with (
-        pairs.start(_host_agents) as agents,
-        pairs.start(_host_server, _serve_entry, agents.first) as entry,
+        childprocesses.start(_host_agents) as agents,
+        childprocesses.start(
+            _host_server, _serve_entry, agents.first
+        ) as entry,
     ):
         return _measure(entry, count, seconds)
 
@@ -332,5 +336,5 @@
 
     The parameters are those of ``run_entry``.
     """
-    with pairs.start(_host_server, _serve_toy, []) as toy:
+    with childprocesses.start(_host_server, _serve_toy, []) as toy:
         return _measure(toy, count, seconds)
--- a/packages/trials/src/dunlintide_trials/summary.py
+++ b/packages/trials/src/dunlintide_trials/summary.py
@@ -5,10 +5,10 @@
 import pathlib
 from typing import Mapping
 
-from dunlintide_trials import field as fields
+from dunlintide_trials import faultcontext
 from dunlintide_trials import load
 
-__all__ = ['count_exceptions', 'print_counts', 'print_field', 'print_load']
+__all__ = ['count_exceptions', 'print_counts', 'print_findings', 'print_load']
 
 _EXCEPTION = '"exc_info"'
 
@@ -23,7 +23,7 @@
 def print_load(requests: load.Load) -> None:
     """Print the requests by kind and outcome."""
     print_counts('requests', requests.count_outcomes())
-    quiet, span = requests.count_quiet_seconds()
+    quiet, span = requests.count_failing_seconds()
     print(f'seconds without a whole completion: {quiet} of {span}')
 
 
@@ -38,19 +38,25 @@
     return counts
 
 
-def print_field(field: fields.Field, requests: load.Load) -> None:
+def print_findings(
+    context: faultcontext.FaultContext, requests: load.Load
+) -> None:
     """Print the findings of the faults and totals of the records."""
-    print_counts('races of operators', collections.Counter(field.notes))
-    crashes = collections.Counter(collections.Counter(field.crashes).values())
-    told = {f'with {crashed}': count for crashed, count in crashes.items()}
-    print_counts('prompts by the engines that they crashed', told)
+    print_counts('races of operators', collections.Counter(context.notes))
+    crashes = collections.Counter(
+        collections.Counter(context.crashes).values()
+    )
+    by_engines = {
+        f'with {crashed}': count for crashed, count in crashes.items()
+    }
+    print_counts('prompts by the engines that they crashed', by_engines)
     answers = collections.Counter(
-        f'{one.outcome} ({one.code})' for one in field.poisoned
+        f'{one.outcome} ({one.code})' for one in context.poison_answers
     )
     print_counts('requests that crash engines', answers)
     keys, repeats = requests.count_keyed()
-    ran = len(field.runs.count_by_key())
+    ran = len(context.runs.count_by_key())
     print(f'non-idempotent: {keys} asked, {ran} ran, {repeats} repeats')
-    print(f'states of daemons read: {field.watch.looks}')
-    print(f'records lost with an endpoint: {field.lost_lives}')
-    print_counts('exceptions logged', count_exceptions(field.folder))
+    print(f'states of daemons read: {context.monitor.reads}')
+    print(f'records lost with an endpoint: {context.unread_endpoints}')
+    print_counts('exceptions logged', count_exceptions(context.folder))
