--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -279,12 +279,12 @@
 
 @behave.when('all memory is taken')
 def take_all(context):
-    context.load.fill()
+    context.load.fill_caches()
 
 
 @behave.when('one domain after the other holds what the next one lacks')
-def scatter(context):
-    context.load.scatter()
+def fragment(context):
+    context.load.fragment()
 
 
 def count_lines(work):
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -55,7 +55,7 @@
     net = network.Network(seed)
     for peer in network.make_peers(count // 3, count - count // 3, domains):
         net.add(peer, [])
-    net.introduce()
+    net.share_membership()
     net.run(5)
     return net
 
@@ -94,7 +94,7 @@
     elif action in ('cut', 'heal'):
         for each in net.hosts.values():
             inside = each.peer.failure_domain == host.peer.failure_domain
-            each.cut = int(action == 'cut' and inside)
+            each.partition = int(action == 'cut' and inside)
     elif action == 'restart':
         net.restart(host)
     elif action == 'stop':
@@ -123,10 +123,10 @@
             _act(net, action, number, saved)
             net.run(seconds)
             hosts += [h for h in net.hosts.values() if h not in hosts]
-            assert all(host.lowered == 0 for host in hosts)
+            assert all(host.rollbacks == 0 for host in hosts)
         net.store.up = True
         for host in list(net.hosts.values()):
-            host.cut = 0
+            host.partition = 0
             if not host.up:
                 net.resume(host)
         net.run(30)
@@ -204,7 +204,7 @@
         context.new.peer, name='lonely', address='10.9.9.9:1', incarnation=9
     )
     host = context.net.add(peer, [context.new.peer.address])
-    host.cut = 7
+    host.partition = 7
     context.net.run(30)
     assert 'no configuration' in host.replica.explain_unready()
 
@@ -274,12 +274,12 @@
 @behave.when('a failure domain is cut off for {seconds:d} seconds')
 def cut_domain(context, seconds):
     for host in context.net.hosts.values():
-        host.cut = int(host.peer.failure_domain == 'domain-1')
+        host.partition = int(host.peer.failure_domain == 'domain-1')
     context.net.run(seconds)
     inside = context.net.hosts['entry-1'].replica.members
     assert inside.get('entry-0').state is records.State.SUSPECT
     for host in context.net.hosts.values():
-        host.cut = 0
+        host.partition = 0
 
 
 @behave.then('nobody was declared dead')
@@ -312,13 +312,13 @@
     net = context.net
     context.subject = net.hosts['entry-1']
     for host in net.hosts.values():
-        host.cut = int(host.peer.failure_domain == 'domain-1')
+        host.partition = int(host.peer.failure_domain == 'domain-1')
     net.run(60)
     context.subject.replica.members.announce_leaving(net.now)
     net.run(5)
     context.subject.up = False
     for host in net.hosts.values():
-        host.cut = 0
+        host.partition = 0
 
 
 @behave.then('all hold it leaving within {seconds:d} seconds')
@@ -389,12 +389,14 @@
 )
 def cut_half(context, seconds):
     for host in context.net.hosts.values():
-        host.cut = int(host.peer.failure_domain in ('domain-0', 'domain-1'))
+        host.partition = int(
+            host.peer.failure_domain in ('domain-0', 'domain-1')
+        )
     context.net.run(seconds)
     inside = context.net.hosts['entry-0'].replica.members
     assert inside.get('entry-2').state is records.State.SUSPECT
     for host in context.net.hosts.values():
-        host.cut = 0
+        host.partition = 0
 
 
 @behave.when('{count:d} processes are replaced, one in {pause:d} seconds')
@@ -410,4 +412,4 @@
 def check_never_lower(context, revision):
     for host in context.net.hosts.values():
         assert host.replica.configuration.revision == revision, host.peer.name
-        assert host.lowered == 0, host.peer.name
+        assert host.rollbacks == 0, host.peer.name
--- a/features/steps/outcomes_faults.py
+++ b/features/steps/outcomes_faults.py
@@ -281,7 +281,7 @@
         answer = stream.wait()
         answered.append((answer.outcome, answer.code))
         if stream in context.streams:
-            asked = records.Asked(
+            asked = records.SentRequest(
                 scene.team, answer, stream.prompt, stream.max_tokens
             )
             wrong = records.check_text(
--- a/features/steps/outcomes_scene.py
+++ b/features/steps/outcomes_scene.py
@@ -268,7 +268,7 @@
     def check_stream(self, stream):
         answer = stream.wait()
         assert answer.is_complete, (answer.outcome, answer.error)
-        asked = records.Asked(
+        asked = records.SentRequest(
             stream.team, answer, stream.prompt, stream.max_tokens
         )
         wrong = records.check_text(
--- a/features/steps/permitload.py
+++ b/features/steps/permitload.py
@@ -110,7 +110,9 @@
     def count_most(self):
         """Count the requests of the fullest window."""
         since = windows.STABLE_SECONDS
-        return windows.count_most(at for at, _ in self.sent if at >= since)
+        return windows.count_max_requests(
+            at for at, _ in self.sent if at >= since
+        )
 
     def measure_use(self):
         """Tell which part of the limit was used, once it was stable."""
@@ -150,7 +152,7 @@
 @behave.then('no window holds more than the limit allows')
 def check_windows(context):
     for seed, network in enumerate(context.networks):
-        allowed = windows.count_allowed(network.limit)
+        allowed = windows.compute_max_requests(network.limit)
         most = network.count_most()
         assert most <= allowed, f'seed {seed}: {most} of {allowed}'
 
--- a/features/steps/placement_orders.py
+++ b/features/steps/placement_orders.py
@@ -285,7 +285,7 @@
 def stop_leader(context):
     context.running.started[context.leader].pause()
     context.stack.callback(context.running.started[context.leader].resume)
-    trial.lose_range(context.running)
+    trial.kill_range(context.running)
 
 
 def read_orders(context):
@@ -302,7 +302,7 @@
 @behave.then('another entry leads and restores the range by one order')
 def check_restored(context):
     running, old = context.running, context.leader
-    wait_until(lambda: trial.find_leader(running, avoid=old) is not None)
+    wait_until(lambda: trial.find_leader(running, skipped=old) is not None)
     wait_until(lambda: read_orders(context))
     (order,) = read_orders(context)
     assert (order['layer_start'], order['layer_end']) == (8, 16)
--- a/features/steps/poison.py
+++ b/features/steps/poison.py
@@ -258,7 +258,7 @@
         name = others[number % len(others)]
         prompt = f'Friday specials of screen {number}'
         answer = ask(context, number % entries, name, prompt, STREAM_TOKENS)
-        asked = records.Asked(name, answer, prompt, STREAM_TOKENS)
+        asked = records.SentRequest(name, answer, prompt, STREAM_TOKENS)
         context.asked.append(asked)
 
     threads = [
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -39,7 +39,7 @@
 
 def _add_completion(context, name, text, outcome=COMPLETE):
     answer = _answer(name, outcome, text)
-    asked = records.Asked('diner', answer, f'prompt {name}', TOKENS)
+    asked = records.SentRequest('diner', answer, f'prompt {name}', TOKENS)
     context.requests.completions.append(asked)
 
 
@@ -73,7 +73,9 @@
 
 def _add_keyed(context, name, *epochs):
     answer = _answer(name, text=_write(f'prompt {name}'))
-    asked = records.Asked('diner', answer, f'prompt {name}', TOKENS, name)
+    asked = records.SentRequest(
+        'diner', answer, f'prompt {name}', TOKENS, name
+    )
     context.requests.completions.append(asked)
     for epoch in epochs:
         _add_run(context, name, name, layer_start=0, epoch=epoch)
@@ -138,8 +140,8 @@
 
 @behave.when('the promises are checked')
 def check_promises(context):
-    runs = records.Records()
-    runs.keep('endpoint', context.kept)
+    runs = records.RunRecords()
+    runs.replace_runs('endpoint', context.kept)
     running = mock.Mock(model=MODEL, layers=LAYERS)
     context.wrong = promises.check(running, context.requests, runs)
 
--- a/features/steps/ratelimits.py
+++ b/features/steps/ratelimits.py
@@ -72,9 +72,9 @@
 def check_limit(context, kind):
     assert context.answers
     since = context.named_at + windows.STABLE_SECONDS
-    allowed = windows.count_allowed(context.limit)
+    allowed = windows.compute_max_requests(context.limit)
     counts = [
-        windows.count_most(at for at in runner.arrivals if at >= since)
+        windows.count_max_requests(at for at in runner.arrivals if at >= since)
         for runner in _list_runners(context, kind)
     ]
     assert max(counts) <= allowed, f'{counts} in a window, {allowed} allowed'
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -427,7 +427,7 @@
     running = context.running
     for answer, prompt in zip(context.answers, context.prompts):
         assert answer.is_complete, (answer.outcome, answer.error)
-        asked = records.Asked('', answer, prompt, context.total)
+        asked = records.SentRequest('', answer, prompt, context.total)
         wrong = records.check_text(
             asked, model=running.model, layers=running.layers
         )
--- a/packages/trials/src/dunlintide_trials/authority.py
+++ b/packages/trials/src/dunlintide_trials/authority.py
@@ -18,7 +18,7 @@
 ]
 
 DOMAIN = 'dunlintide.internal'
-_LIFE = datetime.timedelta(days=2)
+_LIFETIME = datetime.timedelta(days=2)
 _LOOPBACK = ipaddress.ip_address('127.0.0.1')
 
 
@@ -43,7 +43,7 @@
     def __init__(self, name: str = 'trial authority') -> None:
         self._name = _make_name(name)
         self._key = ec.generate_private_key(ec.SECP256R1())
-        issued = self._build(self._name, self._key, _LIFE).add_extension(
+        issued = self._build(self._name, self._key, _LIFETIME).add_extension(
             x509.BasicConstraints(ca=True, path_length=None), critical=True
         )
         self.certificate = self._sign(issued)
@@ -52,7 +52,7 @@
         self,
         subject: x509.Name,
         key: ec.EllipticCurvePrivateKey,
-        life: datetime.timedelta,
+        lifetime: datetime.timedelta,
     ) -> x509.CertificateBuilder:
         now = datetime.datetime.now(datetime.timezone.utc)
         return (
@@ -61,8 +61,8 @@
             .issuer_name(self._name)
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
-            .not_valid_before(now - _LIFE)
-            .not_valid_after(now + life)
+            .not_valid_before(now - _LIFETIME)
+            .not_valid_after(now + lifetime)
         )
 
     def _sign(self, built: x509.CertificateBuilder) -> bytes:
@@ -70,19 +70,21 @@
         return signed.public_bytes(serialization.Encoding.PEM)
 
     def issue(
-        self, role: str, name: str, life: datetime.timedelta = _LIFE
+        self, role: str, name: str, lifetime: datetime.timedelta = _LIFETIME
     ) -> tuple[bytes, bytes]:
         """Issue a certificate for a process name and for 127.0.0.1.
 
-        :param life: time until it expires, negative for an expired one
+        :param lifetime: time until it expires, negative for an expired one
         :returns: certificate and key in PEM
         """
         identity = identities.Identity(role, name)
         names = identities.list_names(identity, DOMAIN)
-        shown = [x509.DNSName(one) for one in names]
+        dns_names = [x509.DNSName(one) for one in names]
         key = ec.generate_private_key(ec.SECP256R1())
-        built = self._build(_make_name(name), key, life).add_extension(
-            x509.SubjectAlternativeName([*shown, x509.IPAddress(_LOOPBACK)]),
+        built = self._build(_make_name(name), key, lifetime).add_extension(
+            x509.SubjectAlternativeName(
+                [*dns_names, x509.IPAddress(_LOOPBACK)]
+            ),
             critical=False,
         )
         return self._sign(built), _encode_key(key)
@@ -92,21 +94,21 @@
         folder: pathlib.Path,
         role: str,
         name: str,
-        life: datetime.timedelta = _LIFE,
+        lifetime: datetime.timedelta = _LIFETIME,
     ) -> dict[str, str]:
         """Issue a certificate and write its files, replacing existing ones.
 
         :returns: the ``tls`` part of the settings of that process
         """
-        certificate, key = self.issue(role, name, life)
+        certificate, key = self.issue(role, name, lifetime)
         contents = {
             'certificate': certificate,
             'key': key,
             'authorities': self.certificate,
         }
-        found = {}
+        paths = {}
         for field, data in contents.items():
             path = folder / f'{name}.{field}.pem'
             path.write_bytes(data)
-            found[field] = str(path)
-        return found
+            paths[field] = str(path)
+        return paths
--- a/packages/trials/src/dunlintide_trials/cases/cache.py
+++ b/packages/trials/src/dunlintide_trials/cases/cache.py
@@ -19,25 +19,25 @@
 PREFILL_TARGET = 0.8
 IMBALANCE_LIMIT = 1.5
 NEWS_BYTES_LIMIT = 64.0
-_LATE_SECONDS = 5.0
-_LOST = 0.5
+_HIGH_LAG_SECONDS = 5.0
+_HIGH_LOSS = 0.5
 
 MEMORY_BOUND = 256 << 20
 # Bytes/s of control traffic of a node; cache updates are one part of it.
 BYTES_BOUND = 5_000.0
 _SIZES = (2_500, 5_000, 10_000, 20_000)
-_TOLD = (1, 2, 4, 8)
+_UPDATE_SIZES = (1, 2, 4, 8)
 _LINKS = 25
 _HOLDERS = 6
 _PROMPT_BLOCKS = 16
 _BLOCK_TOKENS = 64
 
-_Shape = prefixload.Shape
-_BUSY = _Shape(rate=4.0)
-_FULL = _Shape(rate=12.0, seconds=40.0)
-_HOT = _Shape(rate=5.0, hot=0.9, seconds=60.0)
-_BROKEN = _Shape(lag=_LATE_SECONDS, loss=_LOST)
-_SUBSET = _Shape(
+_Scenario = prefixload.Scenario
+_BUSY = _Scenario(rate=4.0)
+_OVERLOADED = _Scenario(rate=12.0, seconds=40.0)
+_HOT = _Scenario(rate=5.0, hot=0.9, seconds=60.0)
+_DEGRADED = _Scenario(lag=_HIGH_LAG_SECONDS, loss=_HIGH_LOSS)
+_SUBSET = _Scenario(
     entries=20,
     replicas=20,
     subset=2,
@@ -48,10 +48,10 @@
 )
 
 
-def _run(shape: _Shape) -> dict[str, prefixload.Result]:
+def _run(scenario: _Scenario) -> dict[str, prefixload.Result]:
     return {
-        way: prefixload.run(attrs.evolve(shape, way=way))
-        for way in prefixload.WAYS
+        policy: prefixload.run(attrs.evolve(scenario, policy=policy))
+        for policy in prefixload.POLICIES
     }
 
 
@@ -59,9 +59,9 @@
     name: str, found: dict[str, prefixload.Result]
 ) -> Iterator[figures.Figure]:
     load = found[prefixload.LOAD]
-    for way in (prefixload.GUESS, prefixload.EVENTS):
-        case = f'cache.affinity.{name}{way}'
-        one = found[way]
+    for policy in (prefixload.GUESS, prefixload.EVENTS):
+        case = f'cache.affinity.{name}{policy}'
+        one = found[policy]
         yield figures.plain(
             f'{case}.prefilled',
             one.prefilled,
@@ -77,7 +77,7 @@
 
 def measure_affinity() -> Iterator[figures.Figure]:
     """Compare choices by cache events, by guesses and by load only."""
-    found = _run(_Shape())
+    found = _run(_Scenario())
     yield from _compare('', found)
     events, guess = found[prefixload.EVENTS], found[prefixload.GUESS]
     yield figures.at_most(
@@ -96,8 +96,8 @@
         note='hashes only, without framing',
     )
     yield from _compare('busy.', _run(_BUSY))
-    yield from _compare('full.', _run(_FULL))
-    yield from _compare('broken.', _run(_BROKEN))
+    yield from _compare('full.', _run(_OVERLOADED))
+    yield from _compare('broken.', _run(_DEGRADED))
     hot = _run(_HOT)
     yield from _compare('hot.', hot)
     yield figures.at_most(
@@ -170,28 +170,28 @@
         )
 
 
-def _size_news(prefixes_told: int) -> int:
+def _compute_update_bytes(count: int) -> int:
     """Return the bytes that cache updates add to a load report."""
-    held = [1 << 63 | index for index in range(prefixes_told)]
+    held = [1 << 63 | index for index in range(count)]
     plain = link_pb2.Frame(load=link_pb2.Load(running=1))
-    told = link_pb2.Frame(
+    with_updates = link_pb2.Frame(
         load=link_pb2.Load(running=1, cache=link_pb2.CacheNews(held=held))
     )
-    return told.ByteSize() - plain.ByteSize()
+    return with_updates.ByteSize() - plain.ByteSize()
 
 
 def measure_bytes() -> Iterator[figures.Figure]:
     """Measure the traffic of cache updates of an agent with 25 links."""
-    for told in _TOLD:
-        size = _size_news(told)
+    for count in _UPDATE_SIZES:
+        size = _compute_update_bytes(count)
         yield figures.at_most(
-            f'cache.bytes.{told}',
+            f'cache.bytes.{count}',
             size * _LINKS,
             'B/s an agent',
             BYTES_BOUND,
             note=f'{size} B in each report, {_LINKS} links',
         )
-    size = _size_news(cacheupdates.MAX_PUBLISHED)
+    size = _compute_update_bytes(cacheupdates.MAX_PUBLISHED)
     yield figures.plain('cache.bytes.all', size, 'B, once a new link')
 
 
--- a/packages/trials/src/dunlintide_trials/cases/caps.py
+++ b/packages/trials/src/dunlintide_trials/cases/caps.py
@@ -30,7 +30,7 @@
 TOKENS = 48
 PROMPT_WORDS = 16
 # A request grows to 64 positions, so ten requests fit in the small cache.
-MEMORIES = {'pressed': 640, 'ample': 100_000}
+KV_CACHE_TOKENS = {'pressed': 640, 'ample': 100_000}
 MAX_IN_FLIGHT = 64
 STEP_SECONDS = 0.04
 TOKEN_SECONDS = 0.0005
@@ -39,7 +39,7 @@
 DRAIN_SECONDS = 2.0
 MIN_QUANTILE_ANSWERS = 2
 # Minimum rate of the budget policy relative to the best policy.
-KEPT_PART = 0.9
+MIN_RELATIVE_RATE = 0.9
 
 _RULES = {
     'members': [{'name': TEAM, 'key_hashes': []}],
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class _Seen:
+class _Measurement:
     """Measurements of one policy in the window.
 
     :ivar rate: tokens/s that callers got
@@ -111,36 +111,40 @@
         )
 
 
-def _look(
+def _measure_window(
     running: deployment.Deployment, answers: list[client.Answer]
-) -> _Seen:
+) -> _Measurement:
     engine = running.plan.agents[0].endpoint.standin.name
     time.sleep(WARM_UP_SECONDS)
     before, start = running.control(engine), time.monotonic()
     time.sleep(WINDOW_SECONDS)
     after, end = running.control(engine), time.monotonic()
-    seen = list(answers)
-    tokens = sum(start <= one < end for got in seen for one in got.times)
+    received = list(answers)
+    tokens = sum(
+        start <= one < end for answer in received for one in answer.times
+    )
     waits = [
-        got.times[0] - got.started
-        for got in seen
-        if got.times and start <= got.times[0] < end
+        answer.times[0] - answer.started
+        for answer in received
+        if answer.times and start <= answer.times[0] < end
     ]
     if len(waits) < MIN_QUANTILE_ANSWERS:
         raise RuntimeError(
             f'{len(waits)} responses began in the window, at least '
             f'{MIN_QUANTILE_ANSWERS} needed'
         )
-    return _Seen(
+    return _Measurement(
         tokens / (end - start),
         statistics.quantiles(waits, n=20)[-1],
         (after['preempted'] - before['preempted']) / (end - start),
         (after['recomputed'] - before['recomputed']) / (end - start),
-        sum(got.ended > 0 and not got.is_complete for got in seen),
+        sum(
+            answer.ended > 0 and not answer.is_complete for answer in received
+        ),
     )
 
 
-def _measure(policy: str, kv_tokens: int) -> _Seen:
+def _measure(policy: str, kv_tokens: int) -> _Measurement:
     extras: dict[str, Any] = {'agent': {'cap': policy}}
     with tempfile.TemporaryDirectory(prefix='dunlintide-') as folder:
         with launcher.run(
@@ -167,7 +171,7 @@
             for thread in threads:
                 thread.start()
             try:
-                return _look(running, answers)
+                return _measure_window(running, answers)
             finally:
                 stopped.set()
                 end = time.monotonic() + DRAIN_SECONDS
@@ -181,14 +185,14 @@
 
 def measure_compare() -> Iterator[figures.Figure]:
     """Compare the policies with a small and with an ample KV cache."""
-    for load, kv_tokens in MEMORIES.items():
-        seen = {
+    for load, kv_tokens in KV_CACHE_TOKENS.items():
+        measurements = {
             policy: _measure(policy, kv_tokens)
             for policy in settings.CapPolicy
         }
-        fixed = seen[settings.CapPolicy.FIXED]
-        best = max(one.rate for one in seen.values())
-        for policy, one in seen.items():
+        fixed = measurements[settings.CapPolicy.FIXED]
+        best = max(one.rate for one in measurements.values())
+        for policy, one in measurements.items():
             name = f'caps.compare.{load}.{policy}'
             note = (
                 f'{CALLERS} callers, {kv_tokens} positions; '
@@ -201,7 +205,7 @@
                     name,
                     one.rate,
                     'tokens/s',
-                    KEPT_PART * best,
+                    MIN_RELATIVE_RATE * best,
                     fixed.rate,
                     note,
                 )
--- a/packages/trials/src/dunlintide_trials/cases/choice.py
+++ b/packages/trials/src/dunlintide_trials/cases/choice.py
@@ -58,12 +58,12 @@
 
 def measure_none() -> Iterator[figures.Figure]:
     """Measure choices while no engine has room."""
-    yield from _report('none', engineload.EngineLoad.fill)
+    yield from _report('none', engineload.EngineLoad.fill_caches)
 
 
 def measure_across() -> Iterator[figures.Figure]:
     """Measure choices while only chains across domains have room."""
-    yield from _report('across', engineload.EngineLoad.scatter)
+    yield from _report('across', engineload.EngineLoad.fragment)
 
 
 def measure_table() -> Iterator[figures.Figure]:
--- a/packages/trials/src/dunlintide_trials/cases/entry.py
+++ b/packages/trials/src/dunlintide_trials/cases/entry.py
@@ -22,7 +22,7 @@
 def measure_cpu_token() -> Iterator[figures.Figure]:
     """Measure the CPU time of an entry per token."""
     for count in STREAMS:
-        toy = streams.run_toy(count, SECONDS)
+        baseline = streams.run_baseline(count, SECONDS)
         entry = streams.run_entry(count, SECONDS)
         if entry.complete != count:
             raise RuntimeError(
@@ -32,8 +32,8 @@
             f'entry.cpu_token.{count}',
             round(entry.cpu_token, 1),
             'us',
-            round(toy.cpu_token * CPU_BOUND_RATIO, 1),
-            round(toy.cpu_token, 1),
+            round(baseline.cpu_token * CPU_BOUND_RATIO, 1),
+            round(baseline.cpu_token, 1),
             f'{count} streams, a token each {streams.STEP_SECONDS * 1000:g} '
             f'ms on {streams.AGENTS} links, {entry.threads} threads; '
             'baseline: a WSGI app that streams the same',
--- a/packages/trials/src/dunlintide_trials/cases/fairness.py
+++ b/packages/trials/src/dunlintide_trials/cases/fairness.py
@@ -28,8 +28,8 @@
 
 VICTIM = 'victim'
 FLOODER = 'flooder'
-VICTIM_PART = 0.25
-TIMES_SHARE = 20
+VICTIM_SHARE = 0.25
+FLOOD_FACTOR = 20
 MODEL = 'bench'
 SLOTS = 16
 STAGES = 2
@@ -48,7 +48,7 @@
 DEADLINE_SECONDS = 10
 FIRST_TOKEN_BOUND = 1.3
 THROUGHPUT_BOUND = 0.95
-_LATE_SECONDS = 3.0
+_MARGIN_SECONDS = 3.0
 
 # Tokens/s of full batches; the stages run in parallel on half the slots.
 _BATCH = SLOTS // STAGES
@@ -93,7 +93,7 @@
 def _make_rules(keys: list[str]) -> dict[str, Any]:
     hashes = [operators.hash_key(key) for key in keys]
     terms = {'deadline_seconds': DEADLINE_SECONDS}
-    weights = {VICTIM: VICTIM_PART, FLOODER: 1.0 - VICTIM_PART}
+    weights = {VICTIM: VICTIM_SHARE, FLOODER: 1.0 - VICTIM_SHARE}
     return {
         'members': [
             {'name': VICTIM, 'key_hashes': []},
@@ -153,12 +153,12 @@
             threads.append(thread)
             time.sleep(pause * rng.uniform(0.8, 1.2))
         for thread in threads:
-            thread.join(DEADLINE_SECONDS + _LATE_SECONDS)
+            thread.join(DEADLINE_SECONDS + _MARGIN_SECONDS)
         return answers
 
 
 @attrs.frozen
-class _Seen:
+class _Measurement:
     """Measurements of the victim in a window.
 
     :ivar first_token: 95th percentile of the time to the first token in
@@ -178,9 +178,9 @@
     rate: float
 
 
-def _look(
+def _summarize(
     answers: list[client.Answer], flood: dict[str, int], rate: float
-) -> _Seen:
+) -> _Measurement:
     waits = [
         (
             answer.times[0] - answer.started
@@ -189,7 +189,7 @@
         )
         for answer in answers
     ]
-    return _Seen(
+    return _Measurement(
         statistics.quantiles(waits, n=20)[-1],
         statistics.median(waits),
         sum(answer.is_complete for answer in answers) / len(answers),
@@ -216,7 +216,7 @@
     running: deployment.Deployment,
     keys: list[str],
     seconds: float,
-    **kind: Any,
+    **overrides: Any,
 ) -> floods.Plan:
     plan = floods.Plan(
         urls=tuple(
@@ -225,11 +225,11 @@
         keys=tuple(keys),
         model=MODEL,
         connections=CONNECTIONS,
-        rate=TIMES_SHARE * (1.0 - VICTIM_PART) * CAPACITY / TOKENS,
+        rate=FLOOD_FACTOR * (1.0 - VICTIM_SHARE) * CAPACITY / TOKENS,
         seconds=seconds,
         max_tokens=TOKENS,
     )
-    return attrs.evolve(plan, **kind)
+    return attrs.evolve(plan, **overrides)
 
 
 def _count_finished(running: deployment.Deployment) -> int:
@@ -237,7 +237,9 @@
     return running.read_state(head)['gate']['in_flight']['finished']
 
 
-def _saturate(running: deployment.Deployment, keys: list[str]) -> float:
+def _measure_capacity(
+    running: deployment.Deployment, keys: list[str]
+) -> float:
     """Measure the tokens per second of a flood without other load."""
     seconds = WARM_UP_SECONDS + SATURATED_SECONDS
     with floods.Flood.start(_plan_flood(running, keys, seconds)):
@@ -248,35 +250,35 @@
         return done * TOKENS / (time.monotonic() - began)
 
 
-def _flood(
+def _measure_flooded(
     running: deployment.Deployment,
     keys: list[str],
     share: float,
-    **kind: Any,
-) -> _Seen:
+    **overrides: Any,
+) -> _Measurement:
     seconds = WARM_UP_SECONDS + FLOOD_SECONDS
-    plan = _plan_flood(running, keys, seconds, **kind)
+    plan = _plan_flood(running, keys, seconds, **overrides)
     with floods.Flood.start(plan) as flood:
         time.sleep(WARM_UP_SECONDS)
         before, began = _count_finished(running), time.monotonic()
-        answers = _Victim(running, share).run(FLOOD_SECONDS - _LATE_SECONDS)
+        answers = _Victim(running, share).run(FLOOD_SECONDS - _MARGIN_SECONDS)
         done = _count_finished(running) - before
         rate = done * TOKENS / (time.monotonic() - began)
-    return _look(answers, flood.counts, rate)
+    return _summarize(answers, flood.counts, rate)
 
 
 def measure_flood() -> Iterator[figures.Figure]:
     """Measure a team while another sends 20 times its own share."""
     keys = [secrets.token_urlsafe(16) for _ in range(KEYS)]
     with _run('fair', keys) as running:
-        capacity = _saturate(running, keys)
-        share = VICTIM_PART * capacity
+        capacity = _measure_capacity(running, keys)
+        share = VICTIM_SHARE * capacity
         victim = _Victim(running, share)
         victim.run(WARM_UP_SECONDS)
-        alone = _look(victim.run(ALONE_SECONDS), {}, 0.0)
-        flooded = _flood(running, keys, share)
+        alone = _summarize(victim.run(ALONE_SECONDS), {}, 0.0)
+        flooded = _measure_flooded(running, keys, share)
     with _run('fifo', keys) as running:
-        fifo = _flood(running, keys, share)
+        fifo = _measure_flooded(running, keys, share)
     note = (
         f'{alone.first_token * 1000:.0f} ms alone, {flooded.asked} requests; '
         f'flood over {ENTRIES} entries, {KEYS} keys, {CONNECTIONS} '
@@ -321,10 +323,10 @@
     """Measure a team during floods of other kinds of requests."""
     keys = [secrets.token_urlsafe(16) for _ in range(KEYS)]
     with _run('fair', keys) as running:
-        share = VICTIM_PART * _saturate(running, keys)
-        alone = _look(_Victim(running, share).run(ALONE_SECONDS), {}, 0.0)
-        for name, kind in _KINDS.items():
-            seen = _flood(running, keys, share, **kind)
+        share = VICTIM_SHARE * _measure_capacity(running, keys)
+        alone = _summarize(_Victim(running, share).run(ALONE_SECONDS), {}, 0.0)
+        for name, overrides in _KINDS.items():
+            seen = _measure_flooded(running, keys, share, **overrides)
             note = f'{seen.asked} requests; flood: {seen.flood}'
             yield figures.at_least(
                 f'fairness.kinds.{name}.throughput',
--- a/packages/trials/src/dunlintide_trials/cases/idle_links.py
+++ b/packages/trials/src/dunlintide_trials/cases/idle_links.py
@@ -25,7 +25,7 @@
 # Links of an entry in a deployment of the intended size.
 _ENTRY_LINKS = 30
 _SECONDS = 8.0
-_OTHERS_REQUESTS = 10
+_REPORTED_REQUESTS = 10
 _START_SECONDS = 30.0
 _SETTLE_SECONDS = 2.0
 # Far above the budget of 3.7%, as the machine also runs other work.
@@ -51,7 +51,7 @@
     pass
 
 
-def _accept(
+def _run_agent(
     pipe: connection.Connection, folder: str | None, running: int
 ) -> None:
     """Act as an agent that accepts links and reports its load on them."""
@@ -62,17 +62,17 @@
         '127.0.0.1:0', lambda: hello, handlers, transport=transport
     )
     load = link_pb2.Load(running=running, cap=64, kv_usage=0.5)
-    paced = reports.ReportFilter()
+    report_filter = reports.ReportFilter()
     with linkserver.serve(server):
         pipe.send(server.port)
         while not pipe.poll(1.0):
-            if not paced.admit(load, time.monotonic()):
+            if not report_filter.admit(load, time.monotonic()):
                 continue
             for link in server.links():
                 link.send(link_pb2.Frame(load=load))
 
 
-def _dial(
+def _run_entry(
     pipe: connection.Connection, port: int, count: int, folder: str | None
 ) -> None:
     """Act as an entry that dials agents, all of them at one port."""
@@ -114,20 +114,20 @@
     :param running: requests that the accepting side reports as running
     """
     with (
-        childprocesses.start(_accept, folder, running) as accepting,
-        childprocesses.start(
-            _dial, accepting.first, count, folder
+        childprocesses.start_process(_run_agent, folder, running) as accepting,
+        childprocesses.start_process(
+            _run_entry, accepting.first_message, count, folder
         ) as dialling,
     ):
         both = [dialling, accepting]
         time.sleep(_SETTLE_SECONDS)
-        before = [each.read_time() for each in both]
+        before = [each.read_cpu_seconds() for each in both]
         start = time.monotonic()
         time.sleep(_SECONDS)
         spent = time.monotonic() - start
         dialled, accepted = (
             Usage(
-                (each.read_time() - earlier) / spent,
+                (each.read_cpu_seconds() - earlier) / spent,
                 each.process.memory_info().rss,
                 each.process.num_threads(),
             )
@@ -137,17 +137,18 @@
 
 
 def _describe(case: str, running: int) -> Iterator[figures.Figure]:
-    used = [measure(count, running=running) for count in LINKS]
+    measured = [measure(count, running=running) for count in LINKS]
     for side, name in enumerate(('dialled', 'accepted')):
-        mine = [pair[side] for pair in used]
+        usages = [pair[side] for pair in measured]
         cores = statistics.linear_regression(
-            LINKS, [each.cores for each in mine]
+            LINKS, [each.cores for each in usages]
         )
         memory = statistics.linear_regression(
-            LINKS, [each.resident for each in mine]
+            LINKS, [each.resident for each in usages]
         )
         listed = ', '.join(
-            f'{each.cores:.4f} at {count}' for count, each in zip(LINKS, mine)
+            f'{each.cores:.4f} at {count}'
+            for count, each in zip(LINKS, usages)
         )
         yield figures.at_most(
             f'{case}.{name}',
@@ -167,7 +168,7 @@
             round(memory.slope / _KB, 1),
             'kB',
             note=f'for one link more; threads at {LINKS[-1]}: '
-            f'{mine[-1].threads}',
+            f'{usages[-1].threads}',
         )
 
 
@@ -178,7 +179,7 @@
 
 def measure_reported() -> Iterator[figures.Figure]:
     """Measure idle links to an agent that runs requests of others."""
-    yield from _describe('links.reported', _OTHERS_REQUESTS)
+    yield from _describe('links.reported', _REPORTED_REQUESTS)
 
 
 CASES = [measure_idle, measure_reported]
--- a/packages/trials/src/dunlintide_trials/cases/latency.py
+++ b/packages/trials/src/dunlintide_trials/cases/latency.py
@@ -32,7 +32,7 @@
 INTER_TOKEN_SHARE = 0.25
 _PERCENTILE = 95
 
-_Pairs = list[tuple[direct.Times, direct.Times]]
+_Pairs = list[tuple[direct.Latencies, direct.Latencies]]
 
 
 def _make_chain(running: deployment.Deployment, number: int) -> direct.Chain:
@@ -59,7 +59,9 @@
         )
         if not answer.is_complete:
             raise RuntimeError(f'{answer.outcome}: {answer.error}')
-        routed = direct.Times.from_moments(answer.started, answer.times)
+        routed = direct.Latencies.from_token_times(
+            answer.started, answer.times
+        )
         pairs.append((plain, routed))
     caller.close()
     return pairs
@@ -67,7 +69,7 @@
 
 def _measure() -> _Pairs:
     with saturation.run(('planned',), RANGES) as running:
-        bound = saturation.find_bound(saturation.list_stops(running))
+        bound = saturation.compute_bound(saturation.list_stages(running))
         arrivals = LOAD * bound / saturation.MEAN_TOKENS
         with saturation.Streams(running, (0,), arrivals=arrivals):
             time.sleep(WARM_UP_SECONDS)
--- a/packages/trials/src/dunlintide_trials/cases/leader.py
+++ b/packages/trials/src/dunlintide_trials/cases/leader.py
@@ -28,7 +28,7 @@
 CPU_BOUND = 0.037
 # Links of an entry that leads no model: two for each of 15 layer ranges.
 LINKS_BOUND = 32
-_TICKS = 200
+_ROUNDS = 200
 
 
 def _ignore(*_: object) -> None:
@@ -37,30 +37,32 @@
 
 def _make_hosts(agents: int) -> list[roster.Host]:
     peers = network.make_peers(ENTRIES, agents, DOMAINS)
-    taken = roster.poll_membership(
-        lambda seen: (1, [records.Record(peer) for peer in peers])
+    poll = roster.poll_membership(
+        lambda known: (1, [records.Record(peer) for peer in peers])
     )
-    return taken()
+    return poll()
 
 
-def _time_tick(hosts: list[roster.Host]) -> float:
+def _time_decision(hosts: list[roster.Host]) -> float:
     """Return the processor seconds of one placement decision."""
-    view = fleet.Fleet(link_pb2.Hello, fleet.Listeners(_ignore, _ignore))
-    seen = engineview.EngineView(hosts[0].name, 'domain-0', view)
-    seen.update_hosts(hosts)
+    fleet_state = fleet.Fleet(
+        link_pb2.Hello, fleet.Listeners(_ignore, _ignore)
+    )
+    engine_view = engineview.EngineView(hosts[0].name, 'domain-0', fleet_state)
+    engine_view.update_hosts(hosts)
     target = placement.Target(MODEL, '1', LAYERS)
     placer = placement.Placer(target, placement.PlacerSettings())
     start = time.thread_time()
-    for tick in range(_TICKS):
-        sight = seen.take_snapshot()
-        if not sight.has_sufficient_view or placer.make_orders(
-            tick, sight.engines
+    for tick in range(_ROUNDS):
+        snapshot = engine_view.take_snapshot()
+        if not snapshot.has_sufficient_view or placer.make_orders(
+            tick, snapshot.engines
         ):
             raise AssertionError(
                 f'a healthy fleet of {len(hosts)} hosts was seen as '
                 'incomplete or got orders'
             )
-    return (time.thread_time() - start) / _TICKS
+    return (time.thread_time() - start) / _ROUNDS
 
 
 def _count_links(hosts: list[roster.Host]) -> int:
@@ -90,7 +92,9 @@
     for agents in AGENTS:
         yield figures.at_most(
             f'leader.cpu.{agents}',
-            round(_time_tick(_make_hosts(agents)) / keeper.TICK_SECONDS, 6),
+            round(
+                _time_decision(_make_hosts(agents)) / keeper.TICK_SECONDS, 6
+            ),
             'cores',
             CPU_BOUND,
             note='looks at the fleet and decisions, one model, quiet',
--- a/packages/trials/src/dunlintide_trials/cases/limits.py
+++ b/packages/trials/src/dunlintide_trials/cases/limits.py
@@ -27,10 +27,10 @@
 SECONDS = 90.0
 WINDOW = 10.0
 SHIFT_SECONDS = 5.0
-SKEW = 0.9
-LAG = (0.02, 0.4)
-LOSS = 0.02
-CUT = (30.0, 60.0)
+SKEWED_FRACTION = 0.9
+DELAY_SECONDS = (0.02, 0.4)
+LOSS_RATE = 0.02
+PARTITION_SECONDS = (30.0, 60.0)
 # Requests that may be admitted in a window relative to the rate: the rate
 # itself, a burst of ``BURST_SECONDS`` and one request per entry.
 BOUND = 1 + (RATE * core_limits.BURST_SECONDS + ENTRIES) / (RATE * WINDOW)
@@ -46,21 +46,21 @@
 class _Network:
     """Delays, drops and delivers frames on a virtual clock."""
 
-    def __init__(self, is_cut: Callable[[float], bool]) -> None:
+    def __init__(self, is_partitioned: Callable[[float], bool]) -> None:
         self.now = 0.0
         self.nodes: list['_Node'] = []
-        self._is_cut = is_cut
+        self._is_partitioned = is_partitioned
         self._rng = random.Random(SEED)
         self._queue: list = []
         self._order = itertools.count()
 
     def send(self, source: int, target: int, frame: link_pb2.Frame) -> None:
         half = len(self.nodes) // 2
-        parted = (source < half) != (target < half)
-        lost = self._rng.random() < LOSS
-        if lost or parted and self._is_cut(self.now):
+        is_cross_half = (source < half) != (target < half)
+        lost = self._rng.random() < LOSS_RATE
+        if lost or is_cross_half and self._is_partitioned(self.now):
             return
-        due = self.now + self._rng.uniform(*LAG)
+        due = self.now + self._rng.uniform(*DELAY_SECONDS)
         item = (due, next(self._order), source, target, frame)
         heapq.heappush(self._queue, item)
 
@@ -123,15 +123,15 @@
         now += rng.expovariate(OFFERED)
         advance(now)
         entry = int(now / SHIFT_SECONDS) % ENTRIES
-        if rng.random() > SKEW:
+        if rng.random() > SKEWED_FRACTION:
             entry = rng.randrange(ENTRIES)
         if admit(entry, now):
             admitted.append(now)
     return admitted
 
 
-def _run_shared(is_cut: Callable[[float], bool]) -> list[float]:
-    network = _Network(is_cut)
+def _run_coordinated(is_partitioned: Callable[[float], bool]) -> list[float]:
+    network = _Network(is_partitioned)
     entries = [
         limits.Limiter(
             lambda take, number=number: _Node(network, number, take),
@@ -141,15 +141,15 @@
         for number in range(ENTRIES)
     ]
     # The entries renew their shares at different times.
-    last = [number / ENTRIES - 1 for number in range(ENTRIES)]
+    renewed_at = [number / ENTRIES - 1 for number in range(ENTRIES)]
 
-    def tell_due(number: int) -> float:
-        return last[number] + entries[number].renewal_delay
+    def get_due(number: int) -> float:
+        return renewed_at[number] + entries[number].renewal_delay
 
     def advance(now: float) -> None:
-        while tell_due(first := min(range(ENTRIES), key=tell_due)) <= now:
-            last[first] = max(network.now, tell_due(first))
-            network.deliver(last[first])
+        while get_due(first := min(range(ENTRIES), key=get_due)) <= now:
+            renewed_at[first] = max(network.now, get_due(first))
+            network.deliver(renewed_at[first])
             entries[first].renew()
         network.deliver(now)
 
@@ -183,37 +183,39 @@
 
 def measure_overshoot() -> Iterator[figures.Figure]:
     """Measure the admitted requests when three times the limit is offered."""
-    shared = _run_shared(lambda now: False)
+    coordinated = _run_coordinated(lambda now: False)
     fixed = _run_fixed(RATE / ENTRIES)
-    alone = _run_fixed(RATE)
+    uncoordinated = _run_fixed(RATE)
     note = (
         f'most admitted in {WINDOW:g} s over the limit, {ENTRIES} entries, '
-        f'{SKEW:.0%} of the demand on one, which changes each '
+        f'{SKEWED_FRACTION:.0%} of the demand on one, which changes each '
         f'{SHIFT_SECONDS:g} s; baseline: no coordination'
     )
     yield figures.at_most(
         'limits.overshoot',
-        _find_peak(shared),
+        _find_peak(coordinated),
         'ratio',
         round(BOUND, 4),
-        _find_peak(alone),
+        _find_peak(uncoordinated),
         note,
     )
     yield figures.at_least(
         'limits.overshoot.use',
-        _find_use(shared),
+        _find_use(coordinated),
         'ratio',
         USE_BOUND,
         _find_use(fixed),
         'admitted over the limit in the whole run; baseline: static split',
     )
-    cut = _run_shared(lambda now: CUT[0] <= now < CUT[1])
+    partitioned = _run_coordinated(
+        lambda now: PARTITION_SECONDS[0] <= now < PARTITION_SECONDS[1]
+    )
     yield figures.at_most(
         'limits.overshoot.cut',
-        _find_peak(cut),
+        _find_peak(partitioned),
         'ratio',
         round(BOUND, 4),
-        _find_peak(alone),
+        _find_peak(uncoordinated),
         'the same, two halves cut apart for a third of the time',
     )
 
--- a/packages/trials/src/dunlintide_trials/cases/links.py
+++ b/packages/trials/src/dunlintide_trials/cases/links.py
@@ -64,13 +64,15 @@
 
 
 def _serve(counts: _Counts) -> linkserver.LinkServer:
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         counts.messages += 1
         counts.frames += len(frames)
         for frame in frames:
             link.send(_make_token(frame.step.request_id))
 
-    handlers = links.Handlers(lambda link: None, take, lambda link, why: None)
+    handlers = links.Handlers(
+        lambda link: None, handle_frames, lambda link, why: None
+    )
     return linkserver.LinkServer(
         '127.0.0.1:0', lambda: _make_hello('b'), handlers
     )
@@ -82,11 +84,11 @@
             link.send(_make_step(f'session-{number}'))
         up.set()
 
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         for frame in frames:
             link.send(_make_step(frame.token.request_id))
 
-    handlers = links.Handlers(begin, take, lambda link, why: None)
+    handlers = links.Handlers(begin, handle_frames, lambda link, why: None)
     # Pings queue behind steps, so a short timeout would break the link.
     timing = links.LinkTiming(silence=_WAIT_SECONDS)
     return links.Dialer(
@@ -122,25 +124,25 @@
 
 def measure_batching() -> Iterator[figures.Figure]:
     """Measure the steps per message and the rate of steps."""
-    together = _run(packing.BATCH_BYTES)
-    alone = _run(1)
+    batched = _run(packing.BATCH_BYTES)
+    unbatched = _run(1)
     where = (
         f'{SESSIONS} sessions, {DELAY_SECONDS * 1000:.0f} ms each way, '
         f'{BYTES_PER_SECOND / 1000:.0f} kB/s; baseline: one step a message'
     )
     yield figures.plain(
         'links.batching.frames_per_message',
-        round(together.frames / together.messages, 2),
+        round(batched.frames / batched.messages, 2),
         '1',
-        round(alone.frames / alone.messages, 2),
+        round(unbatched.frames / unbatched.messages, 2),
         where,
     )
     yield figures.at_least(
         'links.batching.rate',
-        round(together.frames / WINDOW_SECONDS),
+        round(batched.frames / WINDOW_SECONDS),
         'steps/s',
-        round(alone.frames / WINDOW_SECONDS),
-        round(alone.frames / WINDOW_SECONDS),
+        round(unbatched.frames / WINDOW_SECONDS),
+        round(unbatched.frames / WINDOW_SECONDS),
         where,
     )
 
--- a/packages/trials/src/dunlintide_trials/cases/membership.py
+++ b/packages/trials/src/dunlintide_trials/cases/membership.py
@@ -11,23 +11,25 @@
 
 __all__ = ['CASES']
 
-_HOUR = 3600.0
-_MINUTES = 120.0
+_LONG_SECONDS = 3600.0
+_SHORT_SECONDS = 120.0
 # Larger fleets are partitioned for a shorter time to limit the run time.
-_LARGEST_FOR_AN_HOUR = 100
+_LARGEST_LONG_SIZE = 100
 _SIZES = (50, 100, 200, 400)
-_MOST_SECONDS = 600.0
+_TIMEOUT_SECONDS = 600.0
 AGREE_BOUND = 120.0
 _CALLS_BOUND = 4.0
 
 
-def _cut(net: network.Network, inside: Callable[[int], bool]) -> None:
+def _set_partition(
+    net: network.Network, is_inside: Callable[[int], bool]
+) -> None:
     for host in net.hosts.values():
         domain = int(host.peer.failure_domain.rpartition('-')[2])
-        host.cut = int(inside(domain))
+        host.partition = int(is_inside(domain))
 
 
-def _agree(net: network.Network) -> bool:
+def _is_converged(net: network.Network) -> bool:
     views = [host.replica.members for host in net.up()]
     if len({view.hash for view in views}) > 1:
         return False
@@ -35,24 +37,26 @@
 
 
 def _measure_cut(
-    name: str, size: int, inside: Callable[[int], bool]
+    name: str, size: int, is_inside: Callable[[int], bool]
 ) -> Iterator[figures.Figure]:
     net = fleets.make_fleet(size, fleets.size_message)
-    cut = _HOUR if size <= _LARGEST_FOR_AN_HOUR else _MINUTES
-    _cut(net, inside)
-    net.run(cut)
-    _cut(net, lambda domain: False)
+    partition_seconds = (
+        _LONG_SECONDS if size <= _LARGEST_LONG_SIZE else _SHORT_SECONDS
+    )
+    _set_partition(net, is_inside)
+    net.run(partition_seconds)
+    _set_partition(net, lambda domain: False)
     start, calls = net.now, net.calls
     before = sum(host.sent_bytes for host in net.up())
-    agreed = net.run_until(lambda: _agree(net), _MOST_SECONDS)
+    agreed = net.run_until(lambda: _is_converged(net), _TIMEOUT_SECONDS)
     seconds = net.now - start
     sent = sum(host.sent_bytes for host in net.up()) - before
     deaths = sum(host.replica.members.deaths for host in net.up())
-    note = f'after {cut:.0f} s apart'
+    note = f'after {partition_seconds:.0f} s apart'
     prefix = f'membership.convergence.{name}.{size}'
     yield figures.at_most(
         f'{prefix}.seconds',
-        round(seconds if agreed else _MOST_SECONDS, 1),
+        round(seconds if agreed else _TIMEOUT_SECONDS, 1),
         's',
         AGREE_BOUND,
         note=note,
--- a/packages/trials/src/dunlintide_trials/cases/overhead.py
+++ b/packages/trials/src/dunlintide_trials/cases/overhead.py
@@ -25,13 +25,13 @@
 INTER_TOKEN_SHARE = 1.0
 
 
-def _ask(caller: client.Caller, model: str) -> direct.Times:
+def _ask(caller: client.Caller, model: str) -> direct.Latencies:
     answer = caller.complete(
         PROMPT, model=model, max_tokens=TOKENS, stream=True
     )
     if not answer.is_complete:
         raise RuntimeError(f'{answer.outcome}: {answer.error}')
-    return direct.Times.from_moments(answer.started, answer.times)
+    return direct.Latencies.from_token_times(answer.started, answer.times)
 
 
 def _compare(running: deployment.Deployment) -> tuple[list, list]:
@@ -39,7 +39,7 @@
 
     :returns: latencies of the direct and of the routed requests
     """
-    chain = direct.Chain.from_first(running, PROMPT, TOKENS)
+    chain = direct.Chain.from_first_engines(running, PROMPT, TOKENS)
     caller = running.make_caller(0, next(iter(running.keys)))
     plain, routed = [], []
     for number in range(WARMUP + REQUESTS):
--- a/packages/trials/src/dunlintide_trials/cases/placement.py
+++ b/packages/trials/src/dunlintide_trials/cases/placement.py
@@ -13,7 +13,7 @@
 from dunlintide_trials import launcher
 from dunlintide_trials import processes
 
-__all__ = ['CASES', 'GROUP', 'find_leader', 'lose_range', 'run_with_spare']
+__all__ = ['CASES', 'GROUP', 'find_leader', 'kill_range', 'run_with_spare']
 
 GROUP = 'recovery'
 MODEL = 'copy-7b'
@@ -65,20 +65,22 @@
             yield running
 
 
-def find_leader(running: deployment.Deployment, avoid: str = '') -> str | None:
+def find_leader(
+    running: deployment.Deployment, skipped: str = ''
+) -> str | None:
     """Return the name of the entry that reports to lead the model.
 
-    :param avoid: name of an entry to skip, such as a paused one
+    :param skipped: name of an entry to skip, such as a paused one
     """
     for entry in running.plan.entries:
-        if entry.name != avoid:
+        if entry.name != skipped:
             status = running.read_state(entry.name)['placement'].get(MODEL)
             if status and status['phase'] == 'leader':
                 return entry.name
     return None
 
 
-def lose_range(running: deployment.Deployment) -> None:
+def kill_range(running: deployment.Deployment) -> None:
     """Kill all agents and engines of one layer range."""
     for name, process in running.started.items():
         if f'{MODEL}-{LOST_STAGE}-' in name:
@@ -118,7 +120,7 @@
     if status['missing'] or status['orders'] or _is_spare_used(running):
         # After a slow start the spare may already hold the range to be lost.
         return None
-    lose_range(running)
+    kill_range(running)
     lost = time.monotonic()
     if not processes.wait_for(is_served, _WAIT_SECONDS):
         raise processes.StartError(
--- a/packages/trials/src/dunlintide_trials/cases/recovery.py
+++ b/packages/trials/src/dunlintide_trials/cases/recovery.py
@@ -29,7 +29,7 @@
 WARM_SECONDS = 4.0
 AFTER_SECONDS = 12.0
 # A request is disturbed when it takes this multiple of the usual duration.
-SLOWNESS = 4.0
+SLOW_FACTOR = 4.0
 # Delay of the host list in seconds; that of a real platform may lag a minute.
 LIST_LAG_SECONDS = 10.0
 DOMAIN_BOUND_SECONDS = 8.0
@@ -41,7 +41,7 @@
 _REPEAT_SECONDS = 0.1
 # The links of killed processes close at once; the loss of paused processes
 # is only detected by timeouts.
-_HARMS: dict[str, Callable[[processes.Process], None]] = {
+_FAULTS: dict[str, Callable[[processes.Process], None]] = {
     'killed': processes.Process.kill,
     'vanished': processes.Process.pause,
 }
@@ -62,11 +62,13 @@
         )
 
 
-def _kill_entry(running: deployment.Deployment, key: str, again: str) -> float:
+def _kill_entry(
+    running: deployment.Deployment, key: str, repeat_key: str
+) -> float:
     """Kill an entry during a stream and repeat the request elsewhere.
 
     :param key: idempotency key of the request
-    :param again: idempotency key of the repeat
+    :param repeat_key: idempotency key of the repeat
     :returns: seconds from the kill to the end of the response
     """
     team = next(iter(running.keys))
@@ -86,15 +88,15 @@
     _wait_tokens(running, key)
     killed = time.monotonic()
     running.started['entry-0'].kill()
-    answer = ask(callers[1], again)
+    answer = ask(callers[1], repeat_key)
     while answer.outcome == outcomes.Outcome.NOT_RUN:
         # A request that was reported as not run may be sent again.
         time.sleep(_REPEAT_SECONDS)
-        answer = ask(callers[1], again)
+        answer = ask(callers[1], repeat_key)
     first.join()
-    asked = records.Asked(team, answer, PROMPT, TOKENS)
+    request = records.SentRequest(team, answer, PROMPT, TOKENS)
     wrong = records.check_text(
-        asked, model=running.model, layers=running.layers
+        request, model=running.model, layers=running.layers
     )
     if wrong or not answer.is_complete:
         raise RuntimeError(f'{answer.outcome}: {answer.error} {wrong}')
@@ -104,7 +106,7 @@
 
 def measure_entry() -> Iterator[figures.Figure]:
     """Measure the time from an entry's kill to a response by another."""
-    found, anew = [], []
+    found, fresh = [], []
     with launcher.run_small() as running:
         for agent in running.plan.agents:
             if agent.endpoint.kind == deployment.ENGINE:
@@ -114,19 +116,19 @@
             key = f'recovery-{number}'
             found.append(_kill_entry(running, key, key))
             other = f'recovery-other-{number}'
-            anew.append(_kill_entry(running, other, f'{other}-anew'))
+            fresh.append(_kill_entry(running, other, f'{other}-anew'))
     yield figures.at_most(
         'recovery.entry',
         round(statistics.median(found), 3),
         's',
         ENTRY_BOUND_SECONDS,
-        round(statistics.median(anew), 3),
+        round(statistics.median(fresh), 3),
         f'median of {ROUNDS}, kill -9 in the midst of {TOKENS} tokens to the '
         'whole answer under the same key; baseline: asked anew',
     )
 
 
-def _show_hosts(
+def _remove_domain(
     running: deployment.Deployment, gone: str, since: float
 ) -> float:
     """Remove a failure domain from the host list with its lag.
@@ -141,10 +143,10 @@
     running.control(name, hosts=kept, lag_seconds=LIST_LAG_SECONDS)
     running.control(name, hosts=kept)
 
-    def shows() -> bool:
+    def is_removed() -> bool:
         return len(running.get_json(url)['hosts']) == len(kept)
 
-    if not processes.wait_for(shows, 2 * LIST_LAG_SECONDS):
+    if not processes.wait_for(is_removed, 2 * LIST_LAG_SECONDS):
         raise RuntimeError(
             'the host list did not change within '
             f'{2 * LIST_LAG_SECONDS:.0f} s'
@@ -153,11 +155,11 @@
 
 
 def _lose_domain(
-    harm: str, domain: str
+    fault: str, domain: str
 ) -> tuple[steady.SteadyLoad, float, float]:
     """Lose a failure domain under load.
 
-    :param harm: key of ``_HARMS``
+    :param fault: key of ``_FAULTS``
     :param domain: failure domain to lose
     :returns: the load, the monotonic time of the loss in seconds, and the
         seconds until the host list showed it
@@ -174,19 +176,19 @@
         lost = time.monotonic()
         for process in running.started.values():
             if process.failure_domain == domain:
-                _HARMS[harm](process)
-        listed = _show_hosts(running, domain, lost)
-        time.sleep(max(0.0, AFTER_SECONDS - listed))
+                _FAULTS[fault](process)
+        list_seconds = _remove_domain(running, domain, lost)
+        time.sleep(max(0.0, AFTER_SECONDS - list_seconds))
         load.stop()
-    return load, lost, listed
+    return load, lost, list_seconds
 
 
 def measure_domain() -> Iterator[figures.Figure]:
     """Measure the time for which the loss of a domain disturbs requests."""
-    for harm in _HARMS:
+    for fault in _FAULTS:
         # The last domain of the small deployment has no plain service.
-        load, lost, listed = _lose_domain(harm, 'temple')
-        disturbed = load.find_disturbed(lost, SLOWNESS)
+        load, lost, list_seconds = _lose_domain(fault, 'temple')
+        disturbed = load.find_disturbed(lost, SLOW_FACTOR)
         last = max((one.ended for one in disturbed), default=lost)
         after = [one for one in load.samples if one.ended > lost]
         failed = collections.Counter(
@@ -196,13 +198,13 @@
         )
         kinds = ', '.join(f'{n} {name}' for name, n in failed.items())
         yield figures.at_most(
-            f'recovery.domain.{harm}',
+            f'recovery.domain.{fault}',
             round(last - lost, 3),
             's',
             DOMAIN_BOUND_SECONDS,
-            round(listed, 3),
-            f'until all requests are complete in under {SLOWNESS:.0f} times '
-            f'the usual; {len(after)} requests after the loss, '
+            round(list_seconds, 3),
+            f'until all requests are complete in under {SLOW_FACTOR:.0f} '
+            f'times the usual; {len(after)} requests after the loss, '
             f'{len(disturbed)} disturbed, not complete: {kinds or "none"}; '
             'baseline: until the host list showed the loss',
         )
@@ -210,13 +212,13 @@
 
 def measure_stage() -> Iterator[figures.Figure]:
     """Compare replay of a lost stage with a restart of all stages."""
-    losses: dict[tuple[str, str, int], stagelosses.Loss] = {}
+    losses: dict[tuple[str, str, int], stagelosses.StageLoss] = {}
     for recovery, kind in itertools.product(('restart', 'replay'), KINDS):
         # New processes for each run, as an entry starts with ten retries.
         with stagelosses.run(recovery) as running:
             for words in STAGE_PROMPTS:
-                losses[recovery, kind, words] = stagelosses.join(
-                    stagelosses.lose_stage(
+                losses[recovery, kind, words] = stagelosses.merge(
+                    stagelosses.kill_stage(
                         running, kind, f'{words}-{number}', words
                     )
                     for number in range(STAGE_ROUNDS)
@@ -230,23 +232,23 @@
 
 
 def _report_stage(
-    case: str, replay: stagelosses.Loss, restart: stagelosses.Loss
+    case: str, replay: stagelosses.StageLoss, restart: stagelosses.StageLoss
 ) -> Iterator[figures.Figure]:
     note = f'{len(replay.seconds)} streams, baseline: restart all'
     for part in (0.5, 0.95):
         yield figures.at_most(
             f'{case}.p{part * 100:.0f}',
-            replay.tell_percentile(part),
+            replay.compute_percentile(part),
             's',
             STAGE_BOUND_SECONDS,
-            restart.tell_percentile(part),
+            restart.compute_percentile(part),
             f'kill to next token, {note}',
         )
-    again = statistics.fmean(replay.again)
-    base = statistics.fmean(restart.again)
+    recomputed = statistics.fmean(replay.recomputed)
+    base = statistics.fmean(restart.recomputed)
     # One of three stages is replayed, and the steps in flight run again.
     yield figures.at_most(
-        f'{case}.again', again, 'layer-steps', base / 2, base, note
+        f'{case}.again', recomputed, 'layer-steps', base / 2, base, note
     )
     kept = 'mean of a stream at an agent, 8 bytes a position'
     yield figures.plain(
--- a/packages/trials/src/dunlintide_trials/cases/retries.py
+++ b/packages/trials/src/dunlintide_trials/cases/retries.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class _Outcome:
+class _Measurement:
     """Measurements of one retry ratio.
 
     :ivar sent: attempts that agents accepted per request
@@ -61,7 +61,7 @@
     return sum(one['gate']['events'].get('opened', 0) for one in states)
 
 
-def _ask(
+def _send_requests(
     running: deployment.Deployment, count: int, label: str
 ) -> list[client.Answer]:
     entries = len(running.plan.entries)
@@ -82,10 +82,10 @@
 
     with futures.ThreadPoolExecutor(CALLERS) as pool:
         found = list(pool.map(ask_some, range(CALLERS)))
-    return [answer for some in found for answer in some]
+    return [answer for answers in found for answer in answers]
 
 
-def _measure(ratio: float) -> _Outcome:
+def _measure(ratio: float) -> _Measurement:
     example = launcher.EXAMPLE
     blueprint = blueprints.load_blueprint(example)
     rules = operators.load_rules(example.parent / blueprint.rules)
@@ -99,15 +99,15 @@
             small, rules, pathlib.Path(folder), extras=extras
         ) as running:
             _fail_sessions(running)
-            _ask(running, WARM_UP, 'first')
+            _send_requests(running, WARM_UP, 'first')
             before = _count_opened(running)
-            answers = _ask(running, REQUESTS, 'then')
+            answers = _send_requests(running, REQUESTS, 'then')
             opened = _count_opened(running) - before
     counts = collections.Counter(
         f'{one.outcome} {one.code}'.strip() for one in answers
     )
     complete = sum(one.outcome == outcomes.Outcome.COMPLETE for one in answers)
-    return _Outcome(
+    return _Measurement(
         opened / len(answers), complete / len(answers), dict(counts)
     )
 
@@ -115,7 +115,7 @@
 def measure_amplification() -> Iterator[figures.Figure]:
     """Measure the added attempts and the success rate of retries."""
     bounded = _measure(budget.DEFAULT_RATIO)
-    free = _measure(UNBOUNDED_RATIO)
+    unbounded = _measure(UNBOUNDED_RATIO)
     note = (
         f'{REQUESTS} requests, {FAIL_RATE:.0%} of sessions fail at the head; '
         'baseline: retries without a budget'
@@ -125,14 +125,14 @@
         round(bounded.sent, 4),
         '1',
         AMPLIFICATION_BOUND,
-        round(free.sent, 4),
-        f'{note}; outcomes {bounded.outcomes}, without {free.outcomes}',
+        round(unbounded.sent, 4),
+        f'{note}; outcomes {bounded.outcomes}, without {unbounded.outcomes}',
     )
     yield figures.plain(
         'retry.success',
         round(bounded.complete, 4),
         '1',
-        round(free.complete, 4),
+        round(unbounded.complete, 4),
         note,
     )
 
--- a/packages/trials/src/dunlintide_trials/cases/subset.py
+++ b/packages/trials/src/dunlintide_trials/cases/subset.py
@@ -28,9 +28,9 @@
     """
     groups = collections.Counter(agent.endpoint for agent in agents)
     loads: collections.Counter[fleet.Peer] = collections.Counter()
-    for mine in chosen.values():
-        counts = collections.Counter(agent.endpoint for agent in mine)
-        for agent in mine:
+    for chosen_agents in chosen.values():
+        counts = collections.Counter(agent.endpoint for agent in chosen_agents)
+        for agent in chosen_agents:
             loads[agent] += 1 / counts[agent.endpoint]
     return max(
         loads[agent] * groups[agent.endpoint] / len(chosen) for agent in agents
@@ -60,7 +60,9 @@
         chosen = subset.assign(entries, agents)
         spent = time.process_time() - start
         links = collections.Counter(
-            agent.name for mine in chosen.values() for agent in mine
+            agent.name
+            for chosen_agents in chosen.values()
+            for agent in chosen_agents
         )
         mean = statistics.mean(links[agent.name] for agent in agents)
         prefix = f'subset.balance.{entry_count + agent_count}'
--- a/packages/trials/src/dunlintide_trials/cases/throughput.py
+++ b/packages/trials/src/dunlintide_trials/cases/throughput.py
@@ -46,63 +46,72 @@
 # Duration of the responses over the slowest chains.
 PROCESS_FILL_SECONDS = 25.0
 
-_PROCESSES = '12 engines of 6 kinds, a process each'
+_PROCESSES_NOTE = '12 engines of 6 kinds, a process each'
 _MEAN_TOKENS = sum(stages.SESSION_TOKENS) / 2
-_MODEL = 'event model, worst of 6 fleets'
+_MODEL_NOTE = 'event model, worst of 6 fleets'
 
-_Policy = Callable[[randomfleets.Mix, plans.Plan, int], stages.Entry]
+_Policy = Callable[[randomfleets.RandomFleet, plans.Plan, int], stages.Entry]
 
 
-def _route(mix: randomfleets.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
-    return routing.Router(mix.stops, mix.layers, mix.links, seed).entry()
+def _route(
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
+) -> stages.Entry:
+    return routing.Router(
+        fleet.stages, fleet.layers, fleet.links, seed
+    ).entry()
 
 
 def _route_unlearnt(
-    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
 ) -> stages.Entry:
-    router = routing.Router(mix.stops, mix.layers, mix.links, seed, False)
+    router = routing.Router(
+        fleet.stages, fleet.layers, fleet.links, seed, False
+    )
     return router.entry()
 
 
 def _take_turns(
-    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
 ) -> stages.Entry:
-    return routing.make_round_robin(mix.stops, mix.layers)
+    return routing.make_round_robin(fleet.stages, fleet.layers)
 
 
 def _take_least(
-    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
 ) -> stages.Entry:
-    return routing.make_least_outstanding(mix.stops, mix.layers, seed)
+    return routing.make_least_outstanding(fleet.stages, fleet.layers, seed)
 
 
 def _take_shares(
-    mix: randomfleets.Mix, plan: plans.Plan, seed: int
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
 ) -> stages.Entry:
     return routing.make_shares_only(plan, seed)
 
 
-def _plan(mix: randomfleets.Mix) -> plans.Plan:
-    return plans.make_plan(mix.stops, mix.layers, mix.links)
+def _plan(fleet: randomfleets.RandomFleet) -> plans.Plan:
+    return plans.make_plan(fleet.stages, fleet.layers, fleet.links)
 
 
 def _count_sessions(plan: plans.Plan) -> int:
-    held = 0.0
+    sessions = 0.0
     for chain in plan.chains:
-        steps = sum(stages.BATCH / stop.capacity for stop in chain.stages)
-        held += chain.share * (chain.latency + steps)
-    return int(SESSIONS_FACTOR * held)
+        steps = sum(stages.BATCH / stage.capacity for stage in chain.stages)
+        sessions += chain.share * (chain.latency + steps)
+    return int(SESSIONS_FACTOR * sessions)
 
 
 def _build(
-    mix: randomfleets.Mix, plan: plans.Plan, policy: _Policy, opened: bool
+    fleet: randomfleets.RandomFleet,
+    plan: plans.Plan,
+    policy: _Policy,
+    has_arrivals: bool,
 ) -> stages.Model:
-    entries = [policy(mix, plan, seed) for seed in range(ENTRIES)]
-    sessions = 0 if opened else _count_sessions(plan)
-    arrivals = OFFERED * plan.bound / _MEAN_TOKENS if opened else 0.0
+    entries = [policy(fleet, plan, seed) for seed in range(ENTRIES)]
+    sessions = 0 if has_arrivals else _count_sessions(plan)
+    arrivals = OFFERED * plan.bound / _MEAN_TOKENS if has_arrivals else 0.0
     return stages.Model(
-        mix.stops,
-        mix.links,
+        fleet.stages,
+        fleet.links,
         entries,
         sessions,
         random.Random(sum(map(ord, policy.__name__))),
@@ -110,10 +119,10 @@
     )
 
 
-def _reach(policy: _Policy, seed: int) -> float:
-    mix = randomfleets.draw(seed)
-    plan = _plan(mix)
-    model = _build(mix, plan, policy, opened=False)
+def _measure_policy(policy: _Policy, seed: int) -> float:
+    fleet = randomfleets.generate(seed)
+    plan = _plan(fleet)
+    model = _build(fleet, plan, policy, has_arrivals=False)
     end = WARM_UP_SECONDS + WINDOW_SECONDS
     model.run(end)
     return model.rate(WARM_UP_SECONDS, end) / plan.bound
@@ -132,16 +141,16 @@
     """Measure real processes with streams that fill all chains."""
     routings = ('planned', 'planned', 'round-robin', 'round-robin')
     with saturation.run(routings) as running:
-        bound = saturation.find_bound(saturation.list_stops(running))
+        bound = saturation.compute_bound(saturation.list_stages(running))
         planned = _saturate(running, (0, 1))
-        in_turn = _saturate(running, (2, 3))
+        round_robin = _saturate(running, (2, 3))
     yield figures.at_least(
         'throughput.bound.processes',
         planned / bound,
         '1',
         BOUND_TARGET,
-        in_turn / bound,
-        f'{_PROCESSES}, {STREAMS} callers; bound {bound:.0f} tokens/s; '
+        round_robin / bound,
+        f'{_PROCESSES_NOTE}, {STREAMS} callers; bound {bound:.0f} tokens/s; '
         'baseline: round robin',
     )
 
@@ -153,16 +162,16 @@
     arrive at a rate that the deployment sustains before that.
     """
     with saturation.run(('planned', 'planned')) as running:
-        stops = saturation.list_stops(running)
-        before = saturation.find_bound(stops)
-        slow = max(stops, key=lambda stop: stop.capacity)
-        after = saturation.find_bound(
+        plan_stages = saturation.list_stages(running)
+        before = saturation.compute_bound(plan_stages)
+        slow = max(plan_stages, key=lambda stage: stage.capacity)
+        after = saturation.compute_bound(
             (
-                attrs.evolve(stop, capacity=stop.capacity / SLOWDOWN)
-                if stop is slow
-                else stop
+                attrs.evolve(stage, capacity=stage.capacity / SLOWDOWN)
+                if stage is slow
+                else stage
             )
-            for stop in stops
+            for stage in plan_stages
         )
         arrivals = PROCESS_OFFERED * before / saturation.MEAN_TOKENS
         entries = (0, 1)
@@ -182,8 +191,8 @@
         '1',
         DEGRADED_TARGET,
         sound / before,
-        f'{_PROCESSES}, arrivals at {PROCESS_OFFERED} of the bound; bound '
-        f'{before:.0f}, then {after:.0f} tokens/s; {failed} failed; '
+        f'{_PROCESSES_NOTE}, arrivals at {PROCESS_OFFERED} of the bound; '
+        f'bound {before:.0f}, then {after:.0f} tokens/s; {failed} failed; '
         'baseline: before the fault, of the old bound',
     )
 
@@ -192,24 +201,29 @@
     """Measure routing policies with sessions that fill all chains."""
     yield from _measure_bound_processes()
     reached = {
-        policy: min(_reach(policy, seed) for seed in SEEDS)
+        policy: min(_measure_policy(policy, seed) for seed in SEEDS)
         for policy in (_route, _take_turns, _take_least, _take_shares)
     }
-    turns = reached[_take_turns]
-    note = f'{_MODEL}; baseline: round robin'
+    round_robin = reached[_take_turns]
+    note = f'{_MODEL_NOTE}; baseline: round robin'
     yield figures.at_least(
-        'throughput.bound', reached[_route], '1', BOUND_TARGET, turns, note
+        'throughput.bound',
+        reached[_route],
+        '1',
+        BOUND_TARGET,
+        round_robin,
+        note,
     )
     for name, policy in (
         ('least_outstanding', _take_least),
         ('shares_only', _take_shares),
     ):
         yield figures.plain(
-            f'throughput.bound.{name}', reached[policy], '1', turns, note
+            f'throughput.bound.{name}', reached[policy], '1', round_robin, note
         )
 
 
-def _busiest_stop(plan: plans.Plan) -> str:
+def _find_busiest_stage(plan: plans.Plan) -> str:
     carried: dict[str, float] = {}
     for chain in plan.chains:
         for agent in chain.agents:
@@ -217,7 +231,7 @@
     return max(carried, key=carried.get)
 
 
-def _busiest_link(plan: plans.Plan) -> tuple[str, str]:
+def _find_busiest_link(plan: plans.Plan) -> tuple[str, str]:
     carried: dict[tuple[str, str], float] = {}
     for chain in plan.chains:
         for source, target in zip(chain.stages, chain.stages[1:]):
@@ -227,41 +241,45 @@
     return max(carried, key=carried.get)
 
 
-def _slow_stop(mix: randomfleets.Mix, model: stages.Model) -> plans.Plan:
-    agent = _busiest_stop(_plan(mix))
+def _slow_stage(
+    fleet: randomfleets.RandomFleet, model: stages.Model
+) -> plans.Plan:
+    agent = _find_busiest_stage(_plan(fleet))
     model.stages[agent].speed = 1.0 / SLOWDOWN
-    stops = [
+    plan_stages = [
         (
-            attrs.evolve(stop, capacity=stop.capacity / SLOWDOWN)
-            if stop.agent == agent
-            else stop
+            attrs.evolve(stage, capacity=stage.capacity / SLOWDOWN)
+            if stage.agent == agent
+            else stage
         )
-        for stop in mix.stops
+        for stage in fleet.stages
     ]
-    return plans.make_plan(stops, mix.layers, mix.links)
+    return plans.make_plan(plan_stages, fleet.layers, fleet.links)
 
 
-def _slow_link(mix: randomfleets.Mix, model: stages.Model) -> plans.Plan:
-    pair = _busiest_link(_plan(mix))
+def _slow_link(
+    fleet: randomfleets.RandomFleet, model: stages.Model
+) -> plans.Plan:
+    pair = _find_busiest_link(_plan(fleet))
     model.slowdowns[pair] = SLOWDOWN
-    usual = mix.links.domains[pair]
+    quality = fleet.links.domains[pair]
     slowed = attrs.evolve(
-        usual, tokens_per_second=usual.tokens_per_second / SLOWDOWN
+        quality, tokens_per_second=quality.tokens_per_second / SLOWDOWN
     )
-    links = plans.Links(domains={**mix.links.domains, pair: slowed})
-    return plans.make_plan(mix.stops, mix.layers, links)
+    links = plans.Links(domains={**fleet.links.domains, pair: slowed})
+    return plans.make_plan(fleet.stages, fleet.layers, links)
 
 
-def _react(
+def _measure_degraded(
     policy: _Policy,
-    slow: Callable[[randomfleets.Mix, stages.Model], plans.Plan],
-    opened: bool,
+    slow: Callable[[randomfleets.RandomFleet, stages.Model], plans.Plan],
+    has_arrivals: bool,
     seed: int,
 ) -> float:
-    mix = randomfleets.draw(seed)
-    model = _build(mix, _plan(mix), policy, opened)
+    fleet = randomfleets.generate(seed)
+    model = _build(fleet, _plan(fleet), policy, has_arrivals)
     model.run(WARM_UP_SECONDS)
-    degraded = slow(mix, model)
+    degraded = slow(fleet, model)
     start = WARM_UP_SECONDS + REACTION_SECONDS
     end = start + REACTED_SECONDS
     model.run(end)
@@ -277,16 +295,21 @@
 
     yield from _measure_degraded_processes()
 
-    def worst(policy: _Policy, slow, opened: bool) -> float:
-        return min(_react(policy, slow, opened, seed) for seed in SEEDS)
+    def worst(policy: _Policy, slow, has_arrivals: bool) -> float:
+        return min(
+            _measure_degraded(policy, slow, has_arrivals, seed)
+            for seed in SEEDS
+        )
 
-    note = f'{_MODEL}, Poisson arrivals; baseline: shares stay as declared'
+    note = (
+        f'{_MODEL_NOTE}, Poisson arrivals; baseline: shares stay as declared'
+    )
     yield figures.at_least(
         'throughput.degraded',
-        worst(_route, _slow_stop, True),
+        worst(_route, _slow_stage, True),
         '1',
         DEGRADED_TARGET,
-        worst(_route_unlearnt, _slow_stop, True),
+        worst(_route_unlearnt, _slow_stage, True),
         note,
     )
     yield figures.at_least(
@@ -299,10 +322,10 @@
     )
     yield figures.plain(
         'throughput.degraded.fixed_callers',
-        worst(_route, _slow_stop, False),
+        worst(_route, _slow_stage, False),
         '1',
-        worst(_route_unlearnt, _slow_stop, False),
-        f'{_MODEL}, callers wait for stuck answers; same baseline',
+        worst(_route_unlearnt, _slow_stage, False),
+        f'{_MODEL_NOTE}, callers wait for stuck answers; same baseline',
     )
 
 
--- a/packages/trials/src/dunlintide_trials/cases/tls.py
+++ b/packages/trials/src/dunlintide_trials/cases/tls.py
@@ -50,26 +50,30 @@
 class _Cost:
     """Cost of one step and its token.
 
-    :ivar micros: processor time of both ends in microseconds
+    :ivar microseconds: processor time of both ends in microseconds
     :ivar rate: steps per second
     """
 
-    micros: float
+    microseconds: float
     rate: float
 
 
-def _answer(pipe: connection.Connection, folder: str | None) -> None:
+def _run_answering_agent(
+    pipe: connection.Connection, folder: str | None
+) -> None:
     """Act as an agent that answers each step with a token."""
     count = 0
 
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         nonlocal count
         count += len(frames)
         for frame in frames:
             token = link_pb2.Token(request_id=frame.step.request_id)
             link.send(link_pb2.Frame(token=token))
 
-    handlers = links.Handlers(lambda link: None, take, lambda link, why: None)
+    handlers = links.Handlers(
+        lambda link: None, handle_frames, lambda link, why: None
+    )
     hello = link_pb2.Hello(name='agent', role='agent', incarnation=1)
     server = linkserver.LinkServer(
         f'{_HOST}:0',
@@ -83,7 +87,7 @@
             pipe.send(count)
 
 
-def _ask(
+def _run_sending_agent(
     pipe: connection.Connection, port: int, size: int, folder: str | None
 ) -> None:
     """Act as an agent that keeps steps in flight, one per message."""
@@ -97,13 +101,13 @@
         for _ in range(_WINDOW):
             link.send(frame)
 
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         nonlocal count
         count += len(frames)
         for _ in frames:
             link.send(frame)
 
-    handlers = links.Handlers(begin, take, lambda link, why: None)
+    handlers = links.Handlers(begin, handle_frames, lambda link, why: None)
     hello = link_pb2.Hello(name='other', role='agent', incarnation=1)
     dialer = links.Dialer(
         f'{_HOST}:{port}',
@@ -124,15 +128,17 @@
 
 def _measure_steps(size: int, folder: str | None) -> _Cost:
     with (
-        childprocesses.start(_answer, folder) as near,
-        childprocesses.start(_ask, near.first, size, folder) as far,
+        childprocesses.start_process(_run_answering_agent, folder) as near,
+        childprocesses.start_process(
+            _run_sending_agent, near.first_message, size, folder
+        ) as far,
     ):
         time.sleep(_SETTLE_SECONDS)
-        begin, count = time.monotonic(), near.ask()
-        used = near.read_time() + far.read_time()
+        begin, count = time.monotonic(), near.request()
+        used = near.read_cpu_seconds() + far.read_cpu_seconds()
         time.sleep(_SECONDS)
-        spent, count = time.monotonic() - begin, near.ask() - count
-        used = near.read_time() + far.read_time() - used
+        spent, count = time.monotonic() - begin, near.request() - count
+        used = near.read_cpu_seconds() + far.read_cpu_seconds() - used
     return _Cost(used / count * _MICRO, count / spent)
 
 
@@ -158,10 +164,10 @@
             secured = _measure_steps(size, folder)
             yield figures.at_most(
                 f'tls.links.step.{size}',
-                round(secured.micros, 1),
+                round(secured.microseconds, 1),
                 'us',
-                round(plain.micros * _LINK_RATIO, 1),
-                round(plain.micros, 1),
+                round(plain.microseconds * _LINK_RATIO, 1),
+                round(plain.microseconds, 1),
                 f'both ends, a step of {size} bytes and its token, one a '
                 f'message; {secured.rate:.0f} a second with TLS, '
                 f'{plain.rate:.0f} without',
@@ -187,7 +193,7 @@
         )
 
 
-def _serve_callers(pipe: connection.Connection, folder: str | None) -> None:
+def _run_http_server(pipe: connection.Connection, folder: str | None) -> None:
     """Act as an HTTP server that streams many small chunks."""
 
     def stream(environ: dict, start_response: Callable) -> Iterator[bytes]:
@@ -195,15 +201,15 @@
         count = int(environ['PATH_INFO'].strip('/'))
         return (_CHUNK for _ in range(count))
 
-    secure = None
+    tls_wrapper = None
     if folder is not None:
         paths = certificates.Paths(
             pathlib.Path(folder, 'entry.certificate.pem'),
             pathlib.Path(folder, 'entry.key.pem'),
         )
-        secure = tlssockets.Wrapper.from_paths(paths, _SETTLE_SECONDS)
+        tls_wrapper = tlssockets.Wrapper.from_paths(paths, _SETTLE_SECONDS)
     server = httpserver.HttpServer.from_config(
-        stream, f'{_HOST}:0', _THREADS, secure=secure
+        stream, f'{_HOST}:0', _THREADS, secure=tls_wrapper
     )
     server.start()
     pipe.send(server.port)
@@ -235,15 +241,19 @@
         context = ssl.create_default_context(
             cafile=f'{folder}/entry.authorities.pem'
         )
-    with childprocesses.start(_serve_callers, folder) as server:
-        begin = server.read_time()
+    with childprocesses.start_process(_run_http_server, folder) as server:
+        begin = server.read_cpu_seconds()
         for _ in range(_CONNECTIONS):
-            with contextlib.closing(_connect(server.first, context)) as caller:
+            with contextlib.closing(
+                _connect(server.first_message, context)
+            ) as caller:
                 _fetch(caller, 1)
-        connected = server.read_time()
-        with contextlib.closing(_connect(server.first, context)) as caller:
+        connected = server.read_cpu_seconds()
+        with contextlib.closing(
+            _connect(server.first_message, context)
+        ) as caller:
             _fetch(caller, _CHUNKS)
-        streamed = server.read_time()
+        streamed = server.read_cpu_seconds()
     return (
         (connected - begin) / _CONNECTIONS * _MICRO,
         (streamed - connected) / _CHUNKS * _MICRO,
--- a/packages/trials/src/dunlintide_trials/childprocesses.py
+++ b/packages/trials/src/dunlintide_trials/childprocesses.py
@@ -14,9 +14,9 @@
 from dunlintide_trials import authority
 
 __all__ = [
-    'Started',
+    'ChildProcess',
     'open_transport',
-    'start',
+    'start_process',
 ]
 
 _START_SECONDS = 30.0
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Started:
+class ChildProcess:
     """A running child process.
 
     :ivar pipe: connection to the process
@@ -33,9 +33,9 @@
 
     process: psutil.Process
     pipe: connection.Connection
-    first: Any
+    first_message: Any
 
-    def ask(self) -> Any:
+    def request(self) -> Any:
         """Trigger the process and return the object that it sends back.
 
         :raises TimeoutError: when it sends nothing in time
@@ -47,32 +47,34 @@
             )
         return self.pipe.recv()
 
-    def read_time(self) -> float:
+    def read_cpu_seconds(self) -> float:
         """Return the processor time of the process in seconds."""
         times = self.process.cpu_times()
         return times.user + times.system
 
 
 @contextlib.contextmanager
-def start(target: Callable, *arguments: Any) -> Iterator[Started]:
+def start_process(target: Callable, *arguments: Any) -> Iterator[ChildProcess]:
     """Run a function in a child process.
 
     :param target: function that gets a pipe and the arguments; it sends
         an object when it is ready and returns when it receives None
     :raises TimeoutError: when the process is not ready in time
     """
-    near, far = _CONTEXT.Pipe()
+    parent_end, child_end = _CONTEXT.Pipe()
     process = _CONTEXT.Process(
-        target=target, args=(far, *arguments), daemon=True
+        target=target, args=(child_end, *arguments), daemon=True
     )
     process.start()
     try:
-        if not near.poll(_START_SECONDS):
+        if not parent_end.poll(_START_SECONDS):
             raise TimeoutError(
                 f'child process was not ready within {_START_SECONDS:.0f} s'
             )
-        yield Started(psutil.Process(process.pid), near, near.recv())
-        near.send(None)
+        yield ChildProcess(
+            psutil.Process(process.pid), parent_end, parent_end.recv()
+        )
+        parent_end.send(None)
         process.join(_START_SECONDS)
     finally:
         process.kill()
--- a/packages/trials/src/dunlintide_trials/client.py
+++ b/packages/trials/src/dunlintide_trials/client.py
@@ -15,7 +15,7 @@
 LOST = 'lost'  # the connection failed before a response arrived
 TRUNCATED = 'truncated'  # a stream ended without its end marker
 
-_END_MARK = '[DONE]'
+_END_MARKER = '[DONE]'
 _OUTCOME_HEADER = 'Dunlintide-Outcome'
 _REQUEST_ID_HEADER = 'X-Request-Id'
 _READ_BYTES = 1 << 16
@@ -78,9 +78,9 @@
     return choice.get('text') or ''
 
 
-def _take_event(answer: Answer, line: str) -> None:
+def _handle_event(answer: Answer, line: str) -> None:
     data = line.removeprefix('data: ')
-    if data == _END_MARK:
+    if data == _END_MARKER:
         answer.outcome = outcomes.Outcome.COMPLETE
         return
     event = json.loads(data)
@@ -99,7 +99,7 @@
     answer.outcome = TRUNCATED
     for line in _read_lines(response):
         if line.startswith('data: '):
-            _take_event(answer, line)
+            _handle_event(answer, line)
     answer.text = ''.join(answer.texts)
 
 
@@ -111,10 +111,10 @@
     return parsed if isinstance(parsed, dict) else {}
 
 
-def _read_whole(answer: Answer, response: urllib3.BaseHTTPResponse) -> None:
+def _read_body(answer: Answer, response: urllib3.BaseHTTPResponse) -> None:
     answer.body = response.read()
-    told = response.headers.get(_OUTCOME_HEADER)
-    answer.outcome = told or outcomes.Outcome.COMPLETE
+    outcome = response.headers.get(_OUTCOME_HEADER)
+    answer.outcome = outcome or outcomes.Outcome.COMPLETE
     parsed = _parse_object(answer.body)
     if answer.outcome != outcomes.Outcome.COMPLETE:
         answer.error = parsed
@@ -125,11 +125,11 @@
 def _read_answer(answer: Answer, response: urllib3.BaseHTTPResponse) -> None:
     answer.status = response.status
     answer.request_id = response.headers.get(_REQUEST_ID_HEADER, '')
-    kind = response.headers.get('Content-Type', '')
-    if kind.startswith('text/event-stream'):
+    content_type = response.headers.get('Content-Type', '')
+    if content_type.startswith('text/event-stream'):
         _read_stream(answer, response)
     else:
-        _read_whole(answer, response)
+        _read_body(answer, response)
 
 
 class Caller:
--- a/packages/trials/src/dunlintide_trials/demo.py
+++ b/packages/trials/src/dunlintide_trials/demo.py
@@ -76,9 +76,9 @@
         if options.keep:
             _keep_running(running)
             return 0
-        wrong = demosteps.play(running)
-    demosteps.print_end(running, wrong, time.monotonic() - begin)
-    return EXIT_WRONG if wrong else 0
+        problems = demosteps.run_steps(running)
+    demosteps.print_end(running, problems, time.monotonic() - begin)
+    return EXIT_WRONG if problems else 0
 
 
 def main(arguments: list[str]) -> int:
--- a/packages/trials/src/dunlintide_trials/demosteps.py
+++ b/packages/trials/src/dunlintide_trials/demosteps.py
@@ -12,41 +12,43 @@
 from dunlintide_trials import processes
 from dunlintide_trials import records
 
-__all__ = ['play', 'print_commands', 'print_end', 'print_start']
+__all__ = ['run_steps', 'print_commands', 'print_end', 'print_start']
 
 SPECIALS = 'Write the dinner specials of a diner on the interstate'
 BLURB = 'Announce the harvest supper on Saturday'
 STREAM_TOKENS = 24
 LONG_TOKENS = 400
-_PATIENCE_SECONDS = 20.0
+_WAIT_SECONDS = 20.0
 _DRAIN_SECONDS = 5.0
 _PROBES = 6
-_REFUSED = 403
+_FORBIDDEN = 403
 
-Wrong = list[str]
+Problems = list[str]
 
 
-def _say(text: str) -> None:
+def _print(text: str) -> None:
     print(text, flush=True)
 
 
-def _expect(condition: bool, problem: str) -> Wrong:
+def _check(condition: bool, problem: str) -> Problems:
     return [] if condition else [problem]
 
 
-def _check_text(running: deployment.Deployment, asked: records.Asked) -> Wrong:
-    wrong = _expect(
-        asked.answer.is_complete,
-        f'outcome {asked.answer.outcome} {asked.answer.error or ""}',
+def _check_text(
+    running: deployment.Deployment, request: records.SentRequest
+) -> Problems:
+    problems = _check(
+        request.answer.is_complete,
+        f'outcome {request.answer.outcome} {request.answer.error or ""}',
     )
-    return wrong + records.check_text(
-        asked, model=running.model, layers=running.layers
+    return problems + records.check_text(
+        request, model=running.model, layers=running.layers
     )
 
 
 def _check_layers(
     running: deployment.Deployment, request_id: str, positions: int
-) -> Wrong:
+) -> Problems:
     """Check that each layer ran once for each position."""
     ran = {
         run['endpoint']: run['positions']
@@ -54,9 +56,11 @@
         if run['request_id'] == request_id
     }
     stages = running.plan.blueprint.pipelines[0].stages
-    right = [positions] * len(stages)
+    expected = [positions] * len(stages)
     found = list(ran.values())
-    return _expect(found == right, f'stages ran {ran}, not {right} positions')
+    return _check(
+        found == expected, f'stages ran {ran}, not {expected} positions'
+    )
 
 
 def _name_domains(running: deployment.Deployment, request_id: str) -> str:
@@ -72,38 +76,40 @@
     return ', '.join(f'{name} ({domains[name]})' for name in names)
 
 
-def _stream(running: deployment.Deployment, team: str) -> Wrong:
+def _stream(running: deployment.Deployment, team: str) -> Problems:
     """Stream a completion and check its text and its layers."""
     caller = running.make_caller(0, team)
     answer = caller.complete(
         SPECIALS, model=running.model, max_tokens=STREAM_TOKENS, stream=True
     )
-    _say(f'   {"|".join(answer.texts[:6])}| ...')
+    _print(f'   {"|".join(answer.texts[:6])}| ...')
     if answer.times:
         first = (answer.times[0] - answer.started) * 1000
-        _say(f'   {len(answer.texts)} tokens, the first after {first:.0f} ms')
-    _say(f'   ran at {_name_domains(running, answer.request_id)}')
-    asked = records.Asked(team, answer, SPECIALS, STREAM_TOKENS)
-    wrong = _check_text(running, asked)
+        _print(
+            f'   {len(answer.texts)} tokens, the first after {first:.0f} ms'
+        )
+    _print(f'   ran at {_name_domains(running, answer.request_id)}')
+    request = records.SentRequest(team, answer, SPECIALS, STREAM_TOKENS)
+    problems = _check_text(running, request)
     # The last token is not run through the model.
     positions = len(reference.tokenize(SPECIALS)) + STREAM_TOKENS - 1
-    return wrong + _check_layers(running, answer.request_id, positions)
+    return problems + _check_layers(running, answer.request_id, positions)
 
 
-def _complete(running: deployment.Deployment, team: str) -> Wrong:
+def _complete(running: deployment.Deployment, team: str) -> Problems:
     """Request a completion without streaming from another entry."""
     caller = running.make_caller(1, team)
     answer = caller.complete(
         BLURB, model=running.model, max_tokens=STREAM_TOKENS
     )
     seconds = answer.ended - answer.started
-    _say(f'   {answer.text[:60].strip()} ...')
-    _say(f'   whole after {seconds * 1000:.0f} ms')
-    asked = records.Asked(team, answer, BLURB, STREAM_TOKENS)
-    return _check_text(running, asked)
+    _print(f'   {answer.text[:60].strip()} ...')
+    _print(f'   whole after {seconds * 1000:.0f} ms')
+    request = records.SentRequest(team, answer, BLURB, STREAM_TOKENS)
+    return _check_text(running, request)
 
 
-def _order(running: deployment.Deployment, team: str) -> Wrong:
+def _call_twice(running: deployment.Deployment, team: str) -> Problems:
     """Send a non-idempotent call and repeat it at another entry."""
     service = running.plan.blueprint.services[0]
     key = f'demo-{time.time_ns()}'
@@ -123,16 +129,16 @@
         for run in running.read_runs(deployment.SERVICE)
         if run['idempotency_key'] == key
     ]
-    _say(f'   first: {first.status} {first.outcome}')
-    _say(f'   repeat at another entry: {repeat.status} {repeat.outcome}')
-    _say(f'   runs recorded by {service.name}: {len(runs)}')
-    wrong = _expect(first.is_complete, f'first was {first.outcome}')
-    wrong += _expect(repeat.is_complete, f'repeat was {repeat.outcome}')
-    wrong += _expect(first.body == repeat.body, 'the repeat differs')
-    return wrong + _expect(len(runs) == 1, f'{len(runs)} runs')
+    _print(f'   first: {first.status} {first.outcome}')
+    _print(f'   repeat at another entry: {repeat.status} {repeat.outcome}')
+    _print(f'   runs recorded by {service.name}: {len(runs)}')
+    problems = _check(first.is_complete, f'first was {first.outcome}')
+    problems += _check(repeat.is_complete, f'repeat was {repeat.outcome}')
+    problems += _check(first.body == repeat.body, 'the repeat differs')
+    return problems + _check(len(runs) == 1, f'{len(runs)} runs')
 
 
-def _edit(running: deployment.Deployment, team: str) -> Wrong:
+def _apply_refusal(running: deployment.Deployment, team: str) -> Problems:
     """Apply a rule that refuses a model to a team and check its effect."""
     edited: dict[str, Any] = copy.deepcopy(running.rules)
     rule = {
@@ -153,18 +159,18 @@
             caller.complete('Is it paused?', model=running.model, max_tokens=1)
             for caller in callers
         ]
-        return all(answer.status == _REFUSED for answer in answers)
+        return all(answer.status == _FORBIDDEN for answer in answers)
 
-    seen = processes.wait_for(is_in_force, _PATIENCE_SECONDS)
+    in_force = processes.wait_for(is_in_force, _WAIT_SECONDS)
     seconds = time.monotonic() - begin
-    _say(
+    _print(
         f'   refused at all {len(callers)} entries {seconds:.2f} s after '
         'the edit was accepted'
     )
     answer = callers[0].complete('And now?', model=running.model)
-    _say(f'   told: {answer.status} {answer.outcome}, {answer.code}')
-    wrong = _expect(seen, 'not in force at all entries')
-    wrong += _expect(
+    _print(f'   told: {answer.status} {answer.outcome}, {answer.code}')
+    problems = _check(in_force, 'not in force at all entries')
+    problems += _check(
         answer.outcome == outcomes.Outcome.NOT_RUN,
         f'the refusal says {answer.outcome}',
     )
@@ -173,7 +179,7 @@
         for run in running.read_runs(deployment.ENGINE)
         if run['request_id'] == answer.request_id
     ]
-    return wrong + _expect(not runs, 'the refused request ran')
+    return problems + _check(not runs, 'the refused request ran')
 
 
 class _Background:
@@ -193,11 +199,11 @@
 
     def wait(self) -> client.Answer:
         """Wait for the response; return an empty one on a timeout."""
-        self._thread.join(_PATIENCE_SECONDS)
+        self._thread.join(_WAIT_SECONDS)
         return self.answer or client.Answer()
 
 
-def _find_busy(running: deployment.Deployment, team: str) -> str | None:
+def _find_busy_agent(running: deployment.Deployment, team: str) -> str | None:
     """Return the agent of an engine under load, None without one."""
     for agent in running.plan.agents:
         standin = agent.endpoint.standin
@@ -208,35 +214,35 @@
     return None
 
 
-def _drain(running: deployment.Deployment, team: str) -> Wrong:
+def _drain(running: deployment.Deployment, team: str) -> Problems:
     """Drain an endpoint during a stream."""
     stream = _Background(running.make_caller(0, team), running.model)
     found: list[str] = []
 
-    def look() -> bool:
-        name = _find_busy(running, team)
+    def has_load() -> bool:
+        name = _find_busy_agent(running, team)
         found.extend([name] if name else [])
         return bool(found)
 
-    if not processes.wait_for(look, _DRAIN_SECONDS):
+    if not processes.wait_for(has_load, _DRAIN_SECONDS):
         return [f'no engine had load within {_DRAIN_SECONDS:.0f} s']
     plan = next(one for one in running.plan.agents if one.name == found[0])
     running.post_json(f'{plan.admin_url}/drain', {})
-    _say(f'   draining {plan.name} ({plan.failure_domain})')
+    _print(f'   draining {plan.name} ({plan.failure_domain})')
     answer = stream.wait()
-    _say(f'   the stream: {answer.outcome}, {len(answer.texts)} tokens')
-    asked = records.Asked(team, answer, SPECIALS, LONG_TOKENS)
-    wrong = _check_text(running, asked)
+    _print(f'   the stream: {answer.outcome}, {len(answer.texts)} tokens')
+    request = records.SentRequest(team, answer, SPECIALS, LONG_TOKENS)
+    problems = _check_text(running, request)
     process = running.started[plan.name]
     process.wait()
-    _say(f'   the agent ended with {process.exit_code}')
-    wrong += _expect(process.exit_code == 0, f'exit {process.exit_code}')
-    return wrong + _check_drained(running, team, plan.endpoint.standin.url)
+    _print(f'   the agent ended with {process.exit_code}')
+    problems += _check(process.exit_code == 0, f'exit {process.exit_code}')
+    return problems + _check_drained(running, team, plan.endpoint.standin.url)
 
 
 def _check_drained(
     running: deployment.Deployment, team: str, url: str
-) -> Wrong:
+) -> Problems:
     before = {run['request_id'] for run in running.get_json(f'{url}/runs')}
     caller = running.make_caller(1, team)
     answers = [
@@ -245,32 +251,32 @@
     ]
     after = {run['request_id'] for run in running.get_json(f'{url}/runs')}
     good = sum(answer.is_complete for answer in answers)
-    _say(f'   {good} of {_PROBES} later requests complete elsewhere')
-    wrong = _expect(good == _PROBES, f'{good} of {_PROBES} complete')
-    return wrong + _expect(before == after, 'the endpoint got new work')
+    _print(f'   {good} of {_PROBES} later requests complete elsewhere')
+    problems = _check(good == _PROBES, f'{good} of {_PROBES} complete')
+    return problems + _check(before == after, 'the endpoint got new work')
 
 
-_SCENES: tuple[tuple[str, Callable[..., Wrong]], ...] = (
+_STEPS: tuple[tuple[str, Callable[..., Problems]], ...] = (
     ('A completion, streamed', _stream),
     ('A completion, whole, at another entry', _complete),
-    ('A non-idempotent call and its repeat', _order),
+    ('A non-idempotent call and its repeat', _call_twice),
     ('A drain with a stream in flight', _drain),
-    ('A new rule, in force everywhere', _edit),
+    ('A new rule, in force everywhere', _apply_refusal),
 )
 
 
-def play(running: deployment.Deployment) -> Wrong:
+def run_steps(running: deployment.Deployment) -> Problems:
     """Run all steps and return the failed checks."""
     teams = list(running.keys)
-    wrong: Wrong = []
-    for number, (title, scene) in enumerate(_SCENES, 1):
+    problems: Problems = []
+    for number, (title, step) in enumerate(_STEPS, 1):
         team = teams[number % len(teams)]
-        _say(f'\n{number}. {title} (team {team})')
-        found = scene(running, team)
+        _print(f'\n{number}. {title} (team {team})')
+        found = step(running, team)
         for problem in found:
-            _say(f'   WRONG: {problem}')
-        wrong += found
-    return wrong
+            _print(f'   WRONG: {problem}')
+        problems += found
+    return problems
 
 
 def print_start(running: deployment.Deployment, seconds: float) -> None:
@@ -280,19 +286,21 @@
     counts = ', '.join(
         f'{roles.count(role)} {role}' for role in dict.fromkeys(roles)
     )
-    _say(f'{plan.blueprint.name}: {len(roles)} processes ({counts})')
+    _print(f'{plan.blueprint.name}: {len(roles)} processes ({counts})')
     domains = ', '.join(plan.blueprint.failure_domains)
-    _say(f'failure domains: {domains}; ready after {seconds:.1f} s')
+    _print(f'failure domains: {domains}; ready after {seconds:.1f} s')
 
 
 def print_end(
-    running: deployment.Deployment, wrong: Wrong, seconds: float
+    running: deployment.Deployment, problems: Problems, seconds: float
 ) -> None:
     """Print the result after the stop of all processes."""
     left = [p.name for p in running.started.values() if p.is_running]
-    _say(f'\nstopped all {len(running.started)} processes, left: {left}')
-    verdict = f'{len(wrong)} wrong' if wrong else 'every step as promised'
-    _say(f'{verdict}, {seconds:.1f} s in all')
+    _print(f'\nstopped all {len(running.started)} processes, left: {left}')
+    verdict = (
+        f'{len(problems)} wrong' if problems else 'every step as promised'
+    )
+    _print(f'{verdict}, {seconds:.1f} s in all')
 
 
 def print_commands(running: deployment.Deployment) -> None:
@@ -301,9 +309,9 @@
     key = next(iter(running.keys.values()))
     auth = f"-H 'Authorization: Bearer {key}'"
     prompt = f'"model": "{running.model}", "prompt": "{SPECIALS}"'
-    _say(f"\ncurl -N {url}/v1/completions {auth} \\")
-    _say(f"  -d '{{{prompt}, \"max_tokens\": 16, \"stream\": true}}'")
-    _say(f'\ncurl {url}{running.non_idempotent_path} {auth} \\')
-    _say("  -H 'Idempotency-Key: order-1' -d '{\"screens\": 12}'")
+    _print(f"\ncurl -N {url}/v1/completions {auth} \\")
+    _print(f"  -d '{{{prompt}, \"max_tokens\": 16, \"stream\": true}}'")
+    _print(f'\ncurl {url}{running.non_idempotent_path} {auth} \\')
+    _print("  -H 'Idempotency-Key: order-1' -d '{\"screens\": 12}'")
     admin = running.plan.entries[0].admin_url
-    _say(f'\ncurl {admin}/debug/state')
+    _print(f'\ncurl {admin}/debug/state')
--- a/packages/trials/src/dunlintide_trials/direct.py
+++ b/packages/trials/src/dunlintide_trials/direct.py
@@ -12,13 +12,13 @@
 
 from dunlintide_trials import deployment
 
-__all__ = ['Chain', 'Times']
+__all__ = ['Chain', 'Latencies']
 
 _MS = 1000.0
 
 
 @attrs.frozen
-class Times:
+class Latencies:
     """Latencies of one request, in milliseconds.
 
     :ivar first: time to the first token
@@ -29,14 +29,16 @@
     between: float
 
     @classmethod
-    def from_moments(cls, start: float, moments: list[float]) -> 'Times':
+    def from_token_times(
+        cls, start: float, token_times: list[float]
+    ) -> 'Latencies':
         """Compute the latencies from monotonic times.
 
         :param start: time of the request in seconds
         :param moments: time of each token in seconds
         """
-        span = (moments[-1] - moments[0]) / (len(moments) - 1)
-        return cls((moments[0] - start) * _MS, span * _MS)
+        span = (token_times[-1] - token_times[0]) / (len(token_times) - 1)
+        return cls((token_times[0] - start) * _MS, span * _MS)
 
 
 class Chain:
@@ -55,7 +57,7 @@
         self._http = urllib3.PoolManager(retries=False)
 
     @classmethod
-    def from_first(
+    def from_first_engines(
         cls, running: deployment.Deployment, prompt: str, tokens: int
     ) -> 'Chain':
         """Build a chain from the first engine of each layer range."""
@@ -97,22 +99,22 @@
             span = {'activations': result.get('activations')}
         return result['token']
 
-    def run(self, session: str) -> Times:
+    def run(self, session: str) -> Latencies:
         """Run one request to its end.
 
         :param session: unique id of its session at the engines
         """
         start = time.monotonic()
-        moments = []
+        token_times = []
         position = 0
         span: dict = {'prompt': self._prompt}
         size = len(self._prompt.split())
         for _ in range(self._tokens):
             token = self._run_stages(session, position, span)
-            moments.append(time.monotonic())
+            token_times.append(time.monotonic())
             position += size
             size = 1
             span = {'tokens': [token['id']]}
         for url in self._urls:
             self._http.request('DELETE', f'{url}/v1/sessions/{session}')
-        return Times.from_moments(start, moments)
+        return Latencies.from_token_times(start, token_times)
--- a/packages/trials/src/dunlintide_trials/edge/faults.py
+++ b/packages/trials/src/dunlintide_trials/edge/faults.py
@@ -10,91 +10,91 @@
 from typing import Callable
 
 from dunlintide_standins.fleet import operators
-from dunlintide_trials.edge import soakscene as fields
+from dunlintide_trials.edge import soakscene
 
 __all__ = ['FAULTS']
 
 # Minimum and maximum seconds of the store's outage before it is restored
 # from a backup.
-DRILL_SECONDS = (0.0, 1.5)
+OUTAGE_SECONDS = (0.0, 1.5)
 
 Heal = Callable[[], None]
-Fault = Callable[['fields.Field', random.Random], Heal]
+Fault = Callable[['soakscene.SoakScene', random.Random], Heal]
 
 
 def _do_nothing() -> None:
     """Revert a fault that ends without help."""
 
 
-def kill_entry(field: fields.Field, draw: random.Random) -> Heal:
+def kill_entry(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Kill an entry and restart it later."""
-    entry = draw.choice(field.scene.entries)
-    field.note_entry(entry)
+    entry = rng.choice(soak.scene.entries)
+    soak.record_entry_fault(entry)
     entry.stop()
-    return lambda: field.restart(entry)
+    return lambda: soak.restart(entry)
 
 
-def kill_entries(field: fields.Field, draw: random.Random) -> Heal:
+def kill_entries(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Kill all entries at the same moment."""
-    for entry in field.scene.entries:
-        field.note_entry(entry)
+    for entry in soak.scene.entries:
+        soak.record_entry_fault(entry)
         entry.stop()
 
     def heal() -> None:
-        for entry in field.scene.entries:
-            field.restart(entry)
+        for entry in soak.scene.entries:
+            soak.restart(entry)
 
     return heal
 
 
-def pause_entry(field: fields.Field, draw: random.Random) -> Heal:
+def pause_entry(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Suspend an entry."""
-    entry = draw.choice(field.scene.entries)
-    field.note_entry(entry)
-    field.signal(entry, signal.SIGSTOP)
-    return lambda: field.signal(entry, signal.SIGCONT)
+    entry = rng.choice(soak.scene.entries)
+    soak.record_entry_fault(entry)
+    soak.signal(entry, signal.SIGSTOP)
+    return lambda: soak.signal(entry, signal.SIGCONT)
 
 
-def stop_entry(field: fields.Field, draw: random.Random) -> Heal:
+def stop_entry(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Stop an entry gracefully and restart it later."""
-    entry = draw.choice(field.scene.entries)
-    field.note_entry(entry)
-    field.signal(entry, signal.SIGTERM)
-    return lambda: field.restart(entry)
+    entry = rng.choice(soak.scene.entries)
+    soak.record_entry_fault(entry)
+    soak.signal(entry, signal.SIGTERM)
+    return lambda: soak.restart(entry)
 
 
-def reload_entry(field: fields.Field, draw: random.Random) -> Heal:
+def reload_entry(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Reload an entry's settings, which are sometimes invalid."""
-    entry = draw.choice(field.scene.entries)
-    entry.write_settings('{' if draw.random() < 0.3 else None)
-    field.signal(entry, signal.SIGHUP)
+    entry = rng.choice(soak.scene.entries)
+    entry.write_settings('{' if rng.random() < 0.3 else None)
+    soak.signal(entry, signal.SIGHUP)
     return entry.write_settings
 
 
-def cut_entry(field: fields.Field, draw: random.Random) -> Heal:
+def cut_entry(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Stall or reset an entry's connections to the store."""
-    relay = draw.choice(list(field.relays.values()))
-    field.note_store()
-    if draw.random() < 0.3:
+    relay = rng.choice(list(soak.relays.values()))
+    soak.record_store_fault()
+    if rng.random() < 0.3:
         relay.cut()
         return _do_nothing
-    relay.stall(new=draw.random() < 0.5)
+    relay.stall(new=rng.random() < 0.5)
     return relay.resume
 
 
-def slow_entry(field: fields.Field, draw: random.Random) -> Heal:
+def slow_entry(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Delay the data between an entry and the store."""
-    relay = draw.choice(list(field.relays.values()))
-    field.note_store()
+    relay = rng.choice(list(soak.relays.values()))
+    soak.record_store_fault()
     relay.shape(delay=0.3)
     return lambda: relay.shape(delay=0.0)
 
 
-def spoil_store(field: fields.Field, draw: random.Random) -> Heal:
+def disturb_store(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Make the store refuse, hang, respond slowly or drop responses."""
-    faults = field.scene.store.faults
-    field.note_store()
-    kind = draw.choice(('refuse', 'busy', 'silent', 'slow', 'lose', 'late'))
+    faults = soak.scene.store.faults
+    soak.record_store_fault()
+    kind = rng.choice(('refuse', 'busy', 'silent', 'slow', 'lose', 'late'))
     if kind == 'refuse':
         faults.refuse = 503
     elif kind == 'busy':
@@ -104,7 +104,7 @@
     elif kind == 'slow':
         faults.slow = 0.25
     else:
-        faults.lose = draw.randint(1, 5)
+        faults.lose = rng.randint(1, 5)
         faults.late = 2.0 if kind == 'late' else 0.0
 
     def heal() -> None:
@@ -113,107 +113,111 @@
     return heal
 
 
-def compact_store(field: fields.Field, draw: random.Random) -> Heal:
+def compact_store(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Compact the history of the store."""
-    field.scene.loop.loop.call_soon_threadsafe(field.scene.store.compact)
+    soak.scene.loop.loop.call_soon_threadsafe(soak.scene.store.compact)
     return _do_nothing
 
 
-def drill_store(field: fields.Field, draw: random.Random) -> Heal:
+def restore_store(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Back up the store now and restore the backup later."""
-    store = field.scene.store
-    field.note_store()
-    field.scene.loop.loop.call_soon_threadsafe(store.copy)
+    store = soak.scene.store
+    soak.record_store_fault()
+    soak.scene.loop.loop.call_soon_threadsafe(store.copy)
 
     def heal() -> None:
-        field.note_store()
+        soak.record_store_fault()
         store.faults.away = True
-        field.scene.run(store.come_back())
-        time.sleep(draw.uniform(*DRILL_SECONDS))
+        soak.scene.run(store.come_back())
+        time.sleep(rng.uniform(*OUTAGE_SECONDS))
         store.faults.away = False
-        field.scene.run(store.write_again())
+        soak.scene.run(store.write_again())
 
     return heal
 
 
-def crash_endpoint(field: fields.Field, draw: random.Random) -> Heal:
+def crash_endpoint(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Crash an endpoint, half the time without removing its store entry."""
-    runner = draw.choice(field.scene.fleet.runners)
-    if not field.take(runner):
+    runner = rng.choice(soak.scene.fleet.runners)
+    if not soak.reserve(runner):
         return _do_nothing
-    field.scene.run(runner.crash(listed=draw.random() < 0.5))
+    soak.scene.run(runner.crash(listed=rng.random() < 0.5))
 
     def heal() -> None:
-        field.scene.run(field.scene.store.remove(runner.key))
-        field.scene.run(runner.start())
-        field.give_back(runner)
+        soak.scene.run(soak.scene.store.remove(runner.key))
+        soak.scene.run(runner.start())
+        soak.release(runner)
 
     return heal
 
 
-def drain_endpoint(field: fields.Field, draw: random.Random) -> Heal:
+def drain_endpoint(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Drain an endpoint and start a new incarnation of it later."""
-    runner = draw.choice(field.scene.fleet.runners)
-    if not field.take(runner):
+    runner = rng.choice(soak.scene.fleet.runners)
+    if not soak.reserve(runner):
         return _do_nothing
-    field.note_drain(runner)
-    field.scene.run(runner.list_itself('draining'))
+    soak.record_drain(runner)
+    soak.scene.run(runner.list_itself('draining'))
 
     def heal() -> None:
-        field.scene.run(runner.crash(listed=False))
-        field.scene.run(runner.start())
-        field.give_back(runner)
+        soak.scene.run(runner.crash(listed=False))
+        soak.scene.run(runner.start())
+        soak.release(runner)
 
     return heal
 
 
-def _spoil_one(field: fields.Field, draw: random.Random, name: str) -> Heal:
+def _switch_fault(
+    soak: soakscene.SoakScene, rng: random.Random, name: str
+) -> Heal:
     """Switch a fault of a random endpoint on until it is reverted."""
-    runner = draw.choice(field.scene.fleet.runners)
+    runner = rng.choice(soak.scene.fleet.runners)
     setattr(runner.faults, name, True)
     return lambda: setattr(runner.faults, name, False)
 
 
-def stall_endpoint(field: fields.Field, draw: random.Random) -> Heal:
+def stall_endpoint(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Stall the requests that run at an endpoint."""
-    return _spoil_one(field, draw, 'stall')
+    return _switch_fault(soak, rng, 'stall')
 
 
-def spoil_endpoint(field: fields.Field, draw: random.Random) -> Heal:
+def corrupt_endpoint(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Make endpoints fail, drop, truncate or corrupt some responses."""
-    name = draw.choice(('fail', 'lose', 'cut', 'extra', 'unframed'))
-    for runner in field.scene.fleet.runners:
-        if draw.random() < 0.5:
-            setattr(runner.faults, name, draw.randint(1, 4))
+    name = rng.choice(('fail', 'lose', 'cut', 'extra', 'unframed'))
+    for runner in soak.scene.fleet.runners:
+        if rng.random() < 0.5:
+            setattr(runner.faults, name, rng.randint(1, 4))
     return _do_nothing
 
 
-def fill_endpoint(field: fields.Field, draw: random.Random) -> Heal:
+def fill_endpoint(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Make an endpoint refuse requests as full."""
-    return _spoil_one(field, draw, 'full')
+    return _switch_fault(soak, rng, 'full')
 
 
-def limit_endpoint(field: fields.Field, draw: random.Random) -> Heal:
+def limit_endpoint(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Change or remove the rate limit that an endpoint announces."""
-    runner = draw.choice(field.scene.fleet.runners)
-    field.set_limit(runner, draw.choice((None, 1.0, 3.0, 8.0)))
+    runner = rng.choice(soak.scene.fleet.runners)
+    soak.set_limit(runner, rng.choice((None, 1.0, 3.0, 8.0)))
     return _do_nothing
 
 
-def delay_orders(field: fields.Field, draw: random.Random) -> Heal:
+def delay_orders(soak: soakscene.SoakScene, rng: random.Random) -> Heal:
     """Make engines execute their next order late and without a reply."""
-    for engine in field.scene.list_engines():
+    for engine in soak.scene.list_engines():
         engine.faults.lose_orders = 1
-        engine.faults.order_delay = draw.uniform(0.5, 3.0)
+        engine.faults.order_delay = rng.uniform(0.5, 3.0)
     return _do_nothing
 
 
-def change_configuration(field: fields.Field, draw: random.Random) -> Heal:
+def change_configuration(
+    soak: soakscene.SoakScene, rng: random.Random
+) -> Heal:
     """Write several configuration versions in quick succession."""
-    for _ in range(draw.randint(1, 4)):
-        field.version += draw.randint(1, 5)
-        found = operators.make_configuration(field.version)
-        field.scene.configure(operators.shuffle_routes(found, draw))
+    for _ in range(rng.randint(1, 4)):
+        soak.version += rng.randint(1, 5)
+        found = operators.make_configuration(soak.version)
+        soak.scene.configure(operators.shuffle_routes(found, rng))
     return _do_nothing
 
 
@@ -225,13 +229,13 @@
     reload_entry,
     cut_entry,
     slow_entry,
-    spoil_store,
+    disturb_store,
     compact_store,
-    drill_store,
+    restore_store,
     crash_endpoint,
     drain_endpoint,
     stall_endpoint,
-    spoil_endpoint,
+    corrupt_endpoint,
     fill_endpoint,
     limit_endpoint,
     delay_orders,
--- a/packages/trials/src/dunlintide_trials/edge/promises.py
+++ b/packages/trials/src/dunlintide_trials/edge/promises.py
@@ -3,16 +3,16 @@
 from typing import Iterator
 
 from dunlintide_standins.fleet import operators
-from dunlintide_trials.edge import soakscene as fields
+from dunlintide_trials.edge import soakscene
 from dunlintide_trials.edge import windows
 
-__all__ = ['list_broken']
+__all__ = ['list_violations']
 
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 # Maximum seconds until all connected entries stop sending requests to a
 # draining endpoint, and seconds for which a fault may disconnect an entry.
 DRAIN_SECONDS = 2.0
-TROUBLE_SECONDS = 10.0
+DISCONNECT_SECONDS = 10.0
 
 
 def _build_events(name: str, first: int, last: int) -> bytes:
@@ -22,63 +22,71 @@
     )
 
 
-def _check_stream(asked: fields.Asked) -> Iterator[str]:
-    if asked.status != 200:
+def _check_stream(request: soakscene.SentRequest) -> Iterator[str]:
+    if request.status != 200:
         return
-    expected = _build_events(asked.name, 1, asked.count)
-    if asked.whole and asked.body != expected:
+    expected = _build_events(request.name, 1, request.count)
+    if request.is_complete and request.body != expected:
         yield (
-            f'{asked.name}: complete, but not the expected {asked.count}'
+            f'{request.name}: complete, but not the expected {request.count}'
             ' events'
         )
-    if not expected.startswith(asked.body):
+    if not expected.startswith(request.body):
         yield (
-            f'{asked.name}: events missing, repeated or from another request'
+            f'{request.name}: events missing, repeated or from another request'
         )
 
 
-def _check_call(asked: fields.Asked) -> Iterator[str]:
-    if asked.status != 200 or not asked.whole:
+def _check_call(request: soakscene.SentRequest) -> Iterator[str]:
+    if request.status != 200 or not request.is_complete:
         return
-    if asked.body != b'answer to ' + asked.name.encode():
-        yield f'{asked.name}: unexpected body {asked.body[:60]!r}'
+    if request.body != b'answer to ' + request.name.encode():
+        yield f'{request.name}: unexpected body {request.body[:60]!r}'
 
 
-def _check_runs(field: fields.Field, asked: fields.Asked) -> Iterator[str]:
-    runs = field.scene.fleet.list_runs(asked.name)
-    if asked.kind == fields.ONCE and len(runs) > 1:
-        yield f'{asked.name}: may run once, ran {len(runs)} times'
-    if asked.kind != fields.REPEATABLE and asked.status in NOT_RUN and runs:
-        if asked.kind == fields.ONCE:
-            yield f'{asked.name}: told {asked.status}, but ran'
+def _check_runs(
+    soak: soakscene.SoakScene, request: soakscene.SentRequest
+) -> Iterator[str]:
+    runs = soak.scene.fleet.list_runs(request.name)
+    if request.kind == soakscene.ONCE and len(runs) > 1:
+        yield f'{request.name}: may run once, ran {len(runs)} times'
+    if (
+        request.kind != soakscene.REPEATABLE
+        and request.status in NOT_RUN_STATUSES
+        and runs
+    ):
+        if request.kind == soakscene.ONCE:
+            yield f'{request.name}: told {request.status}, but ran'
     for run in runs:
-        yield from _check_run(asked, run)
+        yield from _check_run(request, run)
 
 
-def _check_run(asked: fields.Asked, run) -> Iterator[str]:
+def _check_run(request: soakscene.SentRequest, run) -> Iterator[str]:
     if run.headers.get('tenant') != 'diner':
-        yield f'{asked.name}: ran for team {run.headers.get("tenant")}'
+        yield f'{request.name}: ran for team {run.headers.get("tenant")}'
     if 'authorization' in run.headers:
-        yield f'{asked.name}: the API key reached an endpoint'
+        yield f'{request.name}: the API key reached an endpoint'
     position = 0
     for _, first, last in run.hops:
         if first != position:
-            yield f'{asked.name}: gap or overlap of layers in {run.hops}'
+            yield f'{request.name}: gap or overlap of layers in {run.hops}'
             return
         position = last
     if run.hops and position != operators.LAYERS:
-        yield f'{asked.name}: not all {operators.LAYERS} layers in {run.hops}'
+        yield (
+            f'{request.name}: not all {operators.LAYERS} layers in {run.hops}'
+        )
 
 
-def _check_drains(field: fields.Field) -> Iterator[str]:
-    troubles = field.store_troubles + field.entry_troubles
-    for name, began in field.drains:
+def _check_drains(soak: soakscene.SoakScene) -> Iterator[str]:
+    fault_times = soak.store_fault_times + soak.entry_fault_times
+    for name, began in soak.drains:
         if any(
-            began - TROUBLE_SECONDS < at < began + TROUBLE_SECONDS
-            for at in troubles
+            began - DISCONNECT_SECONDS < at < began + DISCONNECT_SECONDS
+            for at in fault_times
         ):
             continue
-        for runner in field.scene.fleet.runners:
+        for runner in soak.scene.fleet.runners:
             for run in runner.runs:
                 if run.runner == name and run.began > began + DRAIN_SECONDS:
                     late = run.began - began
@@ -89,40 +97,43 @@
 
 
 def _check_limit(
-    field: fields.Field, limited: fields.Limited
+    soak: soakscene.SoakScene, period: soakscene.LimitPeriod
 ) -> Iterator[str]:
     """Check the request rate in windows without a fault of an entry."""
-    first = limited.since + windows.STABLE_SECONDS
+    first = period.since + windows.STABLE_SECONDS
     inside = [
-        at for at in limited.runner.arrivals if first <= at < limited.until
+        at for at in period.runner.arrivals if first <= at < period.until
     ]
     for start in inside:
         end = start + windows.WINDOW_SECONDS
-        if end > limited.until or any(
-            start - TROUBLE_SECONDS < at < end for at in field.entry_troubles
+        if end > period.until or any(
+            start - DISCONNECT_SECONDS < at < end
+            for at in soak.entry_fault_times
         ):
             continue
         count = sum(start <= at < end for at in inside)
-        allowed = windows.count_allowed(limited.limit)
+        allowed = windows.compute_max_requests(period.limit)
         if count > allowed:
             yield (
-                f'{limited.runner.name}: {count} requests in a window,'
+                f'{period.runner.name}: {count} requests in a window,'
                 f' {allowed:.0f} allowed'
             )
             return
 
 
-def list_broken(field: fields.Field) -> list[str]:
+def list_violations(soak: soakscene.SoakScene) -> list[str]:
     """List the violations of guarantees, one line each."""
-    broken = []
-    for asked in field.asked:
-        check = _check_stream if asked.kind == fields.STREAM else _check_call
-        broken += check(asked)
-        broken += _check_runs(field, asked)
-    broken += _check_drains(field)
-    for limited in field.limits:
-        broken += _check_limit(field, limited)
-    for runner in field.scene.fleet.runners:
+    violations = []
+    for request in soak.requests:
+        check = (
+            _check_stream if request.kind == soakscene.STREAM else _check_call
+        )
+        violations += check(request)
+        violations += _check_runs(soak, request)
+    violations += _check_drains(soak)
+    for period in soak.limits:
+        violations += _check_limit(soak, period)
+    for runner in soak.scene.fleet.runners:
         if runner.overloaded:
-            broken.append(f'{runner.name}: ordered more layers than fit')
-    return broken
+            violations.append(f'{runner.name}: ordered more layers than fit')
+    return violations
--- a/packages/trials/src/dunlintide_trials/edge/soak.py
+++ b/packages/trials/src/dunlintide_trials/edge/soak.py
@@ -17,7 +17,7 @@
 
 from dunlintide_trials.edge import faults
 from dunlintide_trials.edge import promises
-from dunlintide_trials.edge import soakscene as fields
+from dunlintide_trials.edge import soakscene
 from dunlintide_trials import ports
 
 __all__ = ['main', 'run']
@@ -26,68 +26,70 @@
 EXIT_BROKEN = 1
 # Minimum and maximum seconds between the starts of two faults, and of the
 # duration of a fault. The values make faults overlap and come in series.
-GAP_SECONDS = (0.1, 1.2)
+FAULT_GAP_SECONDS = (0.1, 1.2)
 FAULT_SECONDS = (0.3, 4.0)
 # Maximum seconds from the last fault until all entries serve.
 RECOVERY_SECONDS = 15.0
 # Consecutive requests that must succeed after the recovery.
-SOUND_REQUESTS = 20
+RECOVERY_REQUESTS = 20
 
 
-def _harm(field: fields.Field, draw: random.Random, seconds: float) -> int:
+def _inject_faults(
+    soak: soakscene.SoakScene, rng: random.Random, seconds: float
+) -> int:
     """Inject faults for some seconds, then revert all of them.
 
     :returns: number of faults
     """
     end = time.monotonic() + seconds
-    healing: list[tuple[float, int, faults.Heal]] = []
+    active: list[tuple[float, int, faults.Heal]] = []
     count = 0
     while time.monotonic() < end:
         now = time.monotonic()
-        due = [each for each in healing if each[0] <= now]
+        due = [each for each in active if each[0] <= now]
         for each in due:
-            healing.remove(each)
+            active.remove(each)
             each[2]()
-        fault = draw.choice(faults.FAULTS)
+        fault = rng.choice(faults.FAULTS)
         count += 1
-        heal = fault(field, draw)
-        healing.append((now + draw.uniform(*FAULT_SECONDS), count, heal))
-        time.sleep(draw.uniform(*GAP_SECONDS))
-    for _, _, heal in sorted(healing, key=lambda each: each[1]):
+        heal = fault(soak, rng)
+        active.append((now + rng.uniform(*FAULT_SECONDS), count, heal))
+        time.sleep(rng.uniform(*FAULT_GAP_SECONDS))
+    for _, _, heal in sorted(active, key=lambda each: each[1]):
         heal()
-    field.end_limits()
+    soak.end_limits()
     return count
 
 
-def _recover(field: fields.Field) -> list[str]:
+def _wait_recovered(soak: soakscene.SoakScene) -> list[str]:
     """Wait until all entries serve again.
 
     :returns: problems of the recovery
     """
-    for entry in field.scene.entries:
+    for entry in soak.scene.entries:
         entry.write_settings()
         if entry.process.poll() is not None:
             entry.start()
     end = time.monotonic() + RECOVERY_SECONDS
-    good = 0
-    while good < SOUND_REQUESTS and time.monotonic() < end:
-        entry = field.scene.entries[good % len(field.scene.entries)]
+    succeeded = 0
+    while succeeded < RECOVERY_REQUESTS and time.monotonic() < end:
+        entry = soak.scene.entries[succeeded % len(soak.scene.entries)]
         try:
             answer = entry.call(f'sound-{time.monotonic_ns()}', '/lists/x')
-            good = good + 1 if answer.status == 200 else 0
+            succeeded = succeeded + 1 if answer.status == 200 else 0
         except (OSError, ValueError):
-            good = 0
-        if not good:
+            succeeded = 0
+        if not succeeded:
             time.sleep(0.1)
-    if good < SOUND_REQUESTS:
+    if succeeded < RECOVERY_REQUESTS:
         return [
-            f'{good} of {SOUND_REQUESTS} consecutive requests succeeded'
-            f' within {RECOVERY_SECONDS} s after the faults'
+            f'{succeeded} of {RECOVERY_REQUESTS} consecutive requests'
+            f' succeeded within {RECOVERY_SECONDS} s after the faults'
         ]
-    return _check_versions(field, end)
+    return _check_versions(soak, end)
 
 
-def _check_versions(field: fields.Field, end: float) -> list[str]:
+def _check_versions(soak: soakscene.SoakScene, end: float) -> list[str]:
     """Wait until the newest configuration is in force on all entries.
 
     :param end: monotonic time of the timeout in seconds
@@ -95,10 +97,10 @@
     """
     while True:
         old = []
-        for entry in field.scene.entries:
+        for entry in soak.scene.entries:
             version = entry.read_state()['configuration']['revision']
-            if version != field.version:
-                old.append(f'{entry.name}: {version}, not {field.version}')
+            if version != soak.version:
+                old.append(f'{entry.name}: {version}, not {soak.version}')
         if not old or time.monotonic() >= end:
             return old
         time.sleep(0.1)
@@ -109,24 +111,24 @@
 
     :returns: counts, with the violations under ``broken``
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     with contextlib.ExitStack() as stack:
-        field = fields.Field(ports.pick_ports, folder, stack)
-        field.start_callers(CALLERS, seed)
-        stack.callback(field.stop_callers)
-        count = _harm(field, draw, seconds)
-        broken = _recover(field)
-        field.stop_callers()
-        broken += promises.list_broken(field)
+        soak = soakscene.SoakScene(ports.pick_ports, folder, stack)
+        soak.start_callers(CALLERS, seed)
+        stack.callback(soak.stop_callers)
+        count = _inject_faults(soak, rng, seconds)
+        violations = _wait_recovered(soak)
+        soak.stop_callers()
+        violations += promises.list_violations(soak)
         statuses = collections.Counter(
-            f'{asked.kind} {asked.status}' for asked in field.asked
+            f'{request.kind} {request.status}' for request in soak.requests
         )
     return {
         'seed': seed,
         'faults': count,
-        'requests': len(field.asked),
+        'requests': len(soak.requests),
         'statuses': dict(sorted(statuses.items())),
-        'broken': broken,
+        'broken': violations,
     }
 
 
--- a/packages/trials/src/dunlintide_trials/edge/soakscene.py
+++ b/packages/trials/src/dunlintide_trials/edge/soakscene.py
@@ -17,7 +17,7 @@
 from dunlintide_standins import relay as relay_module
 from dunlintide_trials.edge import scene as scenes
 
-__all__ = ['Asked', 'Field', 'Limited']
+__all__ = ['LimitPeriod', 'SentRequest', 'SoakScene']
 
 DOMAINS = ('a', 'b')
 ENTRIES = ('one', 'two', 'three')
@@ -29,25 +29,25 @@
 
 
 @attrs.define
-class Asked:
+class SentRequest:
     """A request and its response as its caller saw it.
 
     :ivar kind: ``STREAM``, ``ONCE`` or ``REPEATABLE``
     :ivar count: number of events that a stream was asked for
     :ivar status: HTTP status, 0 without a response
-    :ivar whole: whether the response was complete
+    :ivar is_complete: whether the response was complete
     """
 
     name: str
     kind: str
     count: int
     status: int = 0
-    whole: bool = False
+    is_complete: bool = False
     body: bytes = b''
 
 
 @attrs.define
-class Limited:
+class LimitPeriod:
     """Period in which an endpoint announced one rate limit.
 
     :ivar limit: requests per second
@@ -61,15 +61,15 @@
     until: float | None = None
 
 
-class Field:
+class SoakScene:
     """Entries with relays to the store, endpoints and callers.
 
     :ivar scene: the deployment
     :ivar version: version of the newest configuration
-    :ivar asked: all requests in the order of their starts
+    :ivar requests: all requests in the order of their starts
     :ivar relays: relay to the store by name of the entry
-    :ivar store_troubles: monotonic times of faults of the store
-    :ivar entry_troubles: monotonic times of faults of entries
+    :ivar store_fault_times: monotonic times of faults of the store
+    :ivar entry_fault_times: monotonic times of faults of entries
     :ivar drains: name of each drained endpoint and monotonic time
     :ivar limits: rate limits that endpoints announced
     """
@@ -83,17 +83,17 @@
         self.scene = scenes.Scene(pick_ports, folder)
         stack.callback(self.scene.close)
         self.version = 7
-        self.asked: list[Asked] = []
+        self.requests: list[SentRequest] = []
         self.relays: dict[str, relay_module.Relay] = {}
-        self.store_troubles: list[float] = []
-        self.entry_troubles: list[float] = []
+        self.store_fault_times: list[float] = []
+        self.entry_fault_times: list[float] = []
         self.drains: list[tuple[str, float]] = []
-        self.limits: list[Limited] = []
-        self._taken: set[runners_module.Runner] = set()
+        self.limits: list[LimitPeriod] = []
+        self._reserved: set[runners_module.Runner] = set()
         self._lock = threading.Lock()
-        self._numbers = 0
+        self._request_count = 0
         self._stopped = threading.Event()
-        self._callers: list[threading.Thread] = []
+        self._threads: list[threading.Thread] = []
         self._start(stack)
 
     def _start(self, stack: contextlib.ExitStack) -> None:
@@ -127,15 +127,15 @@
         entry.stop()
         entry.start()
 
-    def note_store(self) -> None:
+    def record_store_fault(self) -> None:
         """Record the time of a fault of the store."""
-        self.store_troubles.append(time.monotonic())
+        self.store_fault_times.append(time.monotonic())
 
-    def note_entry(self, entry: scenes.Entry) -> None:
+    def record_entry_fault(self, entry: scenes.Entry) -> None:
         """Record the time of a fault of an entry."""
-        self.entry_troubles.append(time.monotonic())
+        self.entry_fault_times.append(time.monotonic())
 
-    def note_drain(self, runner: runners_module.Runner) -> None:
+    def record_drain(self, runner: runners_module.Runner) -> None:
         """Record the time at which an endpoint starts to drain."""
         self.drains.append((runner.name, time.monotonic()))
 
@@ -144,19 +144,19 @@
     ) -> None:
         """Set the rate limit that an endpoint announces, None for none."""
         now = time.monotonic()
-        for limited in self.limits:
-            if limited.runner is runner and limited.until is None:
-                limited.until = now
+        for period in self.limits:
+            if period.runner is runner and period.until is None:
+                period.until = now
         runner.faults.rate_limit = limit
         if limit is not None:
-            self.limits.append(Limited(runner, limit, now))
+            self.limits.append(LimitPeriod(runner, limit, now))
 
     def end_limits(self) -> None:
         """Remove the rate limits of all endpoints."""
         for runner in self.scene.fleet.runners:
             self.set_limit(runner, None)
 
-    def take(self, runner: runners_module.Runner) -> bool:
+    def reserve(self, runner: runners_module.Runner) -> bool:
         """Reserve an endpoint for a fault.
 
         At most half of the endpoints of the same kind and service can be
@@ -164,20 +164,20 @@
 
         :returns: whether the endpoint was reserved
         """
-        alike = [
+        same_kind = [
             each
             for each in self.scene.fleet.runners
             if each.kind == runner.kind and each.service == runner.service
         ]
-        taken = [each for each in alike if each in self._taken]
-        if runner in self._taken or 2 * len(taken) + 2 > len(alike):
+        reserved = [each for each in same_kind if each in self._reserved]
+        if runner in self._reserved or 2 * len(reserved) + 2 > len(same_kind):
             return False
-        self._taken.add(runner)
+        self._reserved.add(runner)
         return True
 
-    def give_back(self, runner: runners_module.Runner) -> None:
+    def release(self, runner: runners_module.Runner) -> None:
         """Make an endpoint available to other faults again."""
-        self._taken.discard(runner)
+        self._reserved.discard(runner)
 
     # Methods for callers.
 
@@ -188,21 +188,21 @@
         :param seed: seed of their random generators
         """
         for index in range(count):
-            draw = random.Random(f'{seed}/{index}')
-            thread = threading.Thread(target=self._ask_on, args=(draw,))
+            rng = random.Random(f'{seed}/{index}')
+            thread = threading.Thread(target=self._run_caller, args=(rng,))
             thread.start()
-            self._callers.append(thread)
+            self._threads.append(thread)
 
     def stop_callers(self) -> None:
         """Stop sending and wait for outstanding responses."""
         self._stopped.set()
-        for thread in self._callers:
+        for thread in self._threads:
             thread.join()
 
-    def _ask_on(self, draw: random.Random) -> None:
+    def _run_caller(self, rng: random.Random) -> None:
         while not self._stopped.is_set():
-            entry = draw.choice(self.scene.entries)
-            kept = draw.randint(1, 6)
+            entry = rng.choice(self.scene.entries)
+            remaining = rng.randint(1, 6)
             try:
                 caller = callers.Caller(entry.listen)
             except OSError:
@@ -211,38 +211,38 @@
             # A connection is reused for several requests unless the entry
             # closes it.
             with contextlib.closing(caller):
-                while kept and self.ask(caller, draw):
-                    kept -= 1
-                    time.sleep(draw.uniform(*PAUSE_SECONDS))
+                while remaining and self.send_request(caller, rng):
+                    remaining -= 1
+                    time.sleep(rng.uniform(*PAUSE_SECONDS))
 
-    def _make(self, draw: random.Random) -> Asked:
+    def _make_request(self, rng: random.Random) -> SentRequest:
         with self._lock:
-            self._numbers += 1
-            name = f'r{self._numbers}'
-        kind = draw.choice((STREAM, STREAM, ONCE, REPEATABLE))
-        asked = Asked(name, kind, draw.randint(5, 60))
+            self._request_count += 1
+            name = f'r{self._request_count}'
+        kind = rng.choice((STREAM, STREAM, ONCE, REPEATABLE))
+        request = SentRequest(name, kind, rng.randint(5, 60))
         with self._lock:
-            self.asked.append(asked)
-        return asked
+            self.requests.append(request)
+        return request
 
-    def ask(self, caller: callers.Caller, draw: random.Random) -> bool:
+    def send_request(self, caller: callers.Caller, rng: random.Random) -> bool:
         """Send one request and record its response.
 
         :returns: whether the connection can be reused
         """
-        asked = self._make(draw)
+        request = self._make_request(rng)
         try:
-            if asked.kind == STREAM:
-                data = callers.build_stream(asked.name, asked.count)
+            if request.kind == STREAM:
+                data = callers.build_stream(request.name, request.count)
             else:
-                path = '/orders/x' if asked.kind == ONCE else '/lists/x'
-                data = callers.build_request(asked.name, path)
+                path = '/orders/x' if request.kind == ONCE else '/lists/x'
+                data = callers.build_request(request.name, path)
             caller.send(data)
             answer = caller.read_answer()
         except (OSError, ValueError, IndexError):
             return False
-        asked.status = answer.status
-        asked.whole = answer.whole
-        asked.body = answer.body
+        request.status = answer.status
+        request.is_complete = answer.whole
+        request.body = answer.body
         closes = answer.headers.get('connection') == 'close'
         return answer.whole and not closes
--- a/packages/trials/src/dunlintide_trials/edge/windows.py
+++ b/packages/trials/src/dunlintide_trials/edge/windows.py
@@ -5,8 +5,8 @@
 __all__ = [
     'STABLE_SECONDS',
     'WINDOW_SECONDS',
-    'count_allowed',
-    'count_most',
+    'compute_max_requests',
+    'count_max_requests',
 ]
 
 # Seconds from the announcement of a limit until it is enforced, and length
@@ -15,7 +15,7 @@
 WINDOW_SECONDS = 4.0
 
 
-def count_allowed(limit: float) -> float:
+def compute_max_requests(limit: float) -> float:
     """Return the maximum requests in a window.
 
     :param limit: rate limit in requests per second
@@ -23,15 +23,15 @@
     return 1.5 * limit * WINDOW_SECONDS + 5
 
 
-def count_most(times: Iterable[float]) -> int:
+def count_max_requests(times: Iterable[float]) -> int:
     """Count the requests in the window with the most requests.
 
     :param times: times of the requests in seconds
     """
     ordered = sorted(times)
-    most = first = 0
-    for index, at in enumerate(ordered):
-        while ordered[first] <= at - WINDOW_SECONDS:
-            first += 1
-        most = max(most, index - first + 1)
-    return most
+    maximum = oldest = 0
+    for index, time in enumerate(ordered):
+        while ordered[oldest] <= time - WINDOW_SECONDS:
+            oldest += 1
+        maximum = max(maximum, index - oldest + 1)
+    return maximum
--- a/packages/trials/src/dunlintide_trials/engineload.py
+++ b/packages/trials/src/dunlintide_trials/engineload.py
@@ -17,13 +17,13 @@
 
 __all__ = ['PROFILE', 'EngineLoad']
 
-CARDS = {
+ACCELERATORS = {
     'fast': profiles.Accelerator('fast', 72_000.0, 2.4, 3.2),
     'small': profiles.Accelerator('small', 14_400.0, 5.3, 7.9),
     'slow': profiles.Accelerator('slow', 21_600.0, 16.0, 8.2),
 }
 # Relative number of engines by kind of accelerator.
-_MIX = (('fast', 12), ('small', 63), ('slow', 48))
+_KIND_WEIGHTS = (('fast', 12), ('small', 63), ('slow', 48))
 PROFILE = profiles.EngineProfile(
     layers=80,
     layer_mb=1750.0,
@@ -41,16 +41,16 @@
     loads_at_once=9,
     usual_prompt=780,
     usual_answer=230,
-    accelerators=CARDS,
+    accelerators=ACCELERATORS,
     delays_ms={},
 )
-_TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer // 2
+_MEAN_TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer // 2
 # Maximum requests in flight at an engine.
-_BUSY = 40
+_MAX_RUNNING = 40
 
 
 def _make_engine(index: int, domains: int) -> endpoints_module.Endpoint:
-    kinds = [kind for kind, count in _MIX for _ in range(count)]
+    kinds = [kind for kind, count in _KIND_WEIGHTS for _ in range(count)]
     # Coprime to the number of kinds, so that kinds spread over domains.
     step = 41
     return endpoints_module.Endpoint(
@@ -63,7 +63,7 @@
     )
 
 
-def _hold(placement: layout.Placement) -> endpoints_module.Endpoint:
+def _assign_layers(placement: layout.Placement) -> endpoints_module.Endpoint:
     return attrs.evolve(
         placement.endpoint, start=placement.start, end=placement.end
     )
@@ -95,18 +95,20 @@
         """
         empty = [_make_engine(index, domains) for index in range(count)]
         placements = layout.plan_new(PROFILE, (), empty)
-        engines = list(map(_hold, placements))
-        draw = random.Random(seed)
+        engines = list(map(_assign_layers, placements))
+        rng = random.Random(seed)
         usages = {}
         for engine in engines:
-            running = draw.randrange(_BUSY)
-            held = engine.end - engine.start
-            part = running * _TOKENS * held // 4
-            usages[engine.name] = occupancy.Usage(running, running // 4, part)
+            running = rng.randrange(_MAX_RUNNING)
+            layer_count = engine.end - engine.start
+            cached_tokens = running * _MEAN_TOKENS * layer_count // 4
+            usages[engine.name] = occupancy.Usage(
+                running, running // 4, cached_tokens
+            )
         table = chaintable.ChainTable.from_engines(PROFILE, engines)
         answer = PROFILE.usual_answer
         demand = chains.Demand(
-            PROFILE.usual_prompt, answer, _TOKENS, 'domain-0'
+            PROFILE.usual_prompt, answer, _MEAN_TOKENS, 'domain-0'
         )
         return cls(engines, table, usages, demand)
 
@@ -114,14 +116,16 @@
         """Choose a chain for the typical request."""
         return self.table.choose(self.demand, self.usages)
 
-    def fill(self) -> None:
+    def fill_caches(self) -> None:
         """Mark the KV cache of all engines as full."""
         for engine in self.engines:
-            held = engine.end - engine.start
-            taken = PROFILE.get_cache_capacity(engine.kind, held)
-            self.usages[engine.name] = occupancy.Usage(_BUSY, 0, int(taken))
+            layer_count = engine.end - engine.start
+            used_tokens = PROFILE.get_cache_capacity(engine.kind, layer_count)
+            self.usages[engine.name] = occupancy.Usage(
+                _MAX_RUNNING, 0, int(used_tokens)
+            )
 
-    def scatter(self) -> None:
+    def fragment(self) -> None:
         """Fill caches so that every remaining chain crosses domains.
 
         Even-numbered failure domains have room for the first half of the
@@ -130,11 +134,11 @@
         names = sorted({engine.domain for engine in self.engines})
         half = PROFILE.layers // 2
         for engine in self.engines:
-            even = names.index(engine.domain) % 2 == 0
-            low = engine.start + engine.end < 2 * half
-            held = engine.end - engine.start
-            cache = PROFILE.get_cache_capacity(engine.kind, held)
-            taken = 0 if even == low else cache
+            is_even = names.index(engine.domain) % 2 == 0
+            is_lower_half = engine.start + engine.end < 2 * half
+            layer_count = engine.end - engine.start
+            cache = PROFILE.get_cache_capacity(engine.kind, layer_count)
+            used_tokens = 0 if is_even == is_lower_half else cache
             if engine.start < half < engine.end:
-                taken = 0
-            self.usages[engine.name] = occupancy.Usage(1, 0, int(taken))
+                used_tokens = 0
+            self.usages[engine.name] = occupancy.Usage(1, 0, int(used_tokens))
--- a/packages/trials/src/dunlintide_trials/faultcontext.py
+++ b/packages/trials/src/dunlintide_trials/faultcontext.py
@@ -59,7 +59,7 @@
     """
 
     running: deployment.Deployment
-    runs: records.Records
+    runs: records.RunRecords
     rng: random.Random
     poison_team: str
     monitor: revisionmonitor.RevisionMonitor
@@ -193,11 +193,11 @@
             self.running.control(name, hang=True)
             time.sleep(_SETTLE_SECONDS)
             found = self.running.read_endpoint_runs(name)
-            self.runs.keep(name, found)
+            self.runs.replace_runs(name, found)
         except urllib3.exceptions.HTTPError:
             self.unread_endpoints.append(name)
         process.kill()
-        self.runs.end_life(name)
+        self.runs.note_restart(name)
 
     def handle_crash(self, process: processes.Process) -> bool:
         """Save the records of an engine that a prompt crashed, restart it.
@@ -210,8 +210,8 @@
         self.crashes += record['crashed_by']
         name = process.name
         found = [run | {'endpoint': name} for run in record['runs']]
-        self.runs.keep(name, found)
-        self.runs.end_life(name)
+        self.runs.replace_runs(name, found)
+        self.runs.note_restart(name)
         self.restart(process)
         return True
 
--- a/packages/trials/src/dunlintide_trials/fleets.py
+++ b/packages/trials/src/dunlintide_trials/fleets.py
@@ -60,7 +60,7 @@
     entries = round(size * _ENTRY_SHARE)
     for peer in network.make_peers(entries, size - entries, DOMAINS):
         net.add(peer, [])
-    net.introduce()
+    net.share_membership()
     net.run(_SETTLED_SECONDS)
     return net
 
--- a/packages/trials/src/dunlintide_trials/floods.py
+++ b/packages/trials/src/dunlintide_trials/floods.py
@@ -54,7 +54,7 @@
     read_seconds: float = _READ_SECONDS
 
 
-class _Pace:
+class _Schedule:
     """Schedules requests at a fixed rate and skips missed ones.
 
     :ivar count: requests that were scheduled
@@ -73,31 +73,31 @@
         :returns: number of the request, None after the end of the flood
         """
         with self._lock:
-            moment = max(self._next, time.monotonic())
-            self._next = moment + self._interval
+            due = max(self._next, time.monotonic())
+            self._next = due + self._interval
             self.count += 1
             count = self.count
-        if moment >= self._end:
+        if due >= self._end:
             return None
-        time.sleep(max(0.0, moment - time.monotonic()))
+        time.sleep(max(0.0, due - time.monotonic()))
         return count
 
 
-def _describe(answer: client.Answer) -> str:
+def _name_result(answer: client.Answer) -> str:
     return answer.code or answer.outcome
 
 
 def _run(
     plan: Plan,
     number: int,
-    pace: _Pace,
+    schedule: _Schedule,
     counts: collections.Counter[str],
 ) -> None:
     url = plan.urls[number % len(plan.urls)]
     key = plan.keys[number % len(plan.keys)]
     caller = client.Caller(url, key, read_seconds=plan.read_seconds)
     rng = random.Random(number)
-    while (count := pace.wait()) is not None:
+    while (count := schedule.wait()) is not None:
         words = (f'{count}-{word}' for word in range(plan.prompt_words))
         answer = caller.complete(
             ' '.join(words),
@@ -107,20 +107,20 @@
             idempotency_key=f'flood-{count}' if plan.claims else None,
         )
         # Each thread has a counter of its own, so no lock is needed.
-        counts[_describe(answer)] += 1
+        counts[_name_result(answer)] += 1
     caller.close()
 
 
 def main() -> None:
     """Run the flood that is described on standard input."""
     plan = Plan(**json.load(sys.stdin))
-    pace = _Pace(plan.rate, plan.seconds)
+    schedule = _Schedule(plan.rate, plan.seconds)
     counts: list[collections.Counter[str]] = []
     threads = []
     for number in range(plan.connections):
         counts.append(collections.Counter())
         thread = threading.Thread(
-            target=_run, args=(plan, number, pace, counts[-1]), daemon=True
+            target=_run, args=(plan, number, schedule, counts[-1]), daemon=True
         )
         thread.start()
         threads.append(thread)
--- a/packages/trials/src/dunlintide_trials/launcher.py
+++ b/packages/trials/src/dunlintide_trials/launcher.py
@@ -24,7 +24,7 @@
 
 # Number of processes that start at a time; more compete for the processors
 # without starting sooner.
-_WAVE = 8
+_BATCH_SIZE = 8
 _STOP_SECONDS = 20.0
 
 
@@ -62,11 +62,11 @@
 
     def _start(self, group: list[processes.Process]) -> None:
         self._stack.callback(_stop, group)
-        for start in range(0, len(group), _WAVE):
-            wave = group[start : start + _WAVE]
-            for process in wave:
+        for start in range(0, len(group), _BATCH_SIZE):
+            batch = group[start : start + _BATCH_SIZE]
+            for process in batch:
                 process.start()
-            for process in wave:
+            for process in batch:
                 if process.role not in (deployment.AGENT, deployment.ENTRY):
                     process.wait_ready(
                         lambda one=process: one.find_ready_line() is not None
--- a/packages/trials/src/dunlintide_trials/load.py
+++ b/packages/trials/src/dunlintide_trials/load.py
@@ -18,17 +18,17 @@
 _MAX_TOKENS = 40
 _WORDS = ('fresh', 'peach', 'cobbler', 'brisket', 'diesel', 'fridge', 'drum')
 _PROMPT_WORDS = (3, 40)
-_PAUSE_SECONDS = (0.0, 0.1)
+_GAP_SECONDS = (0.0, 0.1)
 _MAX_REPEATS = 3
-_REPEAT_RATE = 0.4
+_REPEAT_PROBABILITY = 0.4
 _STREAM_SHARE = 0.7
 _KEYED_STREAM_SHARE = 0.35
 # Threads of each group of 16 by kind of request; the remaining one sends
 # idempotent reads.
 _COMPLETE_THREADS = 8
-_KEYED_THREADS = 3
-_ORDER_THREADS = 3
-_ORDER_ONCE_THREADS = 1
+_KEYED_COMPLETE_THREADS = 3
+_KEYED_CALL_THREADS = 3
+_UNKEYED_CALL_THREADS = 1
 
 
 @attrs.frozen
@@ -52,24 +52,28 @@
         identify the call. Without a key from the caller the router may
         generate one, so the request id identifies the call instead.
         """
-        whole = [one for one in self.answers if one.is_complete]
-        wrong = []
-        for answer in whole:
+        complete = [one for one in self.answers if one.is_complete]
+        violations = []
+        for answer in complete:
             echo = json.loads(answer.body)
             found = (echo['member'], echo['idempotency_key'])
-            right = found == (self.team, self.key)
+            matches = found == (self.team, self.key)
             if not self.key:
                 found = (echo['member'], echo['request_id'])
-                right = found == (self.team, answer.request_id)
-            if not right:
-                wrong.append(f'{answer.request_id}: got the answer of {found}')
-        if self.key and len({one.body for one in whole}) > 1:
-            wrong.append(f'key {self.key}: repeats got different responses')
-        return wrong
+                matches = found == (self.team, answer.request_id)
+            if not matches:
+                violations.append(
+                    f'{answer.request_id}: got the answer of {found}'
+                )
+        if self.key and len({one.body for one in complete}) > 1:
+            violations.append(
+                f'key {self.key}: repeats got different responses'
+            )
+        return violations
 
 
 @attrs.frozen
-class _Turn:
+class _RequestSpec:
     """Parameters of one request.
 
     :ivar callers: one client for each entry, in the order of repeats
@@ -94,7 +98,7 @@
     return 'order without a key' if call.body else 'read'
 
 
-def _repeat(
+def _send_repeatedly(
     send: Callable[[client.Caller], client.Answer],
     callers: list[client.Caller],
     rng: random.Random,
@@ -107,7 +111,7 @@
     while len(answers) <= _MAX_REPEATS:
         answer = send(callers[len(answers) % len(callers)])
         answers.append(answer)
-        if answer.is_complete and rng.random() > _REPEAT_RATE:
+        if answer.is_complete and rng.random() > _REPEAT_PROBABILITY:
             break
     return answers
 
@@ -137,7 +141,7 @@
         :param threads: number of threads
         """
         self._teams = teams
-        self.completions: list[records.Asked] = []
+        self.completions: list[records.SentRequest] = []
         self.calls: list[ServiceCall] = []
         self._running = running
         self._lock = threading.Lock()
@@ -170,7 +174,7 @@
 
     def _run(self, number: int, rng: random.Random) -> None:
         count = 0
-        send = self._choose(number)
+        send = self._choose_kind(number)
         entries = list(range(len(self._running.plan.entries)))
         first = number % len(entries)
         while not self._stopped.is_set():
@@ -180,40 +184,40 @@
                 self._running.make_caller(entry, team)
                 for entry in entries[first:] + entries[:first]
             ]
-            turn = _Turn(team, callers, rng, f'{number}-{count}')
-            send(turn)
+            spec = _RequestSpec(team, callers, rng, f'{number}-{count}')
+            send(spec)
             for caller in callers:
                 caller.close()
-            self._stopped.wait(rng.uniform(*_PAUSE_SECONDS))
+            self._stopped.wait(rng.uniform(*_GAP_SECONDS))
 
-    def _choose(self, number: int) -> Callable[[_Turn], None]:
+    def _choose_kind(self, number: int) -> Callable[[_RequestSpec], None]:
         """Choose the kind of request that a thread sends."""
         kinds = [self._complete] * _COMPLETE_THREADS
-        kinds += [self._complete_keyed] * _KEYED_THREADS
-        kinds += [self._order] * _ORDER_THREADS
-        kinds += [self._order_once] * _ORDER_ONCE_THREADS
-        kinds.append(self._read)
+        kinds += [self._complete_keyed] * _KEYED_COMPLETE_THREADS
+        kinds += [self._call_keyed] * _KEYED_CALL_THREADS
+        kinds += [self._call_unkeyed] * _UNKEYED_CALL_THREADS
+        kinds.append(self._call_idempotent)
         return kinds[number % len(kinds)]
 
-    def _complete(self, turn: _Turn) -> None:
-        rng = turn.rng
-        prompt = turn.draw_prompt()
+    def _complete(self, spec: _RequestSpec) -> None:
+        rng = spec.rng
+        prompt = spec.draw_prompt()
         max_tokens = rng.randint(1, _MAX_TOKENS)
         stream = rng.random() < _STREAM_SHARE
-        answer = turn.callers[0].complete(
+        answer = spec.callers[0].complete(
             prompt,
             model=self._running.model,
             max_tokens=max_tokens,
             stream=stream,
         )
-        asked = records.Asked(turn.team, answer, prompt, max_tokens)
+        request = records.SentRequest(spec.team, answer, prompt, max_tokens)
         with self._lock:
-            self.completions.append(asked)
+            self.completions.append(request)
 
-    def _complete_keyed(self, turn: _Turn) -> None:
-        rng = turn.rng
-        prompt = turn.draw_prompt()
-        key = f'copy-{turn.name}-{rng.getrandbits(32):08x}'
+    def _complete_keyed(self, spec: _RequestSpec) -> None:
+        rng = spec.rng
+        prompt = spec.draw_prompt()
+        key = f'copy-{spec.name}-{rng.getrandbits(32):08x}'
         max_tokens = rng.randint(1, _MAX_TOKENS)
         stream = rng.random() < _KEYED_STREAM_SHARE
 
@@ -226,16 +230,16 @@
                 idempotency_key=key,
             )
 
-        asked = [
-            records.Asked(turn.team, answer, prompt, max_tokens, key)
-            for answer in _repeat(send, turn.callers, turn.rng)
+        requests = [
+            records.SentRequest(spec.team, answer, prompt, max_tokens, key)
+            for answer in _send_repeatedly(send, spec.callers, spec.rng)
         ]
         with self._lock:
-            self.completions += asked
+            self.completions += requests
 
-    def _order(self, turn: _Turn) -> None:
+    def _call_keyed(self, spec: _RequestSpec) -> None:
         service = self._running.plan.blueprint.services[0]
-        key = f'order-{turn.name}-{turn.rng.getrandbits(32):08x}'
+        key = f'order-{spec.name}-{spec.rng.getrandbits(32):08x}'
         body = json.dumps({'order': key}).encode()
 
         def send(caller: client.Caller) -> client.Answer:
@@ -247,33 +251,33 @@
                 idempotency_key=key,
             )
 
-        answers = _repeat(send, turn.callers, turn.rng)
-        call = ServiceCall(turn.team, key, body, tuple(answers))
+        answers = _send_repeatedly(send, spec.callers, spec.rng)
+        call = ServiceCall(spec.team, key, body, tuple(answers))
         with self._lock:
             self.calls.append(call)
 
-    def _order_once(self, turn: _Turn) -> None:
+    def _call_unkeyed(self, spec: _RequestSpec) -> None:
         """Send a non-idempotent call without a key and don't repeat it."""
         service = self._running.plan.blueprint.services[0]
-        body = json.dumps({'order': turn.name}).encode()
-        answer = turn.callers[0].call_service(
+        body = json.dumps({'order': spec.name}).encode()
+        answer = spec.callers[0].call_service(
             service.name, service.path, method='POST', body=body
         )
         with self._lock:
-            self.calls.append(ServiceCall(turn.team, '', body, (answer,)))
+            self.calls.append(ServiceCall(spec.team, '', body, (answer,)))
 
-    def _read(self, turn: _Turn) -> None:
+    def _call_idempotent(self, spec: _RequestSpec) -> None:
         service = self._running.plan.blueprint.services[-1]
-        path = f'{service.path}/{turn.name}'
-        answer = turn.callers[0].call_service(service.name, path)
+        path = f'{service.path}/{spec.name}'
+        answer = spec.callers[0].call_service(service.name, path)
         with self._lock:
-            self.calls.append(ServiceCall(turn.team, '', b'', (answer,)))
+            self.calls.append(ServiceCall(spec.team, '', b'', (answer,)))
 
     def count_keyed(self) -> tuple[int, int]:
         """Count the idempotency keys and the repeats under them."""
-        asked = [one.key for one in self.completions if one.key]
-        asked += [c.key for c in self.calls if c.key for _ in c.answers]
-        return len(set(asked)), len(asked) - len(set(asked))
+        keys = [one.key for one in self.completions if one.key]
+        keys += [c.key for c in self.calls if c.key for _ in c.answers]
+        return len(set(keys)), len(keys) - len(set(keys))
 
     def count_failing_seconds(self) -> tuple[int, int]:
         """Count the seconds in which no completion succeeded.
@@ -283,9 +287,9 @@
         """
         answers = [one.answer for one in self.completions]
         ends = {int(one.ended) for one in answers}
-        whole = {int(one.ended) for one in answers if one.is_complete}
+        complete = {int(one.ended) for one in answers if one.is_complete}
         span = max(ends) - min(ends) + 1 if ends else 0
-        return span - len(whole), span
+        return span - len(complete), span
 
     def count_outcomes(self) -> dict[str, int]:
         """Count the responses by kind of request and outcome."""
--- a/packages/trials/src/dunlintide_trials/network.py
+++ b/packages/trials/src/dunlintide_trials/network.py
@@ -20,13 +20,13 @@
 __all__ = ['Host', 'Network', 'Store', 'make_peers']
 
 CALL_TIMEOUT = 1.0
-SETTLE_SECONDS = 1.0
+UPKEEP_SECONDS = 1.0
 READ_SECONDS = 10.0
 MAX_FOLLOW_UPS = 8
 # HTTP/2 frames and compressed headers of one gRPC call in both directions.
 CALL_OVERHEAD_BYTES = 160
-_NEAR_SECONDS = 0.0005
-_FAR_SECONDS = 0.010
+_SAME_REGION_SECONDS = 0.0005
+_OTHER_REGION_SECONDS = 0.010
 _STORE_SECONDS = 0.005
 
 
@@ -35,29 +35,30 @@
     """A simulated process and its traffic counters.
 
     :ivar up: whether the process runs
-    :ivar cut: number of its network partition; hosts in different
+    :ivar partition: number of its network partition; hosts in different
         partitions cannot reach each other
     :ivar watching: whether it watches the store
-    :ivar turn: number of the scheduled gossip round; older ones are void
+    :ivar round_number: number of the scheduled gossip round; older rounds
+        are void
     :ivar read_at: simulated time of its next periodic store read
     :ivar calls: calls that it made
     :ivar adopted: simulated time of adoption by revision
-    :ivar lowered: number of times that its revision went back
+    :ivar rollbacks: number of times that its revision went back
     :ivar highest: highest revision that it has had
     """
 
     peer: fleet.Peer
     replica: replicas.Replica
     up: bool = True
-    cut: int = 0
+    partition: int = 0
     watching: bool = False
-    turn: int = 0
+    round_number: int = 0
     read_at: float = 0.0
     sent_bytes: int = 0
     received_bytes: int = 0
     calls: int = 0
     adopted: dict[int, float] = attrs.field(factory=dict)
-    lowered: int = 0
+    rollbacks: int = 0
     highest: int = 0
 
 
@@ -164,22 +165,22 @@
         rng = random.Random(self._rng.random())
         replica = replicas.Replica(peer, rng, timing)
         replica.add_seeds(seeds)
-        host = Host(peer, replica, cut=self._cut_of(peer))
+        host = Host(peer, replica, partition=self._find_partition(peer))
         self.hosts[peer.name] = host
         self._addresses[peer.address] = host
         self._schedule(host, rng.random())
-        self.after(rng.random(), lambda: self._settle(host))
+        self.after(rng.random(), lambda: self._run_upkeep(host))
         return host
 
-    def _cut_of(self, peer: fleet.Peer) -> int:
-        same = [
-            host.cut
+    def _find_partition(self, peer: fleet.Peer) -> int:
+        partitions = [
+            host.partition
             for host in self.hosts.values()
             if host.peer.failure_domain == peer.failure_domain
         ]
-        return same[0] if same else 0
+        return partitions[0] if partitions else 0
 
-    def introduce(self) -> None:
+    def share_membership(self) -> None:
         """Give every host the records of all hosts, with gossip settled."""
         everyone = [
             host.replica.members.own_record for host in self.hosts.values()
@@ -203,113 +204,127 @@
         seeds = self._rng.sample(others, min(3, len(others)))
         return self.add(peer, seeds)
 
-    def _gone(self, host: Host) -> bool:
+    def _is_gone(self, host: Host) -> bool:
         return not host.up or self.hosts.get(host.peer.name) is not host
 
     def resume(self, host: Host) -> None:
         """Resume a host that was down, with its state kept."""
         host.up = True
         self._schedule(host, 0.0)
-        self._settle(host)
+        self._run_upkeep(host)
 
     def _schedule(
-        self, host: Host, delay: float, turn: int | None = None
+        self, host: Host, delay: float, round_number: int | None = None
     ) -> None:
         """Schedule the next gossip round.
 
-        :param turn: number of the round that ended; nothing is scheduled
-            when a later round has been scheduled since
+        :param round_number: number of the round that ended; nothing is
+            scheduled when a later round has been scheduled since
         """
-        if turn is not None and turn != host.turn:
+        if round_number is not None and round_number != host.round_number:
             return
-        host.turn += 1
-        turn = host.turn
-        self.after(delay, lambda: self._round(host, turn))
+        host.round_number += 1
+        round_number = host.round_number
+        self.after(delay, lambda: self._round(host, round_number))
 
     def _wake(self, host: Host) -> None:
-        if host.replica.is_urgent and not self._gone(host):
+        if host.replica.is_urgent and not self._is_gone(host):
             self._schedule(host, host.replica.draw_pause())
 
-    def _round(self, host: Host, turn: int) -> None:
-        if self._gone(host) or turn != host.turn:
+    def _round(self, host: Host, round_number: int) -> None:
+        if self._is_gone(host) or round_number != host.round_number:
             return
         target = host.replica.choose_target()
         if target is None:
-            self._schedule(host, host.replica.draw_pause(), turn)
+            self._schedule(host, host.replica.draw_pause(), round_number)
             return
         request = host.replica.make_request(self.now, target)
-        self._call(host, target, request, turn)
+        self._call(host, target, request, round_number)
 
     def _call(
         self,
         host: Host,
         target: exchanges.Target,
         request: exchanges.Request,
-        turn: int,
-        left: int = MAX_FOLLOW_UPS,
+        round_number: int,
+        calls_left: int = MAX_FOLLOW_UPS,
     ) -> None:
         other = self._addresses.get(target.address)
         self.calls += 1
-        if other is None or not other.up or other.cut != host.cut:
+        if other is None or not other.up or other.partition != host.partition:
             self.failed_calls += 1
-            self.after(CALL_TIMEOUT, lambda: self._fail(host, target, turn))
+            self.after(
+                CALL_TIMEOUT, lambda: self._fail(host, target, round_number)
+            )
             return
-        same = other.peer.region == host.peer.region
-        delay = _NEAR_SECONDS if same else _FAR_SECONDS
+        same_region = other.peer.region == host.peer.region
+        delay = _SAME_REGION_SECONDS if same_region else _OTHER_REGION_SECONDS
         self.after(
             delay,
-            lambda: self._deliver(host, other, target, request, turn, left),
+            lambda: self._deliver(
+                host, other, target, request, round_number, calls_left
+            ),
         )
 
-    def _deliver(self, host, other, target, request, turn, left) -> None:
+    def _deliver(
+        self, host, other, target, request, round_number, calls_left
+    ) -> None:
         if not other.up:
-            self.after(CALL_TIMEOUT, lambda: self._fail(host, target, turn))
+            self.after(
+                CALL_TIMEOUT, lambda: self._fail(host, target, round_number)
+            )
             return
         reply = other.replica.handle_request(self.now, request)
-        self._count(host, other, request)
-        self._count(other, host, reply)
+        self._count_bytes(host, other, request)
+        self._count_bytes(other, host, reply)
         self._wake(other)
         self.after(
-            _NEAR_SECONDS,
-            lambda: self._take(host, target, reply, turn, left),
+            _SAME_REGION_SECONDS,
+            lambda: self._receive_reply(
+                host, target, reply, round_number, calls_left
+            ),
         )
 
-    def _count(self, source: Host, sink: Host, message: object) -> None:
+    def _count_bytes(self, source: Host, sink: Host, message: object) -> None:
         if self._size_of is None:
             return
         size = self._size_of(message) + CALL_OVERHEAD_BYTES // 2
         source.sent_bytes += size
         sink.received_bytes += size
 
-    def _take(self, host, target, reply, turn, left) -> None:
-        if self._gone(host):
+    def _receive_reply(
+        self, host, target, reply, round_number, calls_left
+    ) -> None:
+        if self._is_gone(host):
             return
         follow = host.replica.handle_reply(self.now, target, reply)
-        self._note(host)
-        if follow is not None and left > 0:
-            self._call(host, target, follow, turn, left - 1)
+        self._record_revision(host)
+        if follow is not None and calls_left > 0:
+            self._call(host, target, follow, round_number, calls_left - 1)
             return
-        self._schedule(host, host.replica.draw_pause(), turn)
+        self._schedule(host, host.replica.draw_pause(), round_number)
 
-    def _fail(self, host: Host, target: exchanges.Target, turn: int) -> None:
-        if self._gone(host):
+    def _fail(
+        self, host: Host, target: exchanges.Target, round_number: int
+    ) -> None:
+        if self._is_gone(host):
             return
         host.replica.note_failure(self.now, target)
-        self._schedule(host, host.replica.draw_pause(), turn)
+        self._schedule(host, host.replica.draw_pause(), round_number)
 
-    def _note(self, host: Host) -> None:
+    def _record_revision(self, host: Host) -> None:
         revision = host.replica.configuration.revision
         if revision < host.highest:
-            host.lowered += 1
+            host.rollbacks += 1
         host.highest = max(host.highest, revision)
         host.adopted.setdefault(revision, self.now)
 
-    def _settle(self, host: Host) -> None:
-        if self._gone(host):
+    def _run_upkeep(self, host: Host) -> None:
+        if self._is_gone(host):
             return
         host.replica.expire_suspects(self.now)
         self._watch(host)
-        self.after(SETTLE_SECONDS, lambda: self._settle(host))
+        self.after(UPKEEP_SECONDS, lambda: self._run_upkeep(host))
 
     def _watch(self, host: Host) -> None:
         watcher = host.replica.is_watcher
@@ -323,7 +338,7 @@
 
     def publish(self, document: bytes) -> int:
         """Store a document, notify the watchers and return its revision."""
-        self._bring_forward()
+        self._adopt_newest()
         self.store.apply(document)
         self._notify()
         return self.store.snapshot.head.revision
@@ -339,7 +354,7 @@
                 self.store.notices += 1
                 self.after(_STORE_SECONDS, lambda h=host: self._read(h))
 
-    def _bring_forward(self) -> None:
+    def _adopt_newest(self) -> None:
         """Bring the store to the newest revision of any running host.
 
         Operators have to base a change on the newest revision, also after
@@ -354,20 +369,20 @@
                 self.store.snapshot = newest
 
     def _read(self, host: Host) -> None:
-        if self._gone(host) or not self.store.up:
+        if self._is_gone(host) or not self.store.up:
             return
         self.store.reads += 1
         snapshot = self.store.snapshot
         if snapshot is None:
             return
-        share = host.replica.configuration
-        share.note_store_revision(snapshot.head.revision)
-        if share.accept_head(snapshot.body):
-            missing = share.list_missing()
+        configuration = host.replica.configuration
+        configuration.note_store_revision(snapshot.head.revision)
+        if configuration.accept_head(snapshot.body):
+            missing = configuration.list_missing()
             self.store.reads += len(missing)
-            share.accept_chunks(self.store.chunks[d] for d in missing)
+            configuration.accept_chunks(self.store.chunks[d] for d in missing)
             host.replica.activate_pending()
-            self._note(host)
+            self._record_revision(host)
             self._wake(host)
 
 
--- a/packages/trials/src/dunlintide_trials/ports.py
+++ b/packages/trials/src/dunlintide_trials/ports.py
@@ -20,13 +20,13 @@
 HOST = '127.0.0.1'
 # Below the kernel's range of ephemeral ports, so that no outgoing connection
 # takes a port between two starts of a process.
-_FIRST = 12_000
-_LAST = 31_999
+_FIRST_PORT = 12_000
+_LAST_PORT = 31_999
 # Ports in a block; the largest example needs three blocks.
-_BLOCK = 400
+_BLOCK_PORTS = 400
 # Ports that are tried before one more block is locked, as all ports of the
 # locked blocks may be in use.
-_TRIES = 1_000
+_MAX_DRAWS = 1_000
 
 
 class _Blocks:
@@ -39,10 +39,10 @@
         self._locks: dict[int, int] = {}
         self._ports: collections.deque[int] = collections.deque()
 
-    def take(self) -> bool:
+    def lock_block(self) -> bool:
         """Lock one more block; False when no block is free."""
         self._folder.mkdir(exist_ok=True)
-        firsts = list(range(_FIRST, _LAST, _BLOCK))
+        firsts = list(range(_FIRST_PORT, _LAST_PORT, _BLOCK_PORTS))
         random.SystemRandom().shuffle(firsts)
         return any(self._lock(first) for first in firsts)
 
@@ -57,7 +57,7 @@
             os.close(lock)
             return False
         self._locks[first] = lock
-        ports = list(range(first, first + _BLOCK))
+        ports = list(range(first, first + _BLOCK_PORTS))
         random.SystemRandom().shuffle(ports)
         self._ports.extend(ports)
         return True
@@ -77,7 +77,7 @@
     """Ports that are kept bound until their process starts."""
 
     def __init__(self) -> None:
-        self._held: dict[int, socket.socket] = {}
+        self._sockets: dict[int, socket.socket] = {}
 
     def reserve(self) -> int:
         """Bind a free port and return its number.
@@ -85,34 +85,35 @@
         :raises OSError: when no free port was found
         """
         while True:
-            for _ in range(_TRIES):
+            for _ in range(_MAX_DRAWS):
                 port = _blocks.draw()
                 if port is not None and self._bind(port):
                     return port
-            if not _blocks.take():
+            if not _blocks.lock_block():
                 raise OSError(
-                    f'no free port in {_FIRST}-{_LAST}: all blocks are locked'
+                    f'no free port in {_FIRST_PORT}-{_LAST_PORT}: all blocks'
+                    ' are locked'
                 )
 
     def _bind(self, port: int) -> bool:
-        held = socket.socket()
+        bound_socket = socket.socket()
         try:
-            held.bind((HOST, port))
+            bound_socket.bind((HOST, port))
         except OSError:
-            held.close()
+            bound_socket.close()
             return False
-        self._held[port] = held
+        self._sockets[port] = bound_socket
         return True
 
     def release(self, port: int) -> None:
         """Unbind a port just before its process binds it."""
-        held = self._held.pop(port, None)
-        if held is not None:
-            held.close()
+        bound_socket = self._sockets.pop(port, None)
+        if bound_socket is not None:
+            bound_socket.close()
 
     def close(self) -> None:
         """Unbind all ports."""
-        for port in list(self._held):
+        for port in list(self._sockets):
             self.release(port)
 
 
--- a/packages/trials/src/dunlintide_trials/prefixload.py
+++ b/packages/trials/src/dunlintide_trials/prefixload.py
@@ -21,36 +21,36 @@
 from dunlintide_core import selection
 from dunlintide_standins.engine import cache
 
-__all__ = ['EVENTS', 'GUESS', 'LOAD', 'WAYS', 'Result', 'Shape', 'run']
+__all__ = ['EVENTS', 'GUESS', 'LOAD', 'POLICIES', 'Result', 'Scenario', 'run']
 
 LOAD = 'load'
 GUESS = 'guess'
 EVENTS = 'events'
-WAYS = (LOAD, GUESS, EVENTS)
+POLICIES = (LOAD, GUESS, EVENTS)
 
 _RANGES = 3
 _CHARACTERS_PER_TOKEN = 4
 # Tokens of a team's system prompt, of a user turn and of an answer.
 _SYSTEM_TOKENS = 512
 _TURN_TOKENS = 192
-_DECODED = 64
+_ANSWER_TOKENS = 64
 _TURNS = 6
-_TURN_PAUSE = 10.0
-_PER_TOKEN = 0.0001
+_TURN_PAUSE_SECONDS = 10.0
+_PREFILL_TOKEN_SECONDS = 0.0001
 # A decoded token shares its step with those of other sessions.
-_PER_DECODED = 0.00002
-_BASE = 0.002
-_TICK = 1.0
-_WARM = 20.0
-_WINDOW = 10.0
-_NEWS_BYTES = 8
+_DECODE_TOKEN_SECONDS = 0.00002
+_STEP_SECONDS = 0.002
+_REPORT_SECONDS = 1.0
+_WARM_UP_SECONDS = 20.0
+_WINDOW_SECONDS = 10.0
+_HASH_BYTES = 8
 
 
 @attrs.frozen
-class Shape:
+class Scenario:
     """Parameters of a run.
 
-    :ivar way: choice by load only (``LOAD``), also by the prefixes that an
+    :ivar policy: choice by load only (``LOAD``), also by the prefixes that an
         entry expects from its own choices (``GUESS``), or also by cache
         events (``EVENTS``)
     :ivar entries: number of entries; each turn of a session goes to a
@@ -69,7 +69,7 @@
     :ivar factor: see ``selection.Chooser``
     """
 
-    way: str = EVENTS
+    policy: str = EVENTS
     entries: int = 4
     replicas: int = 4
     subset: int = 4
@@ -114,7 +114,7 @@
     name: str
     cache: cache.PrefixCache
     view: prefixes.View
-    teller: cacheupdates.Publisher
+    publisher: cacheupdates.Publisher
     free_at: float = 0.0
     work: float = 0.0
     running: int = 0
@@ -127,7 +127,7 @@
     names: frozenset[str]
 
 
-def _draw(rng: random.Random, count: int) -> list[int]:
+def _draw_tokens(rng: random.Random, count: int) -> list[int]:
     return [rng.getrandbits(16) for _ in range(count)]
 
 
@@ -137,195 +137,211 @@
     team: int
     session: str
     prompt: list[int]
-    left: int
-    began: float = 0.0
+    turns_left: int
+    started_at: float = 0.0
     entry: _Entry | None = None
     chain: plans.Chain | None = None
     blocks: tuple[int, ...] = ()
 
 
 class _Model:
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
         self.now = 0.0
-        self.rng = random.Random(shape.seed)
+        self.rng = random.Random(scenario.seed)
         self._events: list[tuple] = []
         self._order = itertools.count()
         self.prefilled = 0
         self.asked = 0
-        self.waits: list[float] = []
+        self.first_token_seconds: list[float] = []
         self.news = 0
         self.busiest = 0.0
         self.engines: dict[str, _Engine] = {}
-        stops = [
+        plan_stages = [
             self._add_engine(layer, index)
             for layer in range(_RANGES)
-            for index in range(shape.replicas)
+            for index in range(scenario.replicas)
+        ]
+        self.entries = [
+            self._add_entry(plan_stages) for _ in range(scenario.entries)
         ]
-        self.entries = [self._add_entry(stops) for _ in range(shape.entries)]
         # Separate from ``rng``, so that all ways get the same load.
-        self.load = random.Random(shape.seed)
-        self.starts = [
-            _draw(self.load, _SYSTEM_TOKENS) for _ in range(shape.teams)
+        self.load_rng = random.Random(scenario.seed)
+        self.system_prompts = [
+            _draw_tokens(self.load_rng, _SYSTEM_TOKENS)
+            for _ in range(scenario.teams)
         ]
 
     def _add_engine(self, layer: int, index: int) -> plans.Stage:
-        shape = self.shape
+        scenario = self.scenario
         name = f'{layer}-{index}'
-        held = cache.PrefixCache(
-            shape.cache_tokens,
-            shape.lag,
-            shape.loss,
+        engine_cache = cache.PrefixCache(
+            scenario.cache_tokens,
+            scenario.lag,
+            scenario.loss,
             lambda: self.now,
             random.Random(self.rng.random()),
         )
         self.engines[name] = _Engine(
-            name, held, prefixes.View(), cacheupdates.Publisher(shape.news)
+            name,
+            engine_cache,
+            prefixes.View(),
+            cacheupdates.Publisher(scenario.news),
+        )
+        return plans.Stage(
+            name, layer, layer + 1, 1 / _PREFILL_TOKEN_SECONDS, 'domain'
         )
-        return plans.Stage(name, layer, layer + 1, 1 / _PER_TOKEN, 'domain')
 
-    def _add_entry(self, stops: list[plans.Stage]) -> _Entry:
-        shape = self.shape
+    def _add_entry(self, plan_stages: list[plans.Stage]) -> _Entry:
+        scenario = self.scenario
         known = []
         for layer in range(_RANGES):
-            same = [stop for stop in stops if stop.layer_start == layer]
-            known += self.rng.sample(same, min(shape.subset, len(same)))
-        known.sort(key=lambda stop: stop.agent)
-        chooser = selection.Chooser(shape.factor)
+            same = [
+                stage for stage in plan_stages if stage.layer_start == layer
+            ]
+            known += self.rng.sample(same, min(scenario.subset, len(same)))
+        known.sort(key=lambda stage: stage.agent)
+        chooser = selection.Chooser(scenario.factor)
         plan = plans.make_plan(known, _RANGES, plans.Links())
         chooser.adopt(plan, known, _RANGES)
-        names = frozenset(stop.agent for stop in known)
+        names = frozenset(stage.agent for stage in known)
         return _Entry(chooser, affinity.AffinityMap(), names)
 
-    def at(self, when: float, call: Callable, *arguments) -> None:
+    def schedule(self, when: float, call: Callable, *arguments) -> None:
         item = (when, next(self._order), call, arguments)
         heapq.heappush(self._events, item)
 
     def run(self) -> Result:
-        self.at(0.0, self._arrive)
+        self.schedule(0.0, self._start_session)
         for engine in self.engines.values():
-            self.at(self.rng.random(), self._tick, engine)
-        end = _WARM + self.shape.seconds
-        self.at(_WARM, self._clear)
+            self.schedule(self.rng.random(), self._report_load, engine)
+        end = _WARM_UP_SECONDS + self.scenario.seconds
+        self.schedule(_WARM_UP_SECONDS, self._start_measurement)
         while self._events and self._events[0][0] < end:
             self.now, _, call, arguments = heapq.heappop(self._events)
             call(*arguments)
-        return self._judge()
+        return self._build_result()
 
-    def _clear(self) -> None:
+    def _start_measurement(self) -> None:
         self.prefilled = self.asked = self.news = 0
-        self.waits.clear()
-        self._take_shares()
+        self.first_token_seconds.clear()
+        self._reset_work()
         self.busiest = 0.0
-        self.at(self.now + _WINDOW, self._watch)
+        self.schedule(self.now + _WINDOW_SECONDS, self._record_busiest)
 
-    def _take_shares(self) -> list[float]:
+    def _reset_work(self) -> list[float]:
         """Compute the busiest engine's work of each range and reset it.
 
         :returns: for each layer range the work of its busiest engine since
             the last call, relative to the mean of the range
         """
-        shares = []
+        relative_work = []
         for layer in range(_RANGES):
-            works = [
+            range_work = [
                 engine.work
                 for name, engine in self.engines.items()
                 if name.startswith(f'{layer}-')
             ]
-            mean = statistics.mean(works)
-            shares.append(max(works) / mean if mean else 0.0)
+            mean = statistics.mean(range_work)
+            relative_work.append(max(range_work) / mean if mean else 0.0)
         for engine in self.engines.values():
             engine.work = 0.0
-        return shares
+        return relative_work
 
-    def _watch(self) -> None:
-        self.busiest = max(self.busiest, *self._take_shares())
-        self.at(self.now + _WINDOW, self._watch)
+    def _record_busiest(self) -> None:
+        self.busiest = max(self.busiest, *self._reset_work())
+        self.schedule(self.now + _WINDOW_SECONDS, self._record_busiest)
 
-    def _judge(self) -> Result:
-        waits = sorted(self.waits)
-        told = self.news * _NEWS_BYTES / self.shape.seconds
+    def _build_result(self) -> Result:
+        first_token_seconds = sorted(self.first_token_seconds)
+        update_bytes = self.news * _HASH_BYTES / self.scenario.seconds
         return Result(
             self.prefilled / self.asked,
-            waits[int(0.95 * len(waits))],
-            statistics.mean(waits),
-            len(waits) / self.shape.seconds,
+            first_token_seconds[int(0.95 * len(first_token_seconds))],
+            statistics.mean(first_token_seconds),
+            len(first_token_seconds) / self.scenario.seconds,
             self.busiest,
-            told / len(self.engines),
+            update_bytes / len(self.engines),
             sum(engine.view.gaps for engine in self.engines.values()),
         )
 
-    def _arrive(self) -> None:
-        shape = self.shape
-        rng = random.Random(self.load.random())
-        hot = rng.random() < shape.hot
-        team = 0 if hot else rng.randrange(1, shape.teams)
+    def _start_session(self) -> None:
+        scenario = self.scenario
+        rng = random.Random(self.load_rng.random())
+        hot = rng.random() < scenario.hot
+        team = 0 if hot else rng.randrange(1, scenario.teams)
         name = f's{next(self._order)}'
-        prompt = self.starts[team] + _draw(rng, _TURN_TOKENS)
-        self._ask(_Turn(rng, team, name, prompt, _TURNS))
-        pause = rng.expovariate(shape.rate)
-        self.at(self.now + pause, self._arrive)
+        prompt = self.system_prompts[team] + _draw_tokens(rng, _TURN_TOKENS)
+        self._start_turn(_Turn(rng, team, name, prompt, _TURNS))
+        pause = rng.expovariate(scenario.rate)
+        self.schedule(self.now + pause, self._start_session)
 
-    def _ask(self, turn: _Turn) -> None:
-        turn.began = self.now
+    def _start_turn(self, turn: _Turn) -> None:
+        turn.started_at = self.now
         turn.entry = turn.rng.choice(self.entries)
-        turn.session = f'{turn.session}.{turn.left}'
+        turn.session = f'{turn.session}.{turn.turns_left}'
         text = ''.join(f'{word:04x}' for word in turn.prompt)
         turn.blocks = affinity.hash_blocks(f'salt-{turn.team}', text)
         entry = turn.entry
         holders = {}
-        if self.shape.way != LOAD:
+        if self.scenario.policy != LOAD:
             holders = entry.map.find(turn.blocks, self.now)
         chain = entry.chooser.choose(self.now, self.rng, holders=holders)
         turn.chain = chain
-        if self.shape.way != LOAD:
+        if self.scenario.policy != LOAD:
             entry.map.record(turn.blocks, chain.agents, self.now)
         entry.chooser.begin(chain)
-        self._reach(turn, 0)
+        self._prefill(turn, 0)
 
-    def _reach(self, turn: _Turn, index: int) -> None:
+    def _prefill(self, turn: _Turn, index: int) -> None:
         engine = self.engines[turn.chain.agents[index]]
         engine.running += 1
         count = len(turn.prompt)
-        held = prefixes.Prefixes(turn.blocks, count * _CHARACTERS_PER_TOKEN)
-        engine.view.add_session(turn.session, held, count)
+        prompt_prefixes = prefixes.Prefixes(
+            turn.blocks, count * _CHARACTERS_PER_TOKEN
+        )
+        engine.view.add_session(turn.session, prompt_prefixes, count)
         salt = f'salt-{turn.team}'
-        rest = count - engine.cache.match(turn.session, salt, turn.prompt)
+        uncached = count - engine.cache.match(turn.session, salt, turn.prompt)
         self.asked += count
-        self.prefilled += rest
-        begins = max(self.now, engine.free_at)
-        ends = begins + _BASE + _PER_TOKEN * rest
-        engine.free_at = ends + _PER_DECODED * _DECODED
-        engine.work += engine.free_at - begins
+        self.prefilled += uncached
+        start = max(self.now, engine.free_at)
+        end = start + _STEP_SECONDS + _PREFILL_TOKEN_SECONDS * uncached
+        engine.free_at = end + _DECODE_TOKEN_SECONDS * _ANSWER_TOKENS
+        engine.work += engine.free_at - start
         if index + 1 < _RANGES:
-            self.at(ends, self._reach, turn, index + 1)
+            self.schedule(end, self._prefill, turn, index + 1)
         else:
-            self.at(ends, self._answer, turn)
+            self.schedule(end, self._record_first_token, turn)
 
-    def _answer(self, turn: _Turn) -> None:
-        self.waits.append(self.now - turn.began)
-        self.at(self.now + 1.0, self._end, turn)
+    def _record_first_token(self, turn: _Turn) -> None:
+        self.first_token_seconds.append(self.now - turn.started_at)
+        self.schedule(self.now + 1.0, self._end_turn, turn)
 
-    def _end(self, turn: _Turn) -> None:
+    def _end_turn(self, turn: _Turn) -> None:
         turn.entry.chooser.end(turn.chain)
         for agent in turn.chain.agents:
             self.engines[agent].running -= 1
-        if turn.left > 1:
+        if turn.turns_left > 1:
             rng = turn.rng
-            prompt = turn.prompt + _draw(rng, _DECODED + _TURN_TOKENS)
-            pause = rng.expovariate(1 / _TURN_PAUSE)
-            later = attrs.evolve(turn, prompt=prompt, left=turn.left - 1)
-            self.at(self.now + pause, self._ask, later)
+            prompt = turn.prompt + _draw_tokens(
+                rng, _ANSWER_TOKENS + _TURN_TOKENS
+            )
+            pause = rng.expovariate(1 / _TURN_PAUSE_SECONDS)
+            next_turn = attrs.evolve(
+                turn, prompt=prompt, turns_left=turn.turns_left - 1
+            )
+            self.schedule(self.now + pause, self._start_turn, next_turn)
 
-    def _tick(self, engine: _Engine) -> None:
-        self.at(self.now + _TICK, self._tick, engine)
+    def _report_load(self, engine: _Engine) -> None:
+        self.schedule(self.now + _REPORT_SECONDS, self._report_load, engine)
         report = fleet.LoadReport(running=engine.running)
         for entry in self.entries:
             entry.chooser.report(engine.name, report, self.now)
-        if self.shape.way == EVENTS:
-            self._tell(engine)
+        if self.scenario.policy == EVENTS:
+            self._publish_updates(engine)
 
-    def _tell(self, engine: _Engine) -> None:
+    def _publish_updates(self, engine: _Engine) -> None:
         found = engine.cache.read_events(engine.view.sequence)
         events = [
             prefixes.Event(
@@ -338,7 +354,7 @@
             for event in found
         ]
         engine.view.apply_events(events)
-        news = engine.teller.publish(engine.view)
+        news = engine.publisher.publish(engine.view)
         self.news += len(news.held) + len(news.lost)
         for entry in self.entries:
             if engine.name in entry.names:
@@ -346,6 +362,6 @@
                 entry.map.remove(engine.name, news.lost)
 
 
-def run(shape: Shape) -> Result:
+def run(scenario: Scenario) -> Result:
     """Simulate a run and return its result."""
-    return _Model(shape).run()
+    return _Model(scenario).run()
--- a/packages/trials/src/dunlintide_trials/promises.py
+++ b/packages/trials/src/dunlintide_trials/promises.py
@@ -15,9 +15,9 @@
 _MAX_TOKENS = 4
 
 
-def _list_calls(requests: load.Load) -> list[records.Asked]:
+def _list_service_requests(requests: load.Load) -> list[records.SentRequest]:
     return [
-        records.Asked(call.team, answer, key=call.key)
+        records.SentRequest(call.team, answer, key=call.key)
         for call in requests.calls
         for answer in call.answers
     ]
@@ -26,7 +26,7 @@
 def check(
     running: deployment.Deployment,
     requests: load.Load,
-    runs: records.Records,
+    runs: records.RunRecords,
 ) -> list[str]:
     """List the violations of guarantees for requests.
 
@@ -34,31 +34,31 @@
     as not run did not run; a non-idempotent request ran at most once, and
     exactly once when it completed; no response belongs to another request.
     """
-    wrong: list[str] = []
+    violations: list[str] = []
     for asked in requests.completions:
-        wrong += records.check_text(
+        violations += records.check_text(
             asked, model=running.model, layers=running.layers
         )
-    calls = _list_calls(requests)
-    wrong += runs.check_refusals([*requests.completions, *calls])
-    wrong += runs.check_teams([*requests.completions, *calls])
+    calls = _list_service_requests(requests)
+    violations += runs.check_refusals([*requests.completions, *calls])
+    violations += runs.check_teams([*requests.completions, *calls])
     keyed = [call for call in requests.calls if call.key]
-    wrong += runs.check_once((call.team, call.key) for call in keyed)
-    wrong += runs.check_single(
+    violations += runs.check_keyed((call.team, call.key) for call in keyed)
+    violations += runs.check_unkeyed(
         answer.request_id
         for call in requests.calls
         if call.body and not call.key
         for answer in call.answers
     )
     keyed = [one for one in requests.completions if one.key]
-    wrong += runs.check_heads((one.team, one.key) for one in keyed)
+    violations += runs.check_first_layers((one.team, one.key) for one in keyed)
     counts = runs.count_by_key()
     for call in requests.calls:
-        wrong += call.check()
-        whole = any(answer.is_complete for answer in call.answers)
-        if call.key and whole and not counts.get((call.team, call.key)):
-            wrong.append(f'key {call.key}: complete, but never ran')
-    return wrong
+        violations += call.check()
+        is_completed = any(answer.is_complete for answer in call.answers)
+        if call.key and is_completed and not counts.get((call.team, call.key)):
+            violations.append(f'key {call.key}: complete, but never ran')
+    return violations
 
 
 def check_crashes(crashes: Iterable[str], limit: int) -> list[str]:
@@ -82,20 +82,20 @@
     :param accepted: revisions that were accepted from operators
     """
     newest = max(accepted, default=0)
-    wrong = [
+    violations = [
         f'{name} shows revision {revision}, {newest} was accepted'
         for name, revision in shown.items()
         if revision < newest
     ]
     if len(set(shown.values())) > 1:
-        wrong.append(f'daemons show different revisions: {shown}')
-    return wrong
+        violations.append(f'daemons show different revisions: {shown}')
+    return violations
 
 
 def check_recovered(running: deployment.Deployment) -> list[str]:
     """List the entries that don't complete a request in time."""
     team = next(iter(running.keys))
-    wrong = []
+    violations = []
     for number, entry in enumerate(running.plan.entries):
         caller = running.make_caller(number, team)
 
@@ -106,8 +106,8 @@
             return answer.is_complete
 
         if not processes.wait_for(completes, _RECOVERY_SECONDS, pause=0.2):
-            wrong.append(
+            violations.append(
                 f'{entry.name} completed no request within '
                 f'{_RECOVERY_SECONDS:.0f} s'
             )
-    return wrong
+    return violations
--- a/packages/trials/src/dunlintide_trials/randomfleets.py
+++ b/packages/trials/src/dunlintide_trials/randomfleets.py
@@ -6,7 +6,7 @@
 
 from dunlintide_core import plan as plans
 
-__all__ = ['Mix', 'draw']
+__all__ = ['RandomFleet', 'generate']
 
 # Tokens/s of each kind of accelerator.
 KINDS = (200.0, 300.0, 500.0, 800.0, 1200.0, 2000.0)
@@ -17,37 +17,37 @@
 
 
 @attrs.frozen
-class Mix:
+class RandomFleet:
     """A fleet of endpoints and the links between its failure domains.
 
-    :ivar stops: endpoints
+    :ivar stages: endpoints
     :ivar layers: number of layers of the model
     :ivar links: latency and bandwidth between failure domains
     """
 
-    stops: list[plans.Stage]
+    stages: list[plans.Stage]
     layers: int
     links: plans.Links
 
 
-def draw(
-    seed: int, layers: int = 4, kinds_each: int = 1, domains: int = 3
-) -> Mix:
+def generate(
+    seed: int, layers: int = 4, endpoints_per_kind: int = 1, domains: int = 3
+) -> RandomFleet:
     """Draw a fleet in which each endpoint holds one layer.
 
     :param layers: number of layers
-    :param kinds_each: endpoints of each kind of accelerator per layer
+    :param endpoints_per_kind: endpoints of each kind of accelerator per layer
     :param domains: number of failure domains
     """
     rng = random.Random(seed)
-    stops = []
+    stages = []
     for start in range(layers):
-        kinds = list(KINDS) * kinds_each
+        kinds = list(KINDS) * endpoints_per_kind
         rng.shuffle(kinds)
         for index, kind in enumerate(kinds):
             domain = f'domain-{rng.randrange(domains)}'
             name = f'agent-{start}-{index}'
-            stops.append(plans.Stage(name, start, start + 1, kind, domain))
+            stages.append(plans.Stage(name, start, start + 1, kind, domain))
     links = {}
     for source in range(domains):
         for target in range(domains):
@@ -55,7 +55,7 @@
             if source != target:
                 quality = plans.LinkQuality(
                     rng.choice(LINK_LATENCIES),
-                    rng.choice(LINK_RATES) * kinds_each,
+                    rng.choice(LINK_RATES) * endpoints_per_kind,
                 )
             links[f'domain-{source}', f'domain-{target}'] = quality
-    return Mix(stops, layers, plans.Links(domains=links))
+    return RandomFleet(stages, layers, plans.Links(domains=links))
