--- a/packages/trials/src/dunlintide_trials/records.py
+++ b/packages/trials/src/dunlintide_trials/records.py
@@ -10,15 +10,15 @@
 from dunlintide_trials import client
 
 __all__ = [
-    'Asked',
-    'Records',
+    'SentRequest',
+    'RunRecords',
     'check_text',
     'compute_text',
 ]
 
 
 @attrs.frozen
-class Asked:
+class SentRequest:
     """One request of a trial with its response.
 
     :ivar team: team that sent the request
@@ -42,57 +42,61 @@
     return ''.join(token.text for token in tokens)
 
 
-def check_text(asked: Asked, *, model: str, layers: int) -> list[str]:
+def check_text(asked: SentRequest, *, model: str, layers: int) -> list[str]:
     """List the errors in a completion's text.
 
     The text of an incomplete response must be a prefix of the expected
     text: no token is missing, repeated or from another request.
     """
-    right = compute_text(
+    expected = compute_text(
         asked.prompt, asked.max_tokens, model=model, layers=layers
     )
     answer = asked.answer
-    if answer.is_complete and answer.text != right:
+    if answer.is_complete and answer.text != expected:
         return [f'{answer.request_id}: complete, but not the right text']
-    if not right.startswith(answer.text):
+    if not expected.startswith(answer.text):
         return [f'{answer.request_id}: not a beginning of the right text']
     return []
 
 
-class Records:
+class RunRecords:
     """Runs that the endpoints recorded, kept across their restarts."""
 
     def __init__(self) -> None:
         self._runs: dict[tuple[str, int], list[dict[str, Any]]] = {}
-        self._lives: collections.Counter[str] = collections.Counter()
+        self._restarts: collections.Counter[str] = collections.Counter()
 
-    def keep(self, endpoint: str, runs: list[dict[str, Any]]) -> None:
+    def replace_runs(self, endpoint: str, runs: list[dict[str, Any]]) -> None:
         """Replace the runs that are known since an endpoint's last start."""
-        self._runs[endpoint, self._lives[endpoint]] = runs
+        self._runs[endpoint, self._restarts[endpoint]] = runs
 
-    def end_life(self, endpoint: str) -> None:
+    def note_restart(self, endpoint: str) -> None:
         """Note that an endpoint ended and starts with an empty record."""
-        self._lives[endpoint] += 1
+        self._restarts[endpoint] += 1
 
-    def _list(self) -> Iterable[dict[str, Any]]:
+    def _iterate_runs(self) -> Iterable[dict[str, Any]]:
         for runs in self._runs.values():
             yield from runs
 
     def find(self, request_id: str) -> list[dict[str, Any]]:
         """List the runs of a request."""
-        return [run for run in self._list() if run['request_id'] == request_id]
+        return [
+            run
+            for run in self._iterate_runs()
+            if run['request_id'] == request_id
+        ]
 
     def count_by_key(self) -> dict[tuple[str, str], int]:
         """Count the runs of each team and idempotency key."""
         return collections.Counter(
             (run['member'], run['idempotency_key'])
-            for run in self._list()
+            for run in self._iterate_runs()
             if run['idempotency_key']
         )
 
-    def check_refusals(self, asked: Iterable[Asked]) -> list[str]:
+    def check_refusals(self, asked: Iterable[SentRequest]) -> list[str]:
         """List the requests that were reported as not run, but ran."""
-        ran = {run['request_id'] for run in self._list()}
+        ran = {run['request_id'] for run in self._iterate_runs()}
         return [
             f'{one.answer.request_id}: told not-run ({one.answer.code}), '
             'but it ran'
@@ -101,7 +105,7 @@
             and one.answer.request_id in ran
         ]
 
-    def check_once(self, keys: Iterable[tuple[str, str]]) -> list[str]:
+    def check_keyed(self, keys: Iterable[tuple[str, str]]) -> list[str]:
         """List the keys of non-idempotent calls that ran more than once.
 
         :param keys: team and idempotency key of each service call
@@ -113,19 +117,21 @@
             if counts.get((team, key), 0) > 1
         ]
 
-    def check_single(self, request_ids: Iterable[str]) -> list[str]:
+    def check_unkeyed(self, request_ids: Iterable[str]) -> list[str]:
         """List the calls without a key that ran more than once.
 
         :param request_ids: ids of non-idempotent calls without a key
         """
-        counts = collections.Counter(run['request_id'] for run in self._list())
+        counts = collections.Counter(
+            run['request_id'] for run in self._iterate_runs()
+        )
         return [
             f'{one}: ran {counts[one]} times, without a key'
             for one in sorted(set(request_ids))
             if one and counts[one] > 1
         ]
 
-    def check_heads(self, keys: Iterable[tuple[str, str]]) -> list[str]:
+    def check_first_layers(self, keys: Iterable[tuple[str, str]]) -> list[str]:
         """List the keyed completions whose first layers ran too often.
 
         The first layers of a completion may run for one request only, in
@@ -133,26 +139,30 @@
 
         :param keys: team and idempotency key of each completion
         """
-        begun = collections.defaultdict(list)
-        for life, runs in self._runs.items():
+        started = collections.defaultdict(list)
+        for incarnation, runs in self._runs.items():
             for run in runs:
                 if run.get('layer_start') == 0 and run['idempotency_key']:
                     key = (run['member'], run['idempotency_key'])
-                    begun[key].append((life, run['request_id'], run['epoch']))
-        wrong = []
+                    started[key].append(
+                        (incarnation, run['request_id'], run['epoch'])
+                    )
+        violations = []
         for team, key in sorted(set(keys)):
-            found = begun.get((team, key), [])
-            lineages = {(life, request) for life, request, _ in found}
+            found = started.get((team, key), [])
+            lineages = {
+                (incarnation, request) for incarnation, request, _ in found
+            }
             if len(lineages) > 1 or len(set(found)) < len(found):
-                wrong.append(f'{team}, key {key}: began as {found}')
-        return wrong
+                violations.append(f'{team}, key {key}: began as {found}')
+        return violations
 
-    def check_teams(self, asked: Iterable[Asked]) -> list[str]:
+    def check_teams(self, asked: Iterable[SentRequest]) -> list[str]:
         """List the requests that ran on behalf of another team."""
         teams = {one.answer.request_id: one.team for one in asked}
         return [
             f'{run["request_id"]}: ran as {run["member"]}, was sent by '
             f'{teams[run["request_id"]]}'
-            for run in self._list()
+            for run in self._iterate_runs()
             if teams.get(run['request_id'], run['member']) != run['member']
         ]
--- a/packages/trials/src/dunlintide_trials/routing.py
+++ b/packages/trials/src/dunlintide_trials/routing.py
@@ -21,24 +21,24 @@
 
     def __init__(
         self,
-        stops: list[plans.Stage],
+        plan_stages: list[plans.Stage],
         layers: int,
         links: plans.Links,
         seed: int,
-        learns: bool = True,
+        learns_load: bool = True,
     ) -> None:
         """Make a plan from declared capacities.
 
-        :param stops: endpoints
+        :param plan_stages: endpoints
         :param layers: number of layers of the model
-        :param learns: whether observed load and intervals update the plan
+        :param learns_load: whether observed load and intervals update the plan
         """
         self.replanner = replan.Replanner(layers, links)
-        self.replanner.set_stops(stops)
+        self.replanner.set_stops(plan_stages)
         self.chooser = selection.Chooser()
         self._layers = layers
         self._rng = random.Random(seed)
-        self._learns = learns
+        self._learns_load = learns_load
         self._tick(0.0)
 
     @property
@@ -59,11 +59,11 @@
 
     def _report(self, agent, report, now: float) -> None:
         self.chooser.report(agent, report, now)
-        if self._learns:
+        if self._learns_load:
             self.replanner.observe_load(agent, report, now)
 
     def _observe(self, chain, interval: float, now: float) -> None:
-        if self._learns:
+        if self._learns_load:
             self.replanner.observe_interval(chain, interval, now)
 
     def _tick(self, now: float) -> None:
@@ -72,13 +72,17 @@
             self.chooser.adopt(plan, self.replanner.stops, self._layers)
 
 
-def make_round_robin(stops: list[plans.Stage], layers: int) -> stages.Entry:
+def make_round_robin(
+    plan_stages: list[plans.Stage], layers: int
+) -> stages.Entry:
     """Build a policy that uses the endpoints of each range in turn.
 
     The layer ranges of endpoints must be equal or disjoint.
     """
     turns = [
-        itertools.cycle([stop for stop in stops if stop.layer_start == start])
+        itertools.cycle(
+            [stage for stage in plan_stages if stage.layer_start == start]
+        )
         for start in range(layers)
     ]
     return stages.Entry(
@@ -94,30 +98,30 @@
 
 
 def make_least_outstanding(
-    stops: list[plans.Stage], layers: int, seed: int
+    plan_stages: list[plans.Stage], layers: int, seed: int
 ) -> stages.Entry:
     """Build a policy of the least outstanding work relative to capacity.
 
     The layer ranges of endpoints must be equal or disjoint.
     """
     rng = random.Random(seed)
-    own = {stop.agent: 0 for stop in stops}
-    others = dict(own)
+    own_load = {stage.agent: 0 for stage in plan_stages}
+    other_load = dict(own_load)
     ranges = [
-        [stop for stop in stops if stop.layer_start == start]
+        [stage for stage in plan_stages if stage.layer_start == start]
         for start in range(layers)
     ]
 
-    def rank(stop: plans.Stage) -> tuple[float, float]:
-        load = own[stop.agent] + others[stop.agent]
-        return load / stop.capacity, rng.random()
+    def rank(stage: plans.Stage) -> tuple[float, float]:
+        load = own_load[stage.agent] + other_load[stage.agent]
+        return load / stage.capacity, rng.random()
 
     def count(chain: plans.Chain, change: int) -> None:
         for agent in chain.agents:
-            own[agent] += change
+            own_load[agent] += change
 
     def report(agent, load, now: float) -> None:
-        others[agent] = max(0, load.running - own[agent])
+        other_load[agent] = max(0, load.running - own_load[agent])
 
     return stages.Entry(
         choose=lambda now: plans.Chain(
--- a/packages/trials/src/dunlintide_trials/saturation.py
+++ b/packages/trials/src/dunlintide_trials/saturation.py
@@ -1,7 +1,7 @@
 """Deployment of real processes under many streams of completions.
 
 Engines are stand-ins whose steps sleep. A full batch of ``BATCH`` tokens
-delivers the declared capacity, and ``FIXED_PART`` of its time is
+delivers the declared capacity, and ``FIXED_FRACTION`` of its time is
 independent of the batch size. The capacities are low enough that the
 machine is not the bottleneck.
 """
@@ -29,13 +29,13 @@
     'TEAM',
     'MODEL',
     'Streams',
-    'find_bound',
-    'list_stops',
+    'compute_bound',
+    'list_stages',
     'run',
 ]
 
 BATCH = 16
-FIXED_PART = 0.25
+FIXED_FRACTION = 0.25
 # Tokens/s of an endpoint by kind of accelerator. The sums over each of the
 # three layer ranges are nearly equal.
 KINDS = {'k1': 600, 'k2': 400, 'k3': 250, 'k4': 150, 'k5': 90, 'k6': 50}
@@ -66,8 +66,8 @@
         replicas=1,
         accelerator=kind,
         tokens_per_second=capacity,
-        step_seconds=FIXED_PART * BATCH / capacity,
-        token_seconds=(1.0 - FIXED_PART) / capacity,
+        step_seconds=FIXED_FRACTION * BATCH / capacity,
+        token_seconds=(1.0 - FIXED_FRACTION) / capacity,
         step_tokens=BATCH,
     )
 
@@ -125,7 +125,7 @@
                         process.kill()
 
 
-def list_stops(running: deployment.Deployment) -> list[plans.Stage]:
+def list_stages(running: deployment.Deployment) -> list[plans.Stage]:
     """List the endpoints as stages for the planner."""
     return [
         plans.Stage(
@@ -139,9 +139,9 @@
     ]
 
 
-def find_bound(stops: Iterable[plans.Stage]) -> float:
+def compute_bound(plan_stages: Iterable[plans.Stage]) -> float:
     """Return the maximum tokens/s of all endpoints together."""
-    return plans.make_plan(stops, LAYERS).bound
+    return plans.make_plan(plan_stages, LAYERS).bound
 
 
 @attrs.define
@@ -165,7 +165,7 @@
     _stopped: threading.Event = attrs.field(factory=threading.Event)
     _threads: list[threading.Thread] = attrs.field(factory=list)
 
-    def _ask(
+    def _send_request(
         self, caller: client.Caller, rng: random.Random, name: str
     ) -> None:
         answer = client.Answer()
@@ -181,28 +181,30 @@
         if answer.error is not None:
             self._stopped.wait(_PAUSE_SECONDS)
 
-    def _repeat(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         rng = random.Random(number)
         caller = self._make_caller(number)
         turn = 0
         while not self._stopped.is_set():
             turn += 1
-            self._ask(caller, rng, f'{number}-{turn}')
+            self._send_request(caller, rng, f'{number}-{turn}')
         caller.close()
 
     def _make_caller(self, number: int) -> client.Caller:
         entry = self.entries[number % len(self.entries)]
         return self.running.make_caller(entry, TEAM)
 
-    def _arrive(self) -> None:
+    def _run_arrivals(self) -> None:
         rng = random.Random(0)
         callers = [self._make_caller(one) for one in self.entries]
         number = 0
         while not self._stopped.wait(rng.expovariate(self.arrivals)):
             number += 1
             caller = callers[number % len(callers)]
-            own = random.Random(number)
-            self._start(self._ask, caller, own, f'arrived-{number}')
+            request_rng = random.Random(number)
+            self._start(
+                self._send_request, caller, request_rng, f'arrived-{number}'
+            )
 
     def _start(self, target, *arguments) -> None:
         thread = threading.Thread(target=target, args=arguments, daemon=True)
@@ -211,9 +213,9 @@
 
     def __enter__(self) -> 'Streams':
         for number in range(self.count):
-            self._start(self._repeat, number)
+            self._start(self._run_caller, number)
         if self.arrivals:
-            self._start(self._arrive)
+            self._start(self._run_arrivals)
         return self
 
     def __exit__(self, *details: Any) -> None:
--- a/packages/trials/src/dunlintide_trials/soak.py
+++ b/packages/trials/src/dunlintide_trials/soak.py
@@ -193,11 +193,11 @@
 
 
 def _collect_runs(
-    running: deployment.Deployment, runs: records.Records
+    running: deployment.Deployment, runs: records.RunRecords
 ) -> None:
     for agent in running.plan.agents:
         name = agent.endpoint.standin.name
-        runs.keep(name, running.read_endpoint_runs(name))
+        runs.replace_runs(name, running.read_endpoint_runs(name))
 
 
 def _wait_recovered(driver: Driver) -> list[str]:
@@ -244,7 +244,7 @@
     running: deployment.Deployment, seed: int, seconds: float
 ) -> list[str]:
     """Run load and faults on a deployment and return the violations."""
-    runs = records.Records()
+    runs = records.RunRecords()
     *teams, poison_team = running.keys
     monitor = revisionmonitor.RevisionMonitor(running)
     rng = random.Random(seed)
--- a/packages/trials/src/dunlintide_trials/stagelosses.py
+++ b/packages/trials/src/dunlintide_trials/stagelosses.py
@@ -24,7 +24,7 @@
 from dunlintide_trials import processes
 from dunlintide_trials import records
 
-__all__ = ['AGENT', 'ENGINE', 'Loss', 'join', 'lose_stage', 'run']
+__all__ = ['AGENT', 'ENGINE', 'StageLoss', 'merge', 'kill_stage', 'run']
 
 AGENT = 'agent'
 ENGINE = 'engine'
@@ -40,11 +40,12 @@
 
 
 @attrs.frozen
-class Loss:
+class StageLoss:
     """Effect of the loss of a stage on the streams through it.
 
     :ivar seconds: time from the kill to the next token of each stream
-    :ivar again: layer steps of each stream beyond those of a single run
+    :ivar recomputed: layer steps of each stream beyond those of
+        a single run
     :ivar wrong: number of streams with an incomplete or wrong response
     :ivar kept: mean bytes of activations for a stream at each agent that
         kept some
@@ -52,12 +53,12 @@
     """
 
     seconds: list[float]
-    again: list[int]
+    recomputed: list[int]
     wrong: int
     kept: list[float]
     denied: int = 0
 
-    def tell_percentile(self, part: float) -> float:
+    def compute_percentile(self, part: float) -> float:
         """Return a percentile of the seconds.
 
         :param part: percentile as a fraction
@@ -68,12 +69,12 @@
         return cuts[round(part * 100) - 1]
 
 
-def join(losses: Iterable[Loss]) -> Loss:
+def merge(losses: Iterable[StageLoss]) -> StageLoss:
     """Combine the losses of several rounds."""
     losses = list(losses)
-    return Loss(
+    return StageLoss(
         [second for loss in losses for second in loss.seconds],
-        [again for loss in losses for again in loss.again],
+        [steps for loss in losses for steps in loss.recomputed],
         sum(loss.wrong for loss in losses),
         [size for loss in losses for size in loss.kept],
         sum(loss.denied for loss in losses),
@@ -126,20 +127,20 @@
 def _wait_tokens(
     running: deployment.Deployment, middle: list[str], positions: int, old: set
 ) -> None:
-    def have() -> bool:
+    def have_tokens() -> bool:
         found = set()
         for endpoint in middle:
             found |= _find_started(running, endpoint, positions)
         return len(found - old) >= STREAMS
 
-    if not processes.wait_for(have, _WAIT_SECONDS, pause=0.005):
+    if not processes.wait_for(have_tokens, _WAIT_SECONDS, pause=0.005):
         raise RuntimeError(
             f'fewer than {STREAMS} streams reached {positions} positions '
             f'within {_WAIT_SECONDS:.0f} s'
         )
 
 
-def _tell_delay(answer: client.Answer, killed: float) -> float:
+def _compute_delay(answer: client.Answer, killed: float) -> float:
     """Return the seconds from the kill to the token after the longest gap.
 
     The first token after the kill may have passed the stage before it.
@@ -152,7 +153,7 @@
     return max(gaps)[1] - killed
 
 
-def _count_again(
+def _count_recomputed(
     found: list[dict], request_id: str, words: int, layers: int
 ) -> int:
     ran = sum(
@@ -180,31 +181,31 @@
 
 
 def _read_runs(
-    running: deployment.Deployment, engine: str, over: list[dict] | None
+    running: deployment.Deployment, engine: str, killed_runs: list[dict] | None
 ) -> list[dict]:
     """Read the runs of all engines.
 
     :param engine: engine that may have been killed
-    :param over: runs of that engine from before the kill, None when it
+    :param killed_runs: runs of that engine from before the kill, None when it
         still runs
     """
-    if over is None:
+    if killed_runs is None:
         return running.read_runs(ENGINE)
     names = [
         agent.endpoint.standin.name
         for agent in running.plan.agents
         if agent.endpoint.kind == ENGINE
     ]
-    found = list(over)
+    found = list(killed_runs)
     for name in names:
         if name != engine:
             found += running.read_endpoint_runs(name)
     return found
 
 
-def lose_stage(
+def kill_stage(
     running: deployment.Deployment, kind: str, name: str, words: int
-) -> Loss:
+) -> StageLoss:
     """Kill the agent or engine of one middle stage during streams.
 
     The killed process is restarted at the end.
@@ -238,47 +239,51 @@
         ]
         _wait_tokens(running, middle, words + TOKENS_BEFORE, old)
         counts = [len(_find_started(running, e, 1) - old) for e in middle]
-        struck = counts.index(max(counts))
-        engine = middle[struck]
-        victim = agents[struck].name if kind == AGENT else engine
-        over = running.read_endpoint_runs(engine)
+        affected = counts.index(max(counts))
+        engine = middle[affected]
+        killed_name = agents[affected].name if kind == AGENT else engine
+        killed_runs = running.read_endpoint_runs(engine)
         kept = _read_kept(running)
         denied = _count_denied(running)
         killed = time.monotonic()
-        running.started[victim].kill()
+        running.started[killed_name].kill()
         answers = [one.result() for one in waiting]
-    found = _read_runs(running, engine, over if kind == ENGINE else None)
-    running.restart(victim)
-    seen = (over, found, old, killed)
-    loss = _judge(running, answers, prompts, seen, words)
+    found = _read_runs(
+        running, engine, killed_runs if kind == ENGINE else None
+    )
+    running.restart(killed_name)
+    observed = (killed_runs, found, old, killed)
+    loss = _summarize(running, answers, prompts, observed, words)
     denied = _count_denied(running) - denied
     return attrs.evolve(loss, kept=kept, denied=denied)
 
 
-def _judge(
+def _summarize(
     running: deployment.Deployment,
     answers: list[client.Answer],
     prompts: list[str],
-    seen: tuple[list[dict], list[dict], set[str], float],
+    observed: tuple[list[dict], list[dict], set[str], float],
     words: int,
-) -> Loss:
-    over, found, old, killed = seen
-    hit = {run['request_id'] for run in over} - old
+) -> StageLoss:
+    killed_runs, found, old, killed = observed
+    affected_ids = {run['request_id'] for run in killed_runs} - old
     wrong = 0
     for answer, prompt in zip(answers, prompts):
-        asked = records.Asked('', answer, prompt, TOKENS)
-        faults = records.check_text(
-            asked, model=running.model, layers=running.layers
+        request = records.SentRequest('', answer, prompt, TOKENS)
+        errors = records.check_text(
+            request, model=running.model, layers=running.layers
         )
-        wrong += bool(faults) or not answer.is_complete
-    struck = [
-        one for one in answers if one.request_id in hit and one.is_complete
+        wrong += bool(errors) or not answer.is_complete
+    affected = [
+        one
+        for one in answers
+        if one.request_id in affected_ids and one.is_complete
     ]
-    return Loss(
-        [_tell_delay(one, killed) for one in struck],
+    return StageLoss(
+        [_compute_delay(one, killed) for one in affected],
         [
-            _count_again(found, one.request_id, words, running.layers)
-            for one in struck
+            _count_recomputed(found, one.request_id, words, running.layers)
+            for one in affected
         ],
         wrong,
         [],
--- a/packages/trials/src/dunlintide_trials/stages.py
+++ b/packages/trials/src/dunlintide_trials/stages.py
@@ -31,7 +31,7 @@
 ]
 
 BATCH = 16
-FIXED_PART = 0.25
+FIXED_FRACTION = 0.25
 REPORT_SECONDS = 0.5
 REPORT_LAG_SECONDS = 0.5
 SESSION_TOKENS = (16, 96)
@@ -46,18 +46,18 @@
 
     :ivar entry: entry that routed it
     :ivar chain: chain that it runs on
-    :ivar again: whether its caller sends the next request at its end
-    :ivar left: remaining tokens
-    :ivar observed: time of the last report of its token interval in
+    :ivar repeats: whether its caller sends the next request at its end
+    :ivar remaining: remaining tokens
+    :ivar reported_at: time of the last report of its token interval in
         seconds
     :ivar stage: index in the chain of the stage that runs it
     """
 
     entry: 'Entry'
     chain: plans.Chain
-    again: bool
-    left: int
-    observed: float
+    repeats: bool
+    remaining: int
+    reported_at: float
     stage: int = 0
 
 
@@ -98,23 +98,23 @@
     tokens: int = 0
     steps: int = 0
     seconds: float = 0.0
-    told_tokens: int = 0
-    told_steps: int = 0
-    told_seconds: float = 0.0
+    reported_tokens: int = 0
+    reported_steps: int = 0
+    reported_seconds: float = 0.0
 
     def step_seconds(self, batch: int) -> float:
-        work = FIXED_PART * BATCH + (1.0 - FIXED_PART) * batch
+        work = FIXED_FRACTION * BATCH + (1.0 - FIXED_FRACTION) * batch
         return work / (self.capacity * self.speed)
 
-    def tell(self, tells_queue: bool) -> fleet.LoadReport:
-        steps = self.steps - self.told_steps
-        seconds = self.seconds - self.told_seconds
-        tokens = self.tokens - self.told_tokens
-        self.told_steps, self.told_seconds = self.steps, self.seconds
-        self.told_tokens = self.tokens
+    def make_report(self, reports_queue: bool) -> fleet.LoadReport:
+        steps = self.steps - self.reported_steps
+        seconds = self.seconds - self.reported_seconds
+        tokens = self.tokens - self.reported_tokens
+        self.reported_steps, self.reported_seconds = self.steps, self.seconds
+        self.reported_tokens = self.tokens
         return fleet.LoadReport(
             running=self.resident,
-            queued=max(0, len(self.waiting) - BATCH) if tells_queue else 0,
+            queued=max(0, len(self.waiting) - BATCH) if reports_queue else 0,
             step_seconds=seconds / steps if steps else 0.0,
             tokens_per_second=tokens / REPORT_SECONDS,
         )
@@ -125,13 +125,13 @@
 
     def __init__(
         self,
-        stops: list[plans.Stage],
+        plan_stages: list[plans.Stage],
         links: plans.Links,
         entries: list[Entry],
         sessions: int,
         rng: random.Random,
         arrivals: float = 0.0,
-        tells_queue: bool = False,
+        reports_queue: bool = False,
     ) -> None:
         """Schedule the first events, which ``run`` processes.
 
@@ -139,26 +139,28 @@
             one is answered
         :param arrivals: additional requests per second with Poisson
             arrivals
-        :param tells_queue: whether load reports include queued work;
+        :param reports_queue: whether load reports include queued work;
             without it a policy has to infer queues from step times, as with
             engines that queue internally
         """
         self.now = 0.0
-        self.done: list[float] = []
-        self.stages = {stop.agent: _Stage(stop.capacity) for stop in stops}
+        self.token_times: list[float] = []
+        self.stages = {
+            stage.agent: _Stage(stage.capacity) for stage in plan_stages
+        }
         self.slowdowns: dict[tuple[str, str], float] = {}
-        self._tells_queue = tells_queue
+        self._reports_queue = reports_queue
         self._links = links
         self._entries = entries
         self._rng = rng
-        self._free: dict[tuple, float] = {}
+        self._channel_free_at: dict[tuple, float] = {}
         self._events: list[tuple] = []
         self._order = itertools.count()
         for index in range(sessions):
             entry = entries[index % len(entries)]
             self._at(rng.random(), self._start, entry, True)
         if arrivals:
-            self._at(0.0, self._arrive_anew, arrivals)
+            self._at(0.0, self._run_arrivals, arrivals)
         for agent in self.stages:
             self._at(rng.random() * REPORT_SECONDS, self._report, agent)
         for entry in entries:
@@ -173,7 +175,7 @@
 
     def rate(self, start: float, end: float) -> float:
         """Return the tokens/s that callers got between two times."""
-        count = sum(start <= when < end for when in self.done)
+        count = sum(start <= when < end for when in self.token_times)
         return count / (end - start)
 
     def _at(self, when: float, call: Callable, *arguments) -> None:
@@ -186,7 +188,7 @@
         self._at(self.now + TICK_SECONDS, self._tick, entry)
 
     def _report(self, agent: str) -> None:
-        report = self.stages[agent].tell(self._tells_queue)
+        report = self.stages[agent].make_report(self._reports_queue)
         for entry in self._entries:
             self._at(
                 self.now + REPORT_LAG_SECONDS,
@@ -202,35 +204,35 @@
     ) -> None:
         entry.report(agent, report, self.now)
 
-    def _arrive_anew(self, arrivals: float) -> None:
+    def _run_arrivals(self, arrivals: float) -> None:
         self._start(self._rng.choice(self._entries), False)
         pause = self._rng.expovariate(arrivals)
-        self._at(self.now + pause, self._arrive_anew, arrivals)
+        self._at(self.now + pause, self._run_arrivals, arrivals)
 
-    def _start(self, entry: Entry, again: bool) -> None:
+    def _start(self, entry: Entry, repeats: bool) -> None:
         chain = entry.choose(self.now)
         entry.begin(chain)
         for agent in chain.agents:
             self.stages[agent].resident += 1
         length = self._rng.randint(*SESSION_TOKENS)
-        self._arrive([Session(entry, chain, again, length, self.now)])
+        self._enqueue([Session(entry, chain, repeats, length, self.now)])
 
-    def _arrive(self, sessions: list[Session]) -> None:
+    def _enqueue(self, sessions: list[Session]) -> None:
         session = sessions[0]
         stage = self.stages[session.chain.stages[session.stage].agent]
         stage.waiting.extend(sessions)
-        self._work(stage)
+        self._start_step(stage)
 
-    def _work(self, stage: _Stage) -> None:
+    def _start_step(self, stage: _Stage) -> None:
         if stage.running or not stage.waiting:
             return
         size = min(BATCH, len(stage.waiting))
         batch = [stage.waiting.popleft() for _ in range(size)]
         seconds = stage.step_seconds(size)
         stage.running = True
-        self._at(self.now + seconds, self._finish, stage, batch, seconds)
+        self._at(self.now + seconds, self._finish_step, stage, batch, seconds)
 
-    def _finish(
+    def _finish_step(
         self, stage: _Stage, batch: list[Session], seconds: float
     ) -> None:
         stage.running = False
@@ -240,15 +242,18 @@
         messages = collections.defaultdict(list)
         for session in batch:
             if session.stage + 1 < len(session.chain.stages):
-                stops = session.chain.stages
-                hop = stops[session.stage], stops[session.stage + 1]
+                plan_stages = session.chain.stages
+                hop = (
+                    plan_stages[session.stage],
+                    plan_stages[session.stage + 1],
+                )
                 session.stage += 1
                 messages[hop].append(session)
             else:
-                self._count(session)
+                self._finish_token(session)
         for hop, sessions in messages.items():
             self._send(hop, sessions)
-        self._work(stage)
+        self._start_step(stage)
 
     def _send(self, hop: tuple, sessions: list[Session]) -> None:
         source, target = hop
@@ -256,26 +261,28 @@
         quality = self._links.between(source, target)
         channel = pair, source.layer_end
         slowdown = self.slowdowns.get(pair, 1.0)
-        sent = max(self.now, self._free.get(channel, 0.0))
+        sent = max(self.now, self._channel_free_at.get(channel, 0.0))
         sent += len(sessions) * slowdown / quality.tokens_per_second
-        self._free[channel] = sent
-        self._at(sent + quality.latency, self._arrive, sessions)
+        self._channel_free_at[channel] = sent
+        self._at(sent + quality.latency, self._enqueue, sessions)
 
-    def _count(self, session: Session) -> None:
-        self.done.append(self.now)
-        session.left -= 1
+    def _finish_token(self, session: Session) -> None:
+        self.token_times.append(self.now)
+        session.remaining -= 1
         session.stage = 0
-        if not session.left:
+        if not session.remaining:
             for agent in session.chain.agents:
                 self.stages[agent].resident -= 1
             session.entry.end(session.chain)
-            if session.again:
+            if session.repeats:
                 self._start(session.entry, True)
             return
-        if session.left % TOKENS_PER_OBSERVATION == 0:
-            interval = (self.now - session.observed) / TOKENS_PER_OBSERVATION
-            session.observed = self.now
+        if session.remaining % TOKENS_PER_OBSERVATION == 0:
+            interval = (
+                self.now - session.reported_at
+            ) / TOKENS_PER_OBSERVATION
+            session.reported_at = self.now
             session.entry.tokens(session.chain, interval, self.now)
-        stops = session.chain.stages
-        back = self._links.between(stops[-1], stops[0]).latency
-        self._at(self.now + back, self._arrive, [session])
+        plan_stages = session.chain.stages
+        back = self._links.between(plan_stages[-1], plan_stages[0]).latency
+        self._at(self.now + back, self._enqueue, [session])
--- a/packages/trials/src/dunlintide_trials/streams.py
+++ b/packages/trials/src/dunlintide_trials/streams.py
@@ -32,7 +32,7 @@
     'STEP_SECONDS',
     'Usage',
     'run_entry',
-    'run_toy',
+    'run_baseline',
 ]
 
 STEP_SECONDS = 0.026
@@ -45,7 +45,7 @@
 _LAYERS = 24
 _MICRO = 1e6
 _MB = 1e6
-_EVENT = b'data: {'
+_EVENT_MARKER = b'data: {'
 
 Serve = Callable[[list[str]], contextlib.AbstractContextManager[int]]
 
@@ -74,16 +74,16 @@
         self._sessions: dict[str, list] = {}
         self._lock = threading.Lock()
         handlers = links.Handlers(
-            lambda link: None, self._take, lambda link, reason: None
+            lambda link: None, self._handle_frames, lambda link, reason: None
         )
         self._server = linkserver.LinkServer(
-            '127.0.0.1:0', self._hello, handlers
+            '127.0.0.1:0', self._make_hello, handlers
         )
         self.address = f'127.0.0.1:{self._server.port}'
         self._server.start()
-        threading.Thread(target=self._step, daemon=True).start()
+        threading.Thread(target=self._run_steps, daemon=True).start()
 
-    def _hello(self) -> link_pb2.Hello:
+    def _make_hello(self) -> link_pb2.Hello:
         endpoint = link_pb2.Endpoint(
             kind='engine',
             model=_MODEL,
@@ -95,14 +95,16 @@
             name=self.name, role='agent', incarnation=1, endpoint=endpoint
         )
 
-    def _take(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def _handle_frames(
+        self, link: links.Link, frames: list[link_pb2.Frame]
+    ) -> None:
         for frame in frames:
             if frame.WhichOneof('body') == 'open':
                 with self._lock:
                     request_id = frame.open.terms.request_id
                     self._sessions[request_id] = [link, frame.open, 0]
 
-    def _step(self) -> None:
+    def _run_steps(self) -> None:
         due = time.monotonic()
         while True:
             due += STEP_SECONDS
@@ -113,22 +115,22 @@
                 self._send(session)
 
     def _send(self, session: list) -> None:
-        link, asked, index = session
-        request_id = asked.terms.request_id
+        link, request, index = session
+        request_id = request.terms.request_id
         token = link_pb2.Token(
             request_id=request_id,
-            epoch=asked.epoch,
+            epoch=request.epoch,
             index=index,
             id=index,
             text=f' word{index}',
         )
         link.send(link_pb2.Frame(token=token))
         session[2] += 1
-        if session[2] < asked.max_tokens:
+        if session[2] < request.max_tokens:
             return
         done = link_pb2.Done(
             request_id=request_id,
-            epoch=asked.epoch,
+            epoch=request.epoch,
             tokens=session[2],
             finish_reason='length',
         )
@@ -175,7 +177,7 @@
             ),
         ),
     )
-    listed = [
+    hosts = [
         hostlist.Host(f'agent-{number}', 'agent', address)
         for number, address in enumerate(addresses)
     ]
@@ -184,8 +186,10 @@
         adopt(1, config)
         stopped.wait()
 
-    outside = sources.Sources(lambda: result.Ok(listed), follow, _Writer())
-    chosen = settings.Settings(
+    entry_sources = sources.Sources(
+        lambda: result.Ok(hosts), follow, _Writer()
+    )
+    entry_settings = settings.Settings(
         role='entry',
         name='entry',
         failure_domain='a',
@@ -196,7 +200,7 @@
         listen='127.0.0.1:0',
         limits=settings.Limits(threads=THREADS),
     )
-    with role.Entry(chosen, outside, lame_duck=0.0) as entry:
+    with role.Entry(entry_settings, entry_sources, lame_duck=0.0) as entry:
         deadline = time.monotonic() + _START_SECONDS
         while len(entry.describe()['fleet']['agents']) < len(addresses):
             if time.monotonic() > deadline:
@@ -208,14 +212,14 @@
         yield entry.port
 
 
-def _stream_toy(environ, start_response) -> Iterator[bytes]:
+def _stream_baseline(environ, start_response) -> Iterator[bytes]:
     """Stream the same events without code of the router."""
     size = int(environ['CONTENT_LENGTH'])
-    asked = json.loads(environ['wsgi.input'].read(size))
+    request = json.loads(environ['wsgi.input'].read(size))
     head = json.dumps({'id': 'cmpl-toy', 'object': 'text_completion'})
     start_response('200 OK', [('Content-Type', 'text/event-stream')])
     due = time.monotonic()
-    for index in range(asked['max_tokens']):
+    for index in range(request['max_tokens']):
         due += STEP_SECONDS
         time.sleep(max(0.0, due - time.monotonic()))
         yield f'data: {head[:-1]}, "text": " word{index}"}}\n\n'.encode()
@@ -223,9 +227,9 @@
 
 
 @contextlib.contextmanager
-def _serve_toy(addresses: list[str]) -> Iterator[int]:
+def _serve_baseline(addresses: list[str]) -> Iterator[int]:
     server = waitress.create_server(
-        _stream_toy,
+        _stream_baseline,
         listen='127.0.0.1:0',
         threads=THREADS,
         connection_limit=THREADS * 4,
@@ -234,13 +238,13 @@
     yield int(server.effective_port)
 
 
-def _host_server(pipe, serve: Serve, addresses: list[str]) -> None:
+def _run_server(pipe, serve: Serve, addresses: list[str]) -> None:
     with serve(addresses) as port:
         pipe.send(port)
         pipe.recv()
 
 
-def _host_agents(pipe) -> None:
+def _run_agents(pipe) -> None:
     agents = [_Agent(number) for number in range(AGENTS)]
     pipe.send([agent.address for agent in agents])
     pipe.recv()
@@ -286,13 +290,13 @@
         """Read until a monotonic time or the end of all streams."""
         while self.open and (left := until - time.monotonic()) > 0:
             for key, _ in self._selector.select(left):
-                self._take(key.fileobj)
+                self._read_caller(key.fileobj)
 
-    def _take(self, caller: socket.socket) -> None:
+    def _read_caller(self, caller: socket.socket) -> None:
         data = caller.recv(1 << 16)
         # A marker that is split between two reads is not counted, which is
         # rare enough to be ignored.
-        self.events += data.count(_EVENT)
+        self.events += data.count(_EVENT_MARKER)
         self.complete += data.count(b'[DONE]')
         if not data:
             self._selector.unregister(caller)
@@ -301,15 +305,15 @@
 
 
 def _measure(
-    server: childprocesses.Started, count: int, seconds: float
+    server: childprocesses.ChildProcess, count: int, seconds: float
 ) -> Usage:
     tokens = int((WARMUP_SECONDS * 2 + seconds) / STEP_SECONDS)
     process = server.process
-    callers = _Callers(server.first, count, tokens)
+    callers = _Callers(server.first_message, count, tokens)
     callers.read(time.monotonic() + WARMUP_SECONDS)
-    cpu, events = server.read_time(), callers.events
+    cpu, events = server.read_cpu_seconds(), callers.events
     callers.read(time.monotonic() + seconds)
-    cpu, events = server.read_time() - cpu, callers.events - events
+    cpu, events = server.read_cpu_seconds() - cpu, callers.events - events
     resident = process.memory_info().rss / _MB
     threads = process.num_threads()
     callers.read(time.monotonic() + _START_SECONDS)
@@ -323,18 +327,20 @@
     :param seconds: duration of the measurement
     """
     with (
-        childprocesses.start(_host_agents) as agents,
-        childprocesses.start(
-            _host_server, _serve_entry, agents.first
+        childprocesses.start_process(_run_agents) as agents,
+        childprocesses.start_process(
+            _run_server, _serve_entry, agents.first_message
         ) as entry,
     ):
         return _measure(entry, count, seconds)
 
 
-def run_toy(count: int, seconds: float) -> Usage:
+def run_baseline(count: int, seconds: float) -> Usage:
     """Measure a minimal WSGI application under the same streams.
 
     The parameters are those of ``run_entry``.
     """
-    with childprocesses.start(_host_server, _serve_toy, []) as toy:
-        return _measure(toy, count, seconds)
+    with childprocesses.start_process(
+        _run_server, _serve_baseline, []
+    ) as baseline:
+        return _measure(baseline, count, seconds)
