--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -14,11 +14,11 @@
 from dunlintide_core import outcomes
 from dunlintide_standins.engine import server as engine
 from dunlintide_trials import client
-from dunlintide_trials import field
+from dunlintide_trials import faultcontext
 from dunlintide_trials import load
 from dunlintide_trials import promises
 from dunlintide_trials import records
-from dunlintide_trials import watching
+from dunlintide_trials import revisionmonitor
 
 MODEL = 'copy-7b'
 LAYERS = 6
@@ -39,7 +39,7 @@
 
 def _add_completion(context, name, text, outcome=COMPLETE):
     answer = _answer(name, outcome, text)
-    asked = records.Asked('diner', answer, f'prompt {name}', TOKENS)
+    asked = records.SentRequest('diner', answer, f'prompt {name}', TOKENS)
     context.requests.completions.append(asked)
 
 
@@ -73,7 +73,9 @@
 
 def _add_keyed(context, name, *epochs):
     answer = _answer(name, text=_write(f'prompt {name}'))
-    asked = records.Asked('diner', answer, f'prompt {name}', TOKENS, name)
+    asked = records.SentRequest(
+        'diner', answer, f'prompt {name}', TOKENS, name
+    )
     context.requests.completions.append(asked)
     for epoch in epochs:
         _add_run(context, name, name, layer_start=0, epoch=epoch)
@@ -138,8 +140,8 @@
 
 @behave.when('the promises are checked')
 def check_promises(context):
-    runs = records.Records()
-    runs.keep('endpoint', context.kept)
+    runs = records.RunRecords()
+    runs.replace_runs('endpoint', context.kept)
     running = mock.Mock(model=MODEL, layers=LAYERS)
     context.wrong = promises.check(running, context.requests, runs)
 
@@ -162,11 +164,11 @@
 
 @behave.when('an entry shows revisions {shown}')
 def show_revisions(context, shown):
-    watch = watching.Watch(mock.Mock())
+    watch = revisionmonitor.RevisionMonitor(mock.Mock())
     watch.stop()
     for revision in shown.split(', '):
-        watch.note('entry-0', int(revision))
-    context.wrong = watch.wrong
+        watch.record('entry-0', int(revision))
+    context.wrong = watch.violations
 
 
 @behave.when('an engine crashes by a prompt')
@@ -185,7 +187,7 @@
                 body = {'steps': [step]}
                 urllib3.request('POST', url, json=body, retries=False)
         assert crashed.wait(WAIT_SECONDS)
-    context.left = field.find_left_records(printed.getvalue())
+    context.left = faultcontext.find_crash_records(printed.getvalue())
 
 
 @behave.then('its record of runs is found in what it printed')
--- a/packages/trials/src/dunlintide_trials/cases/latency.py
+++ b/packages/trials/src/dunlintide_trials/cases/latency.py
@@ -1,10 +1,10 @@
-"""What dunlintide adds to a request at 70% load, against direct driving.
+"""Latency that dunlintide adds to a request at 70% load.
 
-Background streams and the probes share the same engines, and probes
-through dunlintide run beside probes that drive a chain directly, so both
-meet the same batches. All endpoints are alike, as chains of different
-speed would drown what is added. Values can be below 0: dunlintide chooses
-endpoints by load, and the baseline takes them in turn.
+The baseline drives a chain directly. Probes of both kinds alternate and
+share the engines with background streams, so that both meet the same
+batches. All endpoints are equal, as different speeds of chains would hide
+the added latency. Values can be negative, because dunlintide chooses
+endpoints by load while the baseline uses them in turn.
 """
 
 from concurrent import futures
@@ -27,12 +27,12 @@
 WARM_UP_SECONDS = 15.0
 TOKENS = 16
 PROMPT = 'specials'
-# Bounds on what is added, as shares of the baseline.
+# Bounds on the added latency as fractions of the baseline.
 FIRST_TOKEN_SHARE = 0.5
 INTER_TOKEN_SHARE = 0.25
 _PERCENTILE = 95
 
-_Pairs = list[tuple[direct.Times, direct.Times]]
+_Pairs = list[tuple[direct.Latencies, direct.Latencies]]
 
 
 def _make_chain(running: deployment.Deployment, number: int) -> direct.Chain:
@@ -59,7 +59,9 @@
         )
         if not answer.is_complete:
             raise RuntimeError(f'{answer.outcome}: {answer.error}')
-        routed = direct.Times.from_moments(answer.started, answer.times)
+        routed = direct.Latencies.from_token_times(
+            answer.started, answer.times
+        )
         pairs.append((plain, routed))
     caller.close()
     return pairs
@@ -67,7 +69,7 @@
 
 def _measure() -> _Pairs:
     with saturation.run(('planned',), RANGES) as running:
-        bound = saturation.find_bound(saturation.list_stops(running))
+        bound = saturation.compute_bound(saturation.list_stages(running))
         arrivals = LOAD * bound / saturation.MEAN_TOKENS
         with saturation.Streams(running, (0,), arrivals=arrivals):
             time.sleep(WARM_UP_SECONDS)
@@ -107,12 +109,12 @@
 
 
 def measure_first_token() -> Iterator[figures.Figure]:
-    """Measure what is added to the time to the first token."""
+    """Measure the latency added to the first token."""
     yield from _compare('first', FIRST_TOKEN_SHARE)
 
 
 def measure_inter_token() -> Iterator[figures.Figure]:
-    """Measure what is added to the mean time between two tokens."""
+    """Measure the latency added to the mean interval between tokens."""
     yield from _compare('between', INTER_TOKEN_SHARE)
 
 
--- a/packages/trials/src/dunlintide_trials/demo.py
+++ b/packages/trials/src/dunlintide_trials/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a small deployment, shown and checked step by step.
+"""Run a small deployment and check it step by step.
 
-Each step is checked against the stand-ins' own records and against the
-tokens that a right run yields; the exit code is 1 when one is wrong.
+Each step is checked against the runs that the stand-ins record and
+against the expected tokens; the exit code is 1 when a check fails.
 """
 
 import argparse
@@ -14,11 +14,11 @@
 import time
 
 from dunlintide_trials import blueprints
+from dunlintide_trials import demosteps
 from dunlintide_trials import deployment
 from dunlintide_trials import launcher
 from dunlintide_trials import operators
 from dunlintide_trials import processes
-from dunlintide_trials import scenes
 from dunlintide_trials import signals
 from dunlintide_trials import topology
 
@@ -49,11 +49,11 @@
 
 def _keep_running(running: deployment.Deployment) -> None:
     path = running.folder / TOPOLOGY
-    # The file appears whole: other programs wait for it.
+    # Other programs wait for the file, so it is renamed into place complete.
     draft = path.with_suffix('.part')
     draft.write_text(json.dumps(topology.describe(running), indent=2))
     draft.rename(path)
-    scenes.print_commands(running)
+    demosteps.print_commands(running)
     print(f'\nRunning until Ctrl-C; addresses and keys are in {path}.')
     sys.stdout.flush()
     signals.wait_for_signal()
@@ -72,13 +72,13 @@
         folder = _make_folder(stack, options.keep)
         begin = time.monotonic()
         running = stack.enter_context(launcher.run(blueprint, rules, folder))
-        scenes.print_start(running, time.monotonic() - begin)
+        demosteps.print_start(running, time.monotonic() - begin)
         if options.keep:
             _keep_running(running)
             return 0
-        wrong = scenes.play(running)
-    scenes.print_end(running, wrong, time.monotonic() - begin)
-    return EXIT_WRONG if wrong else 0
+        problems = demosteps.run_steps(running)
+    demosteps.print_end(running, problems, time.monotonic() - begin)
+    return EXIT_WRONG if problems else 0
 
 
 def main(arguments: list[str]) -> int:
--- a/packages/trials/src/dunlintide_trials/saturation.py
+++ b/packages/trials/src/dunlintide_trials/saturation.py
@@ -1,8 +1,9 @@
-"""Real processes under many streams, against the bound of a plan.
+"""Deployment of real processes under many streams of completions.
 
-Engines are stand-ins whose steps sleep, so that the declared capacity is
-what a full batch delivers: up to ``BATCH`` tokens a step, a quarter of
-whose time is fixed. The capacities keep the machine far from its limit.
+Engines are stand-ins whose steps sleep. A full batch of ``BATCH`` tokens
+delivers the declared capacity, and ``FIXED_FRACTION`` of its time is
+independent of the batch size. The capacities are low enough that the
+machine is not the bottleneck.
 """
 
 import collections
@@ -28,17 +29,17 @@
     'TEAM',
     'MODEL',
     'Streams',
-    'find_bound',
-    'list_stops',
+    'compute_bound',
+    'list_stages',
     'run',
 ]
 
 BATCH = 16
-FIXED_PART = 0.25
-# Tokens/s of each endpoint, by kind of accelerator; the sums of the three
-# layer ranges are close to each other.
+FIXED_FRACTION = 0.25
+# Tokens/s of an endpoint by kind of accelerator. The sums over each of the
+# three layer ranges are nearly equal.
 KINDS = {'k1': 600, 'k2': 400, 'k3': 250, 'k4': 150, 'k5': 90, 'k6': 50}
-# One that leaves the machine more to do than the engine's sleep.
+# A kind so fast that the machine's work outweighs the engine's sleep.
 FAST = 'fast'
 KINDS_WITH_FAST = KINDS | {FAST: 2000}
 RANGES = (
@@ -52,7 +53,7 @@
 TEAM = 'bench'
 TOKENS = (16, 96)
 MEAN_TOKENS = sum(TOKENS) / 2
-# A slow chain takes a minute for its last answers; they are given up.
+# Streams over a slow chain need up to a minute and are abandoned after this.
 DRAIN_SECONDS = 5.0
 _PAUSE_SECONDS = 0.2
 
@@ -65,8 +66,8 @@
         replicas=1,
         accelerator=kind,
         tokens_per_second=capacity,
-        step_seconds=FIXED_PART * BATCH / capacity,
-        token_seconds=(1.0 - FIXED_PART) / capacity,
+        step_seconds=FIXED_FRACTION * BATCH / capacity,
+        token_seconds=(1.0 - FIXED_FRACTION) / capacity,
         step_tokens=BATCH,
     )
 
@@ -102,10 +103,10 @@
     routings: Iterable[str],
     ranges: Iterable[Iterable[str]] = RANGES,
 ) -> Iterator[deployment.Deployment]:
-    """Start the deployment, with an entry for each routing.
+    """Start the deployment and stop it on leaving the context.
 
-    :param ranges: kinds of the endpoints that hold each third of the
-        layers
+    :param routings: the ``routing`` setting of each entry
+    :param ranges: kinds of the endpoints of each layer range
     """
     routings = tuple(routings)
     with tempfile.TemporaryDirectory(prefix='dunlintide-') as folder:
@@ -118,14 +119,14 @@
             try:
                 yield running
             finally:
-                # Streams that were given up would hold up a planned stop.
+                # A graceful stop would wait for the abandoned streams.
                 for role in (deployment.ENTRY, deployment.AGENT):
                     for process in running.list_processes(role):
                         process.kill()
 
 
-def list_stops(running: deployment.Deployment) -> list[plans.Stage]:
-    """Give the endpoints as a planner sees them."""
+def list_stages(running: deployment.Deployment) -> list[plans.Stage]:
+    """List the endpoints as stages for the planner."""
     return [
         plans.Stage(
             agent.name,
@@ -138,19 +139,22 @@
     ]
 
 
-def find_bound(stops: Iterable[plans.Stage]) -> float:
-    """Give the tokens/s that endpoints can carry together."""
-    return plans.make_plan(stops, LAYERS).bound
+def compute_bound(plan_stages: Iterable[plans.Stage]) -> float:
+    """Return the maximum tokens/s of all endpoints together."""
+    return plans.make_plan(plan_stages, LAYERS).bound
 
 
 @attrs.define
 class Streams:
-    """Callers that stream completions: a fixed number, or by arrivals.
-
-    :ivar entries: numbers of the entries that they ask in turn
-    :ivar count: callers that ask again once they are answered
-    :ivar arrivals: requests a second of Poisson arrivals
-    :ivar answers: what they got or are getting, in the order of starts
+    """Load of streamed completions by a fixed number of callers or a rate.
+
+    :ivar running: the deployment
+    :ivar entries: numbers of the entries, used in turn
+    :ivar count: number of callers that send the next request as soon as
+        one ends
+    :ivar arrivals: requests per second with Poisson arrivals
+    :ivar answers: finished and current responses in the order of their
+        requests
     """
 
     running: deployment.Deployment
@@ -161,13 +165,13 @@
     _stopped: threading.Event = attrs.field(factory=threading.Event)
     _threads: list[threading.Thread] = attrs.field(factory=list)
 
-    def _ask(
+    def _send_request(
         self, caller: client.Caller, rng: random.Random, name: str
     ) -> None:
         answer = client.Answer()
         self.answers.append(answer)
         caller.complete(
-            # One position: the bound is for decoding only.
+            # A prompt of one token, as the bound covers decoding only.
             name,
             model=MODEL,
             max_tokens=rng.randint(*TOKENS),
@@ -177,28 +181,30 @@
         if answer.error is not None:
             self._stopped.wait(_PAUSE_SECONDS)
 
-    def _repeat(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         rng = random.Random(number)
         caller = self._make_caller(number)
         turn = 0
         while not self._stopped.is_set():
             turn += 1
-            self._ask(caller, rng, f'{number}-{turn}')
+            self._send_request(caller, rng, f'{number}-{turn}')
         caller.close()
 
     def _make_caller(self, number: int) -> client.Caller:
         entry = self.entries[number % len(self.entries)]
         return self.running.make_caller(entry, TEAM)
 
-    def _arrive(self) -> None:
+    def _run_arrivals(self) -> None:
         rng = random.Random(0)
         callers = [self._make_caller(one) for one in self.entries]
         number = 0
         while not self._stopped.wait(rng.expovariate(self.arrivals)):
             number += 1
             caller = callers[number % len(callers)]
-            own = random.Random(number)
-            self._start(self._ask, caller, own, f'arrived-{number}')
+            request_rng = random.Random(number)
+            self._start(
+                self._send_request, caller, request_rng, f'arrived-{number}'
+            )
 
     def _start(self, target, *arguments) -> None:
         thread = threading.Thread(target=target, args=arguments, daemon=True)
@@ -207,29 +213,29 @@
 
     def __enter__(self) -> 'Streams':
         for number in range(self.count):
-            self._start(self._repeat, number)
+            self._start(self._run_caller, number)
         if self.arrivals:
-            self._start(self._arrive)
+            self._start(self._run_arrivals)
         return self
 
     def __exit__(self, *details: Any) -> None:
-        """Begin no new stream and wait a little for the ends."""
+        """Start no new streams and wait for a short time for their ends."""
         self._stopped.set()
         end = time.monotonic() + DRAIN_SECONDS
         for thread in list(self._threads):
             thread.join(max(0.0, end - time.monotonic()))
 
     def measure(self, seconds: float) -> float:
-        """Give the tokens/s that come in the next seconds."""
+        """Measure the tokens/s that arrive in the next seconds."""
         start = time.monotonic()
         time.sleep(seconds)
         return self.rate(start, start + seconds)
 
     def rate(self, start: float, end: float) -> float:
-        """Give the tokens/s that came in a window of the past.
+        """Return the tokens/s that arrived in a past window.
 
         :param start: monotonic time in seconds
-        :param end: the same
+        :param end: monotonic time in seconds, not included
         """
         tokens = sum(
             start <= moment < end
@@ -239,7 +245,7 @@
         return tokens / (end - start)
 
     def count_failed(self) -> collections.Counter[tuple[str, str]]:
-        """Count answers that ended and were not complete, by why."""
+        """Count the incomplete responses by outcome and error code."""
         return collections.Counter(
             (str(answer.outcome), answer.code)
             for answer in self.answers
