--- a/packages/trials/src/dunlintide_trials/cases/fleet.py
+++ b/packages/trials/src/dunlintide_trials/cases/fleet.py
@@ -51,7 +51,7 @@
     for peer in peers[1:]:
         # Decoded from wire format, so that peers share no string objects.
         other = replicas.Replica(peer, random.Random(1))
-        request = other.open(0.0, exchanges.Target(''))
+        request = other.make_request(0.0, exchanges.Target(''))
         message = peercodec.encode_request(request).SerializeToString()
         decoded = link_pb2.ExchangeRequest.FromString(message)
         replica.handle_request(0.0, peercodec.decode_request(decoded))
@@ -71,7 +71,9 @@
     server = linkserver.LinkServer('127.0.0.1:0', link_pb2.Hello, handlers)
     peer_calls.add_service(
         server.server,
-        lambda request, most: callee.answer(time.monotonic(), request, most),
+        lambda request, most: callee.handle_request(
+            time.monotonic(), request, most
+        ),
     )
     client = peer_calls.Client()
     target = exchanges.Target(f'127.0.0.1:{server.port}')
