--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -193,12 +193,14 @@
     beliefs = context.state
     (endpoint,) = beliefs.list_endpoints('llm')
     context.life = endpoint.name
-    beliefs.accuse([endpoint.name], 'still', 's-1')
-    beliefs.soundness.record_refusal(endpoint.name, beliefs.now)
-    beliefs.crashers.record_broken_run('request', endpoint.name, beliefs.now)
+    beliefs.eject([endpoint.name], 'still', 's-1')
+    beliefs.health.record_refusal(endpoint.name, beliefs.now)
+    beliefs.poison_requests.record_broken_run(
+        'request', endpoint.name, beliefs.now
+    )
     beliefs.mark_leaving(endpoint.name, 'two')
     context.ended = []
-    beliefs.life_listeners.append(context.ended.append)
+    beliefs.incarnation_listeners.append(context.ended.append)
 
 
 @behave.then(
@@ -210,12 +212,10 @@
     assert endpoint.identity == name
     assert endpoint.start == endpoint.end == 0
     assert not endpoint.draining
-    assert not beliefs.soundness.expects_refusal(endpoint.name, beliefs.now)
-    assert not beliefs.soundness.get_suspicion_seconds(
-        endpoint.name, beliefs.now
-    )
+    assert not beliefs.health.expects_refusal(endpoint.name, beliefs.now)
+    assert not beliefs.health.get_suspicion_seconds(endpoint.name, beliefs.now)
     # A break at the new life is another one than that at the old.
-    count = beliefs.crashers.record_broken_run(
+    count = beliefs.poison_requests.record_broken_run(
         'request', endpoint.name, beliefs.now
     )
     assert count == 2, count
@@ -235,7 +235,7 @@
 @behave.when('its report says that it was born at {born:d}')
 def report_born(context, born):
     (endpoint,) = context.state.list_endpoints('llm')
-    context.state.note_life(endpoint, born)
+    context.state.record_incarnation(endpoint, born)
 
 
 JSON = strategies.recursive(
@@ -314,7 +314,7 @@
     def check(value):
         decoded = configurations.decode_deployment(value)
         if decoded.is_ok():
-            assert make_state().adopt(decoded.ok_value, value)
+            assert make_state().apply_configuration(decoded.ok_value, value)
 
     routes = spoil_rows(ROUTE).map(
         lambda row: json.dumps(
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -56,7 +56,7 @@
 @behave.when('it leaves out an engine of domain "{domain}"')
 def leave_out(context, domain):
     name = find_name(context, domain)
-    context.state.soundness.eject(name, context.state.now)
+    context.state.health.eject(name, context.state.now)
     tell_alarm(context)
 
 
@@ -70,8 +70,8 @@
 
 def tell_alarm(context):
     context.transport.hosts.clear()
-    message, domains = context.gossip._build_alarm()
-    context.gossip._tell(message, domains)
+    message, domains = context.gossip._build_alert()
+    context.gossip._broadcast(message, domains)
 
 
 def check_told(context, domains):
@@ -94,9 +94,9 @@
 @behave.when('an engine of domain "{domain}" refuses it as full')
 def refuse_full(context, domain):
     for endpoint in list(context.state.endpoints.values()):
-        context.state.soundness.forget(endpoint.name)
+        context.state.health.forget(endpoint.name)
     name = find_name(context, domain)
-    context.state.soundness.record_refusal(name, context.state.now)
+    context.state.health.record_refusal(name, context.state.now)
     tell_alarm(context)
 
 
--- a/packages/daemon/src/dunlintide_daemon/agent/engineside.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/enginecomponents.py
@@ -1,4 +1,4 @@
-"""What an agent has before an engine, and not before a plain service."""
+"""Components that an agent has only for an engine, not for a service."""
 
 from typing import Any, Callable
 
@@ -17,77 +17,84 @@
 from dunlintide_daemon.agent import peers as peering
 from dunlintide_daemon.agent import pipeline as pipelines
 from dunlintide_daemon.agent import table as tables
-from dunlintide_daemon import suspicion as suspicions
+from dunlintide_daemon import crashevidence as suspicions
 
 __all__ = [
-    'EngineSide',
-    'Parts',
+    'Dependencies',
+    'EngineComponents',
 ]
 
-TakeFailure = Callable[[list[drivers.Job], engines.EngineError], None]
+HandleFailure = Callable[[list[drivers.Job], engines.EngineError], None]
 
 
 @attrs.frozen
-class Parts:
-    """Parts of the agent that its engine's side works with."""
+class Dependencies:
+    """Components of the agent that those of the engine depend on."""
 
     incarnation: int
     gate: gates.Gate
     peers: peering.Peers
     counts: counting.Counts
-    suspicion: suspicions.Suspicion
-    take_failure: TakeFailure
+    suspicion: suspicions.CrashEvidence
+    handle_failure: HandleFailure
 
 
 @attrs.frozen
-class EngineSide:
-    """The engine, what drives it, and the sessions that it runs.
+class EngineComponents:
+    """The client of the engine, its driver and the sessions that it runs.
 
-    :ivar caching: None where cache news are off
-    :ivar store: where the leader's key is read
+    :ivar caching: None if cache updates are disabled
+    :ivar store: client of the store that holds the leader's key
+    :ivar activation_store: activations kept to resend to the next stage
     """
 
     engine: engines.Engine
     driver: drivers.Driver
     pipeline: pipelines.Pipeline
-    caching: caching.Caching | None
+    caching: caching.CacheMonitor | None
     store: store.Store
-    kept: activations.Store
+    activation_store: activations.Store
 
     @classmethod
     def from_config(
         cls,
         settings: settings_module.Settings,
         endpoint: fleet.Endpoint,
-        parts: Parts,
-    ) -> 'EngineSide':
-        """Build all of it; nothing runs yet."""
+        dependencies: Dependencies,
+    ) -> 'EngineComponents':
+        """Build the components without starting any thread."""
         timing = settings.timing
-        kept = activations.Store(settings.limits.kept_activation_bytes)
+        activation_store = activations.Store(
+            settings.limits.kept_activation_bytes
+        )
         identity = tables.Identity(
             settings.name,
-            parts.incarnation,
+            dependencies.incarnation,
             endpoint.model,
             endpoint.version,
             endpoint.layer_start,
             endpoint.layer_end,
         )
-        table = tables.Table(
-            identity, parts.gate, parts.peers, parts.counts, kept
+        table = tables.SessionTable(
+            identity,
+            dependencies.gate,
+            dependencies.peers,
+            dependencies.counts,
+            activation_store,
         )
-        pipeline = pipelines.Pipeline(table, parts.suspicion)
+        pipeline = pipelines.Pipeline(table, dependencies.suspicion)
         engine = engines.Engine(settings.endpoint.url, timing.endpoint_timeout)
-        news = None
+        monitor = None
         if settings.limits.cache_news:
-            news = caching.Caching(
+            monitor = caching.CacheMonitor(
                 cacheevents.Source(engine),
-                parts.counts,
+                dependencies.counts,
                 settings.limits.cache_news,
             )
-            table.note_prompt = news.begin
+            table.on_prompt = monitor.record_prompt
         handlers = drivers.Handlers(
-            pipeline.take_results,
-            parts.take_failure,
+            pipeline.handle_results,
+            dependencies.handle_failure,
             pipeline.limit_batch,
             pipeline.runs_alone,
             lambda job: job.owner.terms.team,
@@ -98,23 +105,23 @@
             settings.store_url,
             timing=store.StoreTiming(read=timing.store_timeout),
         )
-        return cls(engine, driver, pipeline, news, keys, kept)
+        return cls(engine, driver, pipeline, monitor, keys, activation_store)
 
     def describe(self) -> dict[str, Any]:
-        """Return its state, fit for JSON."""
+        """Return the state as JSON-compatible data."""
         state = {
             'stages': self.pipeline.count_stages(),
             'kept_activations': {
-                'sessions': len(self.kept),
-                'bytes': self.kept.used,
-                'evicted': self.kept.evicted,
+                'sessions': len(self.activation_store),
+                'bytes': self.activation_store.used,
+                'evicted': self.activation_store.evicted,
             },
             'engine': {
                 'calls': self.driver.calls,
                 'steps': self.driver.steps,
                 'busy_seconds': round(self.driver.busy_seconds, 3),
                 'rescued': self.driver.rescued,
-                'kept': self.driver.kept,
+                'kept': self.driver.unsettled_first_steps,
             },
         }
         if self.caching is not None:
--- a/packages/daemon/src/dunlintide_daemon/agent/orders.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/orders.py
@@ -1,10 +1,10 @@
-"""Orders of leaders: what this agent's engine is to hold.
+"""Orders of leaders, which set the layers that the engine holds.
 
-One actor carries them out, one after the other. An order counts only
-while its fencing number is that of the leader's key in the store, which
-is read for each order: so a restarted agent, which has forgotten the
-numbers that it saw, takes no more than one that remembers. The highest
-number seen is kept besides, and the engine's own where it tells it.
+One actor executes them in sequence. An order is valid only while its fencing
+token equals that of the leader's key in the store, which is read for each
+order. A restarted agent, which has lost the tokens it saw, is thus as strict
+as one that kept running. In addition, orders below the highest token seen by
+this agent, or reported by the engine, are refused.
 """
 
 import time
@@ -22,22 +22,22 @@
 from dunlintide_core import placement
 
 __all__ = [
+    'HandleOrder',
     'Hooks',
     'Orders',
     'Refresh',
-    'Take',
 ]
 
-# Sessions of layers that are given up get this long to finish.
-RETIRE_SECONDS = 5.0
-LOAD_SECONDS = 600.0
+# Time for sessions to finish before their layers are unloaded.
+DRAIN_SECONDS = 5.0
+LOAD_TIMEOUT_SECONDS = 600.0
 _POLL_SECONDS = 0.05
-_NOT_TOLD = 404
+_UNSUPPORTED_STATUS = 404
 
 
 @attrs.frozen
-class Take:
-    """An order that came over a link."""
+class HandleOrder:
+    """Message with an order that was received over a link."""
 
     link: links.Link
     order: link_pb2.Order
@@ -45,25 +45,26 @@
 
 @attrs.frozen
 class Refresh:
-    """Look at what the engine holds."""
+    """Message to read which layers the engine holds."""
 
 
 @attrs.frozen
 class Hooks:
-    """What the actor does beyond its own state.
-
-    :ivar get_holding: what peers are told that the engine holds
-    :ivar adopt: tells them of another holding and the model's layers
-    :ivar count_sessions: sessions that run on the engine
-    :ivar lose_sessions: ends them, with the reason
-    :ivar is_leaving: whether this agent takes no new work
-    :ivar crash: lets the process end, since the actor has failed
+    """Callbacks into the rest of the agent.
+
+    :ivar get_holding: returns the layers that the agent announces
+    :ivar apply_holding: announces other layers, with the model's number of
+        layers
+    :ivar count_sessions: returns the number of sessions on the engine
+    :ivar fail_sessions: ends these sessions with a reason
+    :ivar is_leaving: returns whether this agent refuses new requests
+    :ivar crash: ends the process, since the actor has failed
     """
 
     get_holding: Callable[[], placement.Holding]
-    adopt: Callable[[placement.Holding, int], None]
+    apply_holding: Callable[[placement.Holding, int], None]
     count_sessions: Callable[[], int]
-    lose_sessions: Callable[[str], None]
+    fail_sessions: Callable[[str], None]
     is_leaving: Callable[[], bool]
     crash: Callable[[], None]
 
@@ -77,7 +78,7 @@
 
 
 class Orders(pykka.ThreadingActor):
-    """Carries out orders and follows what the engine holds."""
+    """Executes orders and tracks which layers the engine holds."""
 
     use_daemon_thread = True
 
@@ -87,7 +88,7 @@
         leaders: leader_keys.Leaders,
         hooks: Hooks,
     ) -> None:
-        """Remember whom to ask."""
+        """Set the engine, the reader of the leader's key and the hooks."""
         super().__init__()
         self._engine = engine
         self._leaders = leaders
@@ -97,28 +98,32 @@
 
     def on_receive(self, message) -> None:
         """Handle one message."""
-        if isinstance(message, Take):
-            self._take(message.link, message.order)
+        if isinstance(message, HandleOrder):
+            self._handle_order(message.link, message.order)
         elif isinstance(message, Refresh):
             self._refresh()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Stop the process: an actor that raised is silently dead."""
+        """Stop the process, since the actor handles no more messages."""
         logging.error('orders failed: %r', exception_value)
         self._hooks.crash()
 
     def _refresh(self) -> bool:
-        """Adopt what the engine holds; False when it could not tell."""
+        """Apply the layers that the engine holds.
+
+        :returns: False if the engine did not report them, unless it does
+            not support such reports at all
+        """
         read = self._engine.read_holding()
         if isinstance(read, result.Err):
-            return read.err_value.status == _NOT_TOLD
-        told = read.ok_value
-        self._fence = max(self._fence, told.fence)
-        self._loading = told.loading
-        holding = _make_holding(told)
+            return read.err_value.status == _UNSUPPORTED_STATUS
+        reported = read.ok_value
+        self._fence = max(self._fence, reported.fence)
+        self._loading = reported.loading
+        holding = _make_holding(reported)
         if not holding.equals(self._hooks.get_holding()):
-            self._hooks.adopt(holding, told.layer_count)
-            self._hooks.lose_sessions('the endpoint holds other layers')
+            self._hooks.apply_holding(holding, reported.layer_count)
+            self._hooks.fail_sessions('the endpoint now holds other layers')
         return True
 
     def _reply(
@@ -135,7 +140,8 @@
         if not self._refresh():
             return placement.Refusal.ENGINE_AWAY
         if self._loading:
-            # An order that an earlier life of this agent passed on.
+            # The engine still executes an order that this agent passed on
+            # before a restart.
             return placement.Refusal.BUSY
         if order.fence < self._fence:
             return placement.Refusal.OLD_FENCE
@@ -149,10 +155,10 @@
             return placement.Refusal.HOLDS_OTHER
         return None
 
-    def _take(self, link: links.Link, order: link_pb2.Order) -> None:
+    def _handle_order(self, link: links.Link, order: link_pb2.Order) -> None:
         refusal = self._find_refusal(order)
         logging.info(
-            'order of %s, fence %d, for layers %d to %d of %s: %s',
+            'order of leader %s with fence %d for layers %d to %d of %s: %s',
             order.leader,
             order.fence,
             order.layer_start,
@@ -162,20 +168,21 @@
         )
         self._reply(link, order, refusal or '')
         if refusal is None:
-            self._retire(order)
+            self._drain_sessions(order)
             self._load(link, order)
 
-    def _retire(self, order: link_pb2.Order) -> None:
-        """Take no sessions for the old layers and let the last ones end.
+    def _drain_sessions(self, order: link_pb2.Order) -> None:
+        """Refuse sessions for the old layers and let running ones finish.
 
-        Before the engine changes its layers, so that no session can run
-        on a mixture of both, whether the engine checks that or not.
+        This comes before the engine changes its layers, so that no session
+        runs partly on the old and partly on the new ones, whether or not the
+        engine checks that.
         """
-        self._hooks.adopt(placement.Holding(), 0)
-        end = time.monotonic() + RETIRE_SECONDS
-        while self._hooks.count_sessions() and time.monotonic() < end:
+        self._hooks.apply_holding(placement.Holding(), 0)
+        deadline = time.monotonic() + DRAIN_SECONDS
+        while self._hooks.count_sessions() and time.monotonic() < deadline:
             time.sleep(_POLL_SECONDS)
-        self._hooks.lose_sessions('the endpoint is to hold other layers')
+        self._hooks.fail_sessions('the endpoint is about to load other layers')
 
     def _load(self, link: links.Link, order: link_pb2.Order) -> None:
         wanted = engines.EngineHolding(
@@ -185,16 +192,18 @@
             order.layer_end,
             order.layer_count,
         )
-        given = self._engine.give_order(order.fence, wanted, LOAD_SECONDS)
-        failure = given.err_value if given.is_err() else None
+        loaded = self._engine.give_order(
+            order.fence, wanted, LOAD_TIMEOUT_SECONDS
+        )
+        failure = loaded.err_value if loaded.is_err() else None
         if failure is None:
-            self._hooks.adopt(_make_holding(order), order.layer_count)
-        # What the engine tells goes before what it was to hold.
+            self._hooks.apply_holding(_make_holding(order), order.layer_count)
+        # The layers that the engine reports override those of the order.
         self._refresh()
         if _make_holding(order) == self._hooks.get_holding():
             return
         refusal = placement.Refusal.LOAD_FAILED
         if failure and failure.status == engines.OLD_FENCE_STATUS:
             refusal = placement.Refusal.OLD_FENCE
-        logging.warning('order not carried out: %s', refusal)
+        logging.warning('order not executed: %s', refusal)
         self._reply(link, order, refusal)
--- a/packages/daemon/src/dunlintide_daemon/agent/process.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/process.py
@@ -1,4 +1,4 @@
-"""An agent as a process, which stops on signals and with vital threads."""
+"""The agent process, which stops on signals and on failed threads."""
 
 import contextlib
 import signal
@@ -9,19 +9,19 @@
 
 from dunlintide_core import settings as settings_module
 from dunlintide_daemon.agent import role
-from dunlintide_daemon import watching
+from dunlintide_daemon import externalsources
 
 __all__ = [
     'run',
 ]
 
-FAILED = 1
+EXIT_FAILURE = 1
 VITAL_THREADS = frozenset(('driver', 'reaper', 'ticker'))
 
 
 @contextlib.contextmanager
 def _watch_signals(drain: Callable[[], None]) -> Iterator[None]:
-    """Begin a planned stop on a signal, within the block."""
+    """Start a planned stop on a signal, within the block."""
     if threading.current_thread() is not threading.main_thread():
         yield
         return
@@ -38,9 +38,9 @@
 
 @contextlib.contextmanager
 def _watch_threads(crash: Callable[[], None]) -> Iterator[None]:
-    """Stop the process when a vital thread dies, within the block."""
+    """Stop the process if a vital thread fails, within the block."""
 
-    def take(details: threading.ExceptHookArgs) -> None:
+    def handle_exception(details: threading.ExceptHookArgs) -> None:
         name = details.thread.name if details.thread else ''
         logging.error(
             'thread %s failed',
@@ -54,7 +54,7 @@
         if name in VITAL_THREADS:
             crash()
 
-    previous, threading.excepthook = threading.excepthook, take
+    previous, threading.excepthook = threading.excepthook, handle_exception
     try:
         yield
     finally:
@@ -67,11 +67,13 @@
     :returns: exit status, 0 after a planned stop
     :raises OSError: when a port is taken
     """
-    shared = watching.Outside.from_config(settings)
+    shared = externalsources.ExternalSources.from_config(settings)
     with contextlib.ExitStack() as stack:
         agent = stack.enter_context(role.Agent(settings, shared))
         stack.enter_context(_watch_signals(agent.drain))
         stack.enter_context(_watch_threads(agent.crash))
-        logging.info('agent %s serves at %s', settings.name, agent.address)
+        logging.info(
+            'agent %s is listening at %s', settings.name, agent.address
+        )
         agent.done.wait()
-    return FAILED if agent.failed else 0
+    return EXIT_FAILURE if agent.failed else 0
--- a/packages/daemon/src/dunlintide_daemon/agent/table.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/table.py
@@ -1,4 +1,4 @@
-"""Sessions at one agent, and how they end."""
+"""Table of the sessions at one agent, and the ways in which they end."""
 
 import time
 from typing import Callable
@@ -13,15 +13,15 @@
 from dunlintide_daemon.agent import driver as drivers
 from dunlintide_daemon.agent import gate as gates
 from dunlintide_daemon.agent import peers as peering
+from dunlintide_daemon.agent import requests
 from dunlintide_daemon.agent import sessions
-from dunlintide_daemon.agent import works
 
 __all__ = [
     'Identity',
-    'Table',
+    'SessionTable',
 ]
 
-# Failures of one stage that leave the state of the others usable.
+# Failures of one stage after which the state of the others is usable.
 _RECOVERABLE = frozenset(
     (
         outcomes.FailCode.LINK_LOST,
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Identity:
-    """Who this agent is in a chain."""
+    """Name, incarnation and layers of this agent as a stage of a chain."""
 
     name: str
     incarnation: int
@@ -42,8 +42,8 @@
     layer_start: int
     layer_end: int
 
-    def fits(self, stage: link_pb2.Stage) -> bool:
-        """Return whether a stage of a chain is this agent, in this life."""
+    def matches(self, stage: link_pb2.Stage) -> bool:
+        """Return whether a stage of a chain names this agent process."""
         return (
             stage.agent == self.name
             and stage.incarnation in (0, self.incarnation)
@@ -52,14 +52,14 @@
         )
 
 
-class Table:
+class SessionTable:
     """The newest session of each request; the gate's lock guards it.
 
     :ivar driver: set before the first use
     :ivar fences: epochs that have ended here
-    :ivar kept: what was sent to the next stages
-    :ivar note_prompt: called with a session whose prompt's length has
-        become known; must not block
+    :ivar activation_store: activations sent to the next stages
+    :ivar on_prompt: called with a session once the length of its prompt is
+        known; must not block
     """
 
     def __init__(
@@ -68,22 +68,23 @@
         gate: gates.Gate,
         peers: peering.Peers,
         counts: counting.Counts,
-        kept: activations.Store,
+        activation_store: activations.Store,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.kept = kept
+        self.activation_store = activation_store
         self.identity = identity
         self.gate = gate
         self.peers = peers
         self.counts = counts
         self.clock = clock
         self.driver: drivers.Driver | None = None
-        self.note_prompt: Callable[[sessions.Session], None] = (
+        self.on_prompt: Callable[[sessions.Session], None] = (
             lambda session: None
         )
         self.fences = positions.Fences()
         self._sessions: dict[str, sessions.Session] = {}
-        # Of the sessions that this agent heads over several stages.
+        # Number and total chain length of the sessions with several stages
+        # that this agent heads.
         self._heads = 0
         self._head_stages = 0
 
@@ -94,8 +95,8 @@
         """Return the session of a request."""
         return self._sessions.get(request_id)
 
-    def holds(self, session: sessions.Session) -> bool:
-        """Return whether a session has not ended."""
+    def is_current(self, session: sessions.Session) -> bool:
+        """Return whether a session is the current one of its request."""
         return self._sessions.get(session.request_id) is session
 
     def list(self) -> list[sessions.Session]:
@@ -103,10 +104,10 @@
         return list(self._sessions.values())
 
     def limit_batch(self) -> int:
-        """Return how many steps one call to the engine may take.
+        """Return the maximum number of steps in one call to the engine.
 
-        A head whose sessions all ran in one batch would leave the other
-        stages idle meanwhile, so it makes a batch for each stage.
+        If all sessions of a head ran in one batch, the other stages would be
+        idle meanwhile. Its sessions are split into one batch per stage.
         """
         heads, stages = self._heads, self._head_stages
         if not heads:
@@ -126,55 +127,55 @@
         self._sessions[session.request_id] = session
         self._count_head(session, 1)
 
-    def swap(self, session: sessions.Session) -> None:
-        """Put a changed copy in place; late results of the old are lost."""
+    def replace_copy(self, session: sessions.Session) -> None:
+        """Replace a session by a copy, so that late results are dropped."""
         self._sessions[session.request_id] = session
 
-    def rechain(
+    def set_chain(
         self, session: sessions.Session, chain: tuple[link_pb2.Stage, ...]
     ) -> None:
-        """Give a head's session another chain."""
+        """Set the chain of a session."""
         self._count_head(session, -1)
         session.chain = chain
         self._count_head(session, 1)
 
     def submit(self, job: drivers.Job) -> None:
-        """Have the engine run a step."""
-        work = job.owner.work
-        if work is not None:
-            work.under_way += 1
+        """Submit a step to the engine."""
+        request = job.owner.request
+        if request is not None:
+            request.steps_under_way += 1
         self.driver.submit(job)
 
     def free(self, session: sessions.Session) -> None:
         """Drop a session's steps and its KV cache on the engine."""
         dropped = self.driver.free(session.request_id)
-        if session.work is not None:
-            session.work.under_way -= dropped
+        if session.request is not None:
+            session.request.steps_under_way -= dropped
 
-    def note_back(self, session: sessions.Session) -> None:
-        """Take note that the engine is done with a step, however."""
-        if session.work is not None:
-            self.gate.note_back(session.work)
+    def finish_step(self, session: sessions.Session) -> None:
+        """Record that a step is finished, with or without a result."""
+        if session.request is not None:
+            self.gate.finish_step(session.request)
 
     def release(self, session: sessions.Session) -> None:
-        """Free a session here and in the stages behind."""
-        if not self.holds(session):
+        """End a session here and at the later stages."""
+        if not self.is_current(session):
             return
         del self._sessions[session.request_id]
         self._count_head(session, -1)
         self.fences.end(session.request_id, session.epoch)
         self.free(session)
-        self.kept.drop(session.request_id)
-        self.cancel_next(session, hold=session.spares)
+        self.activation_store.drop(session.request_id)
+        self.cancel_next(session, hold=session.later_stages_hold)
 
     def cancel_next(
         self, session: sessions.Session, *, hold: bool = False
     ) -> None:
-        """Tell the next stage that this epoch has ended.
+        """Cancel this epoch at the next stage.
 
-        :param hold: whether the stage keeps its state for a Resume
+        :param hold: whether the stage holds its state for a Resume
         """
-        if not session.announced:
+        if not session.next_has_setup:
             return
         cancel = link_pb2.Cancel(
             request_id=session.request_id, epoch=session.epoch, hold=hold
@@ -182,7 +183,7 @@
         frame = link_pb2.Frame(cancel=cancel)
         self.peers.send(session.next.address, frame)
 
-    def _may_hold(
+    def _can_hold(
         self, session: sessions.Session, code: outcomes.FailCode, agent: str
     ) -> bool:
         if code not in _RECOVERABLE or session.is_last:
@@ -197,31 +198,34 @@
         agent: str = '',
         ran: bool = True,
     ) -> None:
-        """End a session's epoch, and tell the head unless it is here.
+        """End an epoch of a session and report the failure to the head.
+
+        If only another stage was lost, the session is held for a Resume
+        instead of being released.
 
         :param agent: agent at fault, this one by default
-        :param ran: False only when nothing ran; counts at the head
+        :param ran: False only when no step ran; used at the head only
         """
         agent = agent or self.identity.name
         lost = code is outcomes.FailCode.LINK_LOST
-        if session.held is not None and lost:
+        if session.held_since is not None and lost:
             return
-        if session.is_head and ran and self._may_hold(session, code, agent):
-            if session.held is None:
-                session.held = self.clock()
-                self.gate.hold(session.work, code, detail, agent)
+        if session.is_head and ran and self._can_hold(session, code, agent):
+            if session.held_since is None:
+                session.held_since = self.clock()
+                self.gate.hold(session.request, code, detail, agent)
             return
-        session.spares = code in _RECOVERABLE
+        session.later_stages_hold = code in _RECOVERABLE
         if session.is_head:
-            # Ending the work stops the session.
-            self.gate.fail(session.work, code, detail, agent, ran)
+            # The gate stops the session through ``Request.stop``.
+            self.gate.fail(session.request, code, detail, agent, ran)
             return
         if lost:
-            # Its own state is whole; a Resume may ask for it.
-            session.held = self.clock()
+            # The state of this stage is intact and may be resumed.
+            session.held_since = self.clock()
         else:
             self.release(session)
-        frame = works.build_fail(
+        frame = requests.build_fail(
             session.request_id,
             session.epoch,
             code,
--- a/packages/daemon/src/dunlintide_daemon/suspicion.py
+++ b/packages/daemon/src/dunlintide_daemon/crashevidence.py
@@ -1,8 +1,8 @@
-"""Evidence about crashes at one process, shared with its neighbours.
+"""Evidence about endpoint crashes, shared with linked processes.
 
-What is new here is passed on to every process that is linked, apart from
-the one that told it. A link's frames keep their order, so who hears of a
-failed attempt over a link has heard of the crash before.
+New evidence is forwarded to every linked process except its source. A link
+keeps the order of its frames, so a process that learns of a failed attempt
+over a link already knows of the crash behind it.
 """
 
 import threading
@@ -17,22 +17,23 @@
 from dunlintide_core import poison
 
 __all__ = [
-    'Passed',
-    'Suspicion',
+    'CompletedStep',
+    'CrashEvidence',
 ]
 
-_DIGEST_SHOWN = 12
+_SHOWN_DIGITS = 12
 
-# Sends a frame to all linked processes but one.
-Spread = Callable[[link_pb2.Frame, links.Link | None], None]
+# Sends a frame to all linked processes except the given one.
+Broadcast = Callable[[link_pb2.Frame, links.Link | None], None]
 
 
 @attrs.frozen
-class Passed:
-    """A step that an endpoint has run.
+class CompletedStep:
+    """A pipeline step that an endpoint has completed.
 
+    :ivar fingerprint: identifies the request, empty without one
     :ivar position: first position of the step
-    :ivar end: position behind it
+    :ivar end: position after the last one of the step
     """
 
     fingerprint: bytes
@@ -61,7 +62,7 @@
 
 
 def _read_crash(
-    message: link_pb2.Crash, now: float, longest: float
+    message: link_pb2.Crash, now: float, max_seconds: float
 ) -> poison.Crash:
     suspects = tuple(
         poison.Suspect(one.fingerprint, one.team, one.position)
@@ -70,53 +71,57 @@
     place = poison.LayerRange(
         message.model, message.layer_start, message.layer_end
     )
-    seconds = min(message.ttl_ms / 1000, longest)
+    seconds = min(message.ttl_ms / 1000, max_seconds)
     return poison.Crash(
         message.name, message.endpoint, place, suspects, now + seconds
     )
 
 
-class Suspicion:
-    """Thread-safe evidence that spreads over links.
+class CrashEvidence:
+    """Thread-safe crash evidence that is replicated over links.
 
-    :ivar on_news: called without locks when others have told of crashes
+    :ivar on_remote_crash: called when another process reported crashes;
+        no lock is held
     """
 
     def __init__(
         self,
-        spread: Spread,
+        broadcast: Broadcast,
         limits: poison.Limits = poison.Limits(),
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin with no crash.
+        """Start without evidence.
 
-        :param spread: sends to the linked processes; must not block
+        :param broadcast: sends to the linked processes; must not block
+        :param limits: thresholds and lifetimes of evidence
+        :param clock: returns monotonic time in seconds
         """
-        self.on_news: Callable[[], None] = lambda: None
-        self._spread = spread
+        self.on_remote_crash: Callable[[], None] = lambda: None
+        self._broadcast = broadcast
         self._limits = limits
         self._clock = clock
         self._evidence = poison.Evidence(limits)
         self._lock = threading.Lock()
         self._count = 0
 
-    def accuse(
+    def report_crash(
         self,
         endpoint: str,
-        life: int,
+        incarnation: int,
         place: poison.LayerRange,
         suspects: Iterable[poison.Suspect],
     ) -> None:
-        """Take note of a crash of the own endpoint and tell of it.
+        """Record and broadcast a crash of this agent's endpoint.
 
-        :param endpoint: name of its agent
-        :param life: incarnation of its agent
-        :param suspects: requests whose steps were under way
+        :param endpoint: name of the agent
+        :param incarnation: incarnation of the agent
+        :param place: layers that the endpoint held
+        :param suspects: requests whose steps were running
         """
         now = self._clock()
         with self._lock:
             self._count += 1
-            name = f'{endpoint}/{life}/{self._count}'
+            name = f'{endpoint}/{incarnation}/{self._count}'
             expires = now + self._limits.seconds
             crash = poison.Crash(
                 name, endpoint, place, tuple(suspects), expires
@@ -124,7 +129,7 @@
             self._evidence.add(crash, now)
             self._send([_write_crash(crash, now)], [], None)
         logging.warning(
-            'crash %s accuses %d requests', name, len(crash.suspects)
+            'crash %s makes %d requests suspects', name, len(crash.suspects)
         )
 
     def _send(
@@ -135,18 +140,19 @@
     ) -> None:
         if crashes or cleared:
             message = link_pb2.Suspects(crashes=crashes, cleared=cleared)
-            self._spread(link_pb2.Frame(suspects=message), source)
+            self._broadcast(link_pb2.Frame(suspects=message), source)
 
-    def take(self, link: links.Link, message: link_pb2.Suspects) -> None:
-        """Take in what a neighbour knows, and pass on what is new."""
+    def receive(self, link: links.Link, message: link_pb2.Suspects) -> None:
+        """Add the evidence of a neighbour, and forward what is new."""
         now = self._clock()
-        longest = self._limits.seconds
-        # The lock also keeps a crash ahead of its clearances on a link.
+        max_seconds = self._limits.seconds
+        # Sending under the lock keeps a crash ahead of its clearances on each
+        # link.
         with self._lock:
             crashes = [
                 one
                 for one in message.crashes
-                if self._evidence.add(_read_crash(one, now, longest), now)
+                if self._evidence.add(_read_crash(one, now, max_seconds), now)
             ]
             cleared = [
                 one
@@ -155,12 +161,12 @@
             ]
             self._send(crashes, cleared, link)
         if crashes:
-            self.on_news()
+            self.on_remote_crash()
 
-    def welcome(self, send: Callable[[link_pb2.Frame], object]) -> None:
-        """Tell a new neighbour all that is known.
+    def send_known(self, send: Callable[[link_pb2.Frame], object]) -> None:
+        """Send all known crashes to a new neighbour.
 
-        :param send: sends it a frame; must not block
+        :param send: sends a frame to the neighbour; must not block
         """
         now = self._clock()
         with self._lock:
@@ -173,12 +179,15 @@
                 message = link_pb2.Suspects(crashes=crashes)
                 send(link_pb2.Frame(suspects=message))
 
-    def note_steps(
-        self, place: poison.LayerRange, steps: Iterable[Passed]
+    def record_steps(
+        self, place: poison.LayerRange, steps: Iterable[CompletedStep]
     ) -> None:
-        """Take note of steps that ran well, and tell who is cleared."""
-        # Most steps say nothing new, so they cost no lock.
-        told = [
+        """Record completed steps, and broadcast which requests they clear.
+
+        :param place: layers that the endpoint holds
+        """
+        # Most steps clear nothing; they are filtered out without the lock.
+        relevant = [
             step
             for step in steps
             if step.fingerprint
@@ -187,12 +196,12 @@
                 or self._evidence.is_suspected(step.fingerprint)
             )
         ]
-        if not told:
+        if not relevant:
             return
         with self._lock:
             cleared = [
                 link_pb2.Clearance(crash=name, fingerprint=step.fingerprint)
-                for step in told
+                for step in relevant
                 for name in self._evidence.record_step(
                     step.fingerprint, place, step.end
                 )
@@ -200,13 +209,13 @@
             self._send([], cleared, None)
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is to be refused."""
+        """Return whether a request must be refused."""
         return self._evidence.is_quarantined(fingerprint)
 
-    def runs_alone(
+    def must_run_alone(
         self, fingerprint: bytes, team: str, place: poison.LayerRange
     ) -> bool:
-        """Tell whether a request's step must share the endpoint with none."""
+        """Return whether a request's step must run alone on the endpoint."""
         evidence = self._evidence
         if not evidence.is_suspected(fingerprint):
             if not evidence.is_team_isolated(team):
@@ -214,21 +223,21 @@
         with self._lock:
             return evidence.must_run_alone(fingerprint, team, place)
 
-    def tick(self) -> None:
-        """Forget what has expired; call it a few times a second."""
+    def discard_expired(self) -> None:
+        """Discard expired evidence; to be called a few times a second."""
         if len(self._evidence):
             with self._lock:
                 self._evidence.expire(self._clock())
 
     def describe(self) -> dict[str, Any]:
-        """Return the state for a dump, without content."""
+        """Return the state for a dump, without request content."""
         now = self._clock()
         with self._lock:
             self._evidence.expire(now)
             return {
                 'quarantined': [
                     {
-                        'fingerprint': one.fingerprint.hex()[:_DIGEST_SHOWN],
+                        'fingerprint': one.fingerprint.hex()[:_SHOWN_DIGITS],
                         'member': one.team,
                         'crashes': one.crashes,
                         'seconds_left': round(one.seconds, 1),
--- a/packages/daemon/src/dunlintide_daemon/entry/process.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/process.py
@@ -12,7 +12,7 @@
 from dunlintide_daemon.entry import role
 from dunlintide_daemon.entry import sources
 from dunlintide_daemon.entry import threads
-from dunlintide_daemon import watching
+from dunlintide_daemon import externalsources
 
 __all__ = [
     'run',
@@ -50,7 +50,7 @@
     """
     threads.install_excepthook()
     platform = sources.Sources.from_config(settings)
-    fleet_sources = watching.Outside.from_config(settings)
+    fleet_sources = externalsources.ExternalSources.from_config(settings)
     with role.Entry(settings, platform, fleet_sources=fleet_sources) as entry:
         _install_signal_handlers(entry.done, entry.describe)
         logging.info(
--- a/packages/daemon/src/dunlintide_daemon/watching.py
+++ b/packages/daemon/src/dunlintide_daemon/externalsources.py
@@ -1,4 +1,4 @@
-"""The store and the host list, as the few that watch them see them."""
+"""Clients of the configuration store and the host list, for watchers."""
 
 import contextlib
 import threading
@@ -13,11 +13,11 @@
 from dunlintide_core import configreplica
 from dunlintide_core import settings as settings_module
 
-__all__ = ['Outside', 'StoreWatch']
+__all__ = ['ExternalSources', 'StoreWatch']
 
 
-class _Configs(Protocol):
-    """The store's configuration, as ``configstore.ConfigStore`` has it."""
+class _ConfigStore(Protocol):
+    """Subset of ``configstore.ConfigStore`` that is used here."""
 
     def watch(
         self,
@@ -27,29 +27,37 @@
         poll_seconds: float,
         on_read: Callable[[int], None],
     ) -> None:
-        """Deliver each new revision until ``stop`` is set."""
+        """Deliver each new revision until ``stop`` is set.
+
+        :param held: configuration that is already known
+        :param poll_seconds: longest time between two reads
+        :param on_read: called with the store's revision at each read
+        """
 
 
 @attrs.frozen
-class Outside:
-    """What the state is drawn from besides peers.
+class ExternalSources:
+    """Sources of the fleet's state other than peers.
 
-    :ivar read_hosts: reads the host list, or says why it could not
+    :ivar read_hosts: reads the host list, or returns why it failed
     :ivar configs: configuration in the store
-    :ivar poll_seconds: longest time between two reads of a watcher
-    :ivar hosts_seconds: between two reads of the host list by a watcher
-    :ivar close: closes them
+    :ivar poll_seconds: longest time between two reads of the store by a
+        watcher
+    :ivar hosts_seconds: time between two reads of the host list by a watcher
+    :ivar close: closes the clients
     """
 
     read_hosts: Callable[[], result.Result[Iterable[hostlist.Host], object]]
-    configs: _Configs
+    configs: _ConfigStore
     poll_seconds: float = 30.0
     hosts_seconds: float = 2.0
     close: Callable[[], None] = lambda: None
 
     @classmethod
-    def from_config(cls, settings: settings_module.Settings) -> 'Outside':
-        """Build clients of the store and the host list."""
+    def from_config(
+        cls, settings: settings_module.Settings
+    ) -> 'ExternalSources':
+        """Create clients of the store and the host list."""
         timing = settings.timing
         with contextlib.ExitStack() as stack:
             client = store.Store.from_url(
@@ -73,27 +81,27 @@
 
     def __init__(
         self,
-        outside: Outside,
-        find_held: Callable[[], configreplica.Snapshot | None],
-        take: Callable[[configstore.Snapshot], None],
-        note: Callable[[int], None],
+        sources: ExternalSources,
+        get_snapshot: Callable[[], configreplica.Snapshot | None],
+        handle_snapshot: Callable[[configstore.Snapshot], None],
+        record_revision: Callable[[int], None],
     ) -> None:
-        """Begin without watching.
+        """Start inactive.
 
-        :param find_held: returns the configuration in force
-        :param take: called with each newer one of the store
-        :param note: called with the store's revision at each read
+        :param get_snapshot: returns the configuration in force
+        :param handle_snapshot: called with each newer one from the store
+        :param record_revision: called with the store's revision at each read
         """
-        self._outside = outside
-        self._find_held = find_held
-        self._take = take
-        self._note = note
+        self._sources = sources
+        self._get_snapshot = get_snapshot
+        self._handle_snapshot = handle_snapshot
+        self._record_revision = record_revision
         self._stop: threading.Event | None = None
 
-    def switch(self, watcher: bool) -> None:
-        """Begin to follow the store, or end that.
+    def set_active(self, watcher: bool) -> None:
+        """Start or stop following the store.
 
-        :param watcher: whether this process has to watch
+        :param watcher: whether this process is a watcher
         """
         if not watcher and self._stop is not None:
             self._stop.set()
@@ -108,9 +116,13 @@
             ).start()
 
     def _follow(self, stop: threading.Event) -> None:
-        held = self._find_held()
+        held = self._get_snapshot()
         if held is not None:
             held = configstore.Snapshot(held.head, held.document)
-        self._outside.configs.watch(
-            self._take, stop, held, self._outside.poll_seconds, self._note
+        self._sources.configs.watch(
+            self._handle_snapshot,
+            stop,
+            held,
+            self._sources.poll_seconds,
+            self._record_revision,
         )
--- a/packages/daemon/src/dunlintide_daemon/gateway/events.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/events.py
@@ -1,36 +1,36 @@
-"""Server-sent events on their way through an entry.
+"""Splitting and deduplication of server-sent events.
 
-Only whole events go to the caller, so that a run which breaks within one
-can go on elsewhere without a piece lost, doubled or joined wrongly.
+Only complete events are forwarded. So a run that breaks off within an event
+can be resumed at another endpoint without lost, repeated or garbled data.
 """
 
 __all__ = [
-    'Sequence',
-    'Splitter',
+    'EventSequence',
+    'EventSplitter',
 ]
 
 _END = b'\n\n'
 _END_CRLF = b'\r\n\r\n'
 
 
-class Splitter:
-    """Cuts a byte stream behind whole events.
+class EventSplitter:
+    """Splits a byte stream at event boundaries.
 
-    :ivar rest: bytes of an event that is not whole yet
+    :ivar remainder: bytes of an incomplete event
     """
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.remainder = b''
 
     def split(self, data: bytes) -> bytes:
-        """Take in bytes and give the whole events among them."""
-        data = self.rest + data
+        """Add received bytes and return the events that are now complete."""
+        data = self.remainder + data
         end = data.rfind(_END)
         cut = end + len(_END) if end >= 0 else 0
         end = data.rfind(_END_CRLF)
         if end >= 0:
             cut = max(cut, end + len(_END_CRLF))
-        self.rest = data[cut:]
+        self.remainder = data[cut:]
         return data[:cut]
 
 
@@ -42,30 +42,31 @@
     return None
 
 
-class Sequence:
-    """Events that a caller has, over all runs of its stream.
+class EventSequence:
+    """Events that a caller has received, over all runs of its stream.
 
-    :ivar last: id of its last event, None before the first
-    :ivar count: events that were passed on here
+    :ivar last_id: id of the last event, None before the first
+    :ivar count: events that this entry has forwarded
     """
 
     def __init__(self, after: str | None) -> None:
-        self.last = after
+        self.last_id = after
         self.count = 0
 
     def _get_last(self) -> int | None:
-        text = self.last
+        text = self.last_id
         return int(text) if text is not None and text.isdecimal() else None
 
-    def admit(self, data: bytes) -> tuple[bytes, bool]:
-        """Take in whole events.
+    def filter_new(self, data: bytes) -> tuple[bytes, bool]:
+        """Select the events that the caller does not have yet.
 
-        :returns: those that the caller does not have, and whether none
-            before them is missing
+        :param data: complete events
+        :returns: the new events up to a missing one, and whether none is
+            missing
         """
         fresh = []
         last = self._get_last()
-        for event in _cut(data):
+        for event in _split_events(data):
             number = _read_id(event)
             if number is None:
                 fresh.append(event)
@@ -79,11 +80,11 @@
             fresh.append(event)
             self.count += 1
         if last is not None:
-            self.last = str(last)
+            self.last_id = str(last)
         return b''.join(fresh), True
 
 
-def _cut(data: bytes) -> list[bytes]:
+def _split_events(data: bytes) -> list[bytes]:
     events = []
     start = 0
     while start < len(data):
--- a/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/gossip.py
@@ -1,7 +1,7 @@
-"""What entries tell each other, by datagrams.
+"""Gossip between entries, by datagrams.
 
-Each message holds the whole of what its sender carries, so a lost one is
-made good by the next. A digest that stands for no endpoint here is left out.
+Each message holds its sender's complete usage, so the next one makes up for
+a lost one. Digests of endpoints that are unknown here are ignored.
 """
 
 import asyncio
@@ -17,40 +17,43 @@
 
 __all__ = ['Gossip']
 
-# Pause between two messages to an entry of the same failure domain, in
-# seconds: about a tenth of the time that a stream is under way.
-PAUSE_SECONDS = 0.15
-# Entries of other domains seldom use the same endpoints, and bytes between
-# domains are scarce: for so many entries every third message goes to them,
-# for more entries fewer.
-ENTRIES_AT_THIRD = 6
-# Shortest pause between two messages about doubted endpoints, in seconds:
-# by the time of the next regular one each entry has sent a request to a dead
-# endpoint, and each is refused at the cost of the shared budget.
-ALARM_PAUSE_SECONDS = 0.03
-# Other entries up to which all of them are told of doubts at once: the bytes
-# grow with the square of their number, and with few entries a failure domain
-# has hardly another one to tell.
-MOST_TOLD = 32
-# How long news of a leaving endpoint or a broken run is repeated, in
-# seconds.
+# Time between two messages to an entry of the same failure domain, in seconds:
+# about a tenth of the duration of a stream.
+INTERVAL_SECONDS = 0.15
+# Entries of other failure domains seldom use the same endpoints, and traffic
+# between domains is expensive. With up to about this many other entries every
+# third message goes to other domains, with twice as many every sixth, and so
+# on.
+ENTRIES_PER_STEP = 6
+# Shortest time between two alerts, in seconds. The regular interval is too
+# long: within it each entry sends a request to a dead endpoint, and each
+# failure uses the shared retry budget.
+ALERT_INTERVAL_SECONDS = 0.03
+# Number of other entries up to which alerts go to all of them. Traffic grows
+# with the square of the number, but with few entries a failure domain has
+# hardly a second one to alert.
+MAX_ALERTED_ENTRIES = 32
+# How long a leaving endpoint or a broken run is reported, in seconds.
 REPEAT_SECONDS = 3.0
-# How long a refusal is repeated, in seconds: no caller is told to return
-# sooner, and at the most two messages of three are lost.
-REFUSED_SECONDS = 0.5
-# How long an entry that is not listed any more may still coordinate rate
-# limits beyond its time to stop, in seconds.
-DEPARTED_SECONDS = 2.0
-# Spread of the pauses that entries keep before an engine that refused one of
-# them as full, as parts of the usual pause.
-FULL_PARTS = (0.5, 1.5)
+# How long a refusal is reported, in seconds: no caller is asked to return
+# sooner, and at most two of three messages are lost.
+REFUSAL_REPEAT_SECONDS = 0.5
+# How long after its shutdown period an entry that is no longer listed may
+# still coordinate rate limits, in seconds.
+DEPARTED_GRACE_SECONDS = 2.0
+# Range of the random factor on the pause that entries make when an engine
+# refused a request of another entry because it was full.
+FULL_PAUSE_JITTER = (0.5, 1.5)
 
 
 class Gossip(asyncio.DatagramProtocol):
     """Sender and receiver of an entry's datagrams.
 
-    :ivar entries: other entries by name
-    :ivar receive_permit: gets datagrams about permits, and their source
+    :ivar entries: other listed entries by name
+    :ivar receive_permit: called with datagrams about permits and the address
+        of their sender
+    :ivar newer_entry: name of an entry with a newer configuration
+    :ivar newer_entry_found: set when ``newer_entry`` changes
     """
 
     def __init__(self, state: state_module.State) -> None:
@@ -59,10 +62,10 @@
         self.entries: dict[str, keys.Entry] = {}
         self._departed: dict[str, tuple[float, keys.Entry]] = {}
         self.receive_permit: Callable[[bytes, str], None] | None = None
-        self._digests: dict[int, str] = {}
-        self._digests_version: int | None = None
-        self.newer: str | None = None
-        self.newer_found = asyncio.Event()
+        self._names: dict[int, str] = {}
+        self._names_version: int | None = None
+        self.newer_entry: str | None = None
+        self.newer_entry_found = asyncio.Event()
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
         self._transport = transport
@@ -71,41 +74,41 @@
         self._state.log.write('gossip failed', error=str(error))
 
     def set_entry(self, entry: keys.Entry) -> None:
-        """Take in an entry that is listed."""
+        """Add or update an entry that is listed."""
         if entry.name == self._state.settings.name:
             return
         self.entries[entry.name] = entry
-        self._state.entries.add(entry.name)
-        self._state.others.add(entry.name)
+        self._state.known_entries.add(entry.name)
+        self._state.listed_entries.add(entry.name)
         self._state.permits.add_member(entry.name)
         self._departed.pop(entry.name, None)
 
     def drop_entry(self, name: str) -> None:
-        """Stop to tell an entry that is not listed any more.
+        """Remove an entry that is no longer listed.
 
-        While it finishes its work it may coordinate rate limits as before.
+        It may still coordinate rate limits while it finishes its work.
         """
         entry = self.entries.pop(name, None)
         if entry is not None:
             last = self._state.now + self._state.settings.grace
-            self._departed[name] = (last + DEPARTED_SECONDS, entry)
-        self._state.others.discard(name)
+            self._departed[name] = (last + DEPARTED_GRACE_SECONDS, entry)
+        self._state.listed_entries.discard(name)
         self._state.occupancy.drop_remote(name)
 
     async def run(self) -> None:
-        """Tell the others until cancelled."""
-        turn = 0
+        """Send messages to the other entries until cancelled."""
+        rounds = 0
         while True:
-            await self._wait(PAUSE_SECONDS)
+            await self._wait(INTERVAL_SECONDS)
             if self._state.occupancy.expire(self._state.now):
                 self._state.wake_all()
             self._expire_departed()
-            turn += 1
+            rounds += 1
             if self.entries:
                 domains = {self._state.settings.failure_domain}
-                if turn % self._count_turns() == 0:
+                if rounds % self._choose_cross_domain_interval() == 0:
                     domains = self._list_domains()
-                self._tell(self._build(), domains)
+                self._broadcast(self._build(), domains)
 
     def _expire_departed(self) -> None:
         now = self._state.now
@@ -115,7 +118,7 @@
                 self._state.permits.remove_member(name)
 
     def send(self, name: str, data: bytes) -> None:
-        """Send a datagram to an entry, also to one that departs."""
+        """Send a datagram to an entry, even if it is no longer listed."""
         entry = self.entries.get(name)
         if entry is None and name in self._departed:
             entry = self._departed[name][1]
@@ -127,36 +130,36 @@
         self._transport.sendto(data, (host, int(port)))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait for the next regular message; tell doubts meanwhile."""
-        alarmed = self._state.alarmed
+        """Wait for the next regular message, sending alerts meanwhile."""
+        alert_pending = self._state.alert_pending
         due = self._state.now + seconds
         while (left := due - self._state.now) > 0:
             try:
                 async with asyncio.timeout(left):
-                    await alarmed.wait()
+                    await alert_pending.wait()
             except TimeoutError:
                 return
-            alarmed.clear()
-            self._tell(*self._build_alarm())
-            await asyncio.sleep(ALARM_PAUSE_SECONDS)
+            alert_pending.clear()
+            self._broadcast(*self._build_alert())
+            await asyncio.sleep(ALERT_INTERVAL_SECONDS)
 
-    def _build_alarm(self) -> tuple[gossipmessages.Message, set[str]]:
-        """Build a message of doubts and refusals alone.
+    def _build_alert(self) -> tuple[gossipmessages.Message, set[str]]:
+        """Build a message with only ejections, refusals and paces.
 
-        :returns: the message and the failure domains that it concerns: among
-            many entries, while chains stay in their domain, bytes between
-            domains are spared
+        :returns: the message and the failure domains to send it to; with many
+            entries only this one, to save traffic between domains, unless it
+            concerns an endpoint of another domain
         """
         state = self._state
-        doubted = state.soundness.list_ejected(state.now)
-        refusing = state.soundness.list_refusing(state.now)
-        full = state.soundness.list_full(state.now)
+        ejected = state.health.list_ejected(state.now)
+        refusing = state.health.list_refusing(state.now)
+        full = state.health.list_full(state.now)
         message = gossipmessages.Message(
             state.settings.name,
             state.version,
             None,
             [],
-            list(map(gossipmessages.digest, doubted)),
+            list(map(gossipmessages.digest, ejected)),
             [],
             [],
             list(map(gossipmessages.digest, refusing)),
@@ -164,9 +167,9 @@
             paces=self._list_paces(),
         )
         own = state.settings.failure_domain
-        if len(self.entries) <= MOST_TOLD:
+        if len(self.entries) <= MAX_ALERTED_ENTRIES:
             return message, self._list_domains()
-        for name in (*doubted, *refusing, *full):
+        for name in (*ejected, *refusing, *full):
             endpoint = state.endpoints.get(name)
             if endpoint is not None and endpoint.domain != own:
                 return message, self._list_domains()
@@ -175,9 +178,9 @@
     def _list_domains(self) -> set[str]:
         return {each.domain for each in self.entries.values()}
 
-    def _count_turns(self) -> int:
-        """Tell which of the messages also goes to other domains."""
-        return 3 * max(1, round(len(self.entries) / ENTRIES_AT_THIRD))
+    def _choose_cross_domain_interval(self) -> int:
+        """Return every how many messages one also goes to other domains."""
+        return 3 * max(1, round(len(self.entries) / ENTRIES_PER_STEP))
 
     def _build(self) -> gossipmessages.Message:
         state = self._state
@@ -197,65 +200,61 @@
             ],
             [
                 gossipmessages.digest(name)
-                for name, at in state.leaving.items()
+                for name, at in state.leaving_since.items()
                 if at >= since
             ],
-            list(
-                map(gossipmessages.digest, state.soundness.list_ejected(now))
-            ),
-            state.crashers.list_recent(since),
-            state.returns.list_recent(now - REFUSED_SECONDS),
-            list(
-                map(gossipmessages.digest, state.soundness.list_refusing(now))
-            ),
+            list(map(gossipmessages.digest, state.health.list_ejected(now))),
+            state.poison_requests.list_recent(since),
+            state.refusal_history.list_recent(now - REFUSAL_REPEAT_SECONDS),
+            list(map(gossipmessages.digest, state.health.list_refusing(now))),
             self._list_ages(),
             paces=self._list_paces(),
         )
 
     def _list_paces(self) -> list[tuple[int, int]]:
-        told = self._state.paces.list_own(self._state.now)
+        measured = self._state.paces.list_own(self._state.now)
         return [
             (
                 gossipmessages.digest(name),
                 round(pace / gossipmessages.PACE_UNIT),
             )
-            for name, pace in told.items()
+            for name, pace in measured.items()
         ]
 
     def _list_ages(self) -> list[int]:
-        flows = self._state.soundness.list_progress_ages(self._state.now)
+        progress = self._state.health.list_progress_ages(self._state.now)
         longest = gossipmessages.LONGEST_AGE * gossipmessages.AGE_UNIT
         return [
             int(
-                min(flows.get(name, longest), longest)
+                min(progress.get(name, longest), longest)
                 / gossipmessages.AGE_UNIT
             )
             for name in self._state.occupancy.list_own()
         ]
 
-    def _tell(
+    def _broadcast(
         self, message: gossipmessages.Message, domains: Container[str]
     ) -> None:
-        """Send a message to the entries of failure domains.
+        """Send a message, and rate limits if there are any.
 
-        Rate limits go along only where there are any.
+        :param domains: failure domains of the entries to send to
         """
         sent = [gossipmessages.encode(message)]
-        news = self._state.permits.make_update(self._state.now)
-        if news is not None:
-            sent.append(permitcodec.encode(news))
+        update = self._state.permits.make_update(self._state.now)
+        if update is not None:
+            sent.append(permitcodec.encode(update))
         for entry in self.entries.values():
             if entry.domain in domains:
                 for data in sent:
                     self._send_to(entry, data)
 
-    def _name_digests(self) -> dict[int, str]:
-        """List what a digest may stand for, anew when the listing changes."""
+    def _get_names(self) -> dict[int, str]:
+        """Return the names by digest, rebuilt when the listing changes."""
         version = self._state.listing_version
-        if version != self._digests_version:
-            self._digests = self._build_digests()
-            self._digests_version = version
-        return self._digests
+        if version != self._names_version:
+            self._names = self._build_digests()
+            self._names_version = version
+        return self._names
 
     def _build_digests(self) -> dict[int, str]:
         state = self._state
@@ -279,37 +278,39 @@
                 'gossip refused', error=decoded.err_value, source=address[0]
             )
             return
-        self._take(decoded.ok_value)
+        self._apply(decoded.ok_value)
 
-    def _take(self, message: gossipmessages.Message) -> None:
+    def _apply(self, message: gossipmessages.Message) -> None:
         state = self._state
         now = state.now
-        names = self._name_digests()
+        names = self._get_names()
         state.permits.liveness.record_received(message.sender, now)
         for digest in message.leaving:
             if digest in names:
                 state.mark_leaving(names[digest], message.sender)
         if state.has(mechanisms.Mechanism.HEARSAY):
-            for digest in message.doubted:
+            for digest in message.ejected:
                 if digest in names:
-                    state.soundness.receive_ejection(names[digest], now)
+                    state.health.receive_ejection(names[digest], now)
         if state.has(mechanisms.Mechanism.TOLD_REFUSALS):
             for digest in message.refusing:
                 if digest in names:
-                    state.soundness.receive_refusing(names[digest], now)
+                    state.health.receive_refusing(names[digest], now)
             for digest in message.full:
                 if digest in names:
-                    part = state.random.uniform(*FULL_PARTS)
-                    state.soundness.receive_full(names[digest], now, part)
+                    factor = state.random.uniform(*FULL_PAUSE_JITTER)
+                    state.health.receive_full(names[digest], now, factor)
         for digest, pace in message.paces:
             if digest in names:
                 state.paces.receive(
                     names[digest], pace * gossipmessages.PACE_UNIT, now
                 )
         for fingerprint, endpoint in message.broken:
-            state.crashers.receive_broken_run(fingerprint, endpoint, now)
+            state.poison_requests.receive_broken_run(
+                fingerprint, endpoint, now
+            )
         for digest in message.refused:
-            state.returns.receive_refusal(digest, now)
+            state.refusal_history.receive_refusal(digest, now)
         if message.usages is not None:
             usages = {
                 names[digest]: occupancy.Usage(
@@ -318,24 +319,24 @@
                 for digest, sequences, started, cache in message.usages
                 if digest in names
             }
-            self._take_flows(message, names, now)
-            # Those that wait look again only if something came free: with
-            # dozens of entries messages come every few milliseconds.
+            self._apply_progress(message, names, now)
+            # Waiters are woken only if capacity was freed: with dozens of
+            # entries messages come every few milliseconds.
             if state.occupancy.set_remote(message.sender, usages, now):
                 state.wake_all()
         if message.version > state.version and message.sender in self.entries:
-            self.newer = message.sender
-            self.newer_found.set()
+            self.newer_entry = message.sender
+            self.newer_entry_found.set()
 
-    def _take_flows(
+    def _apply_progress(
         self,
         message: gossipmessages.Message,
         names: dict[int, str],
         now: float,
     ) -> None:
-        """Take in through which endpoints streams of another entry flow."""
-        soundness = self._state.soundness
+        """Record at which endpoints streams of another entry progress."""
+        health = self._state.health
         for (digest, *_), age in zip(message.usages, message.ages):
             if age < gossipmessages.LONGEST_AGE and digest in names:
-                moved = now - age * gossipmessages.AGE_UNIT
-                soundness.receive_progress(names[digest], moved, now)
+                progress_at = now - age * gossipmessages.AGE_UNIT
+                health.receive_progress(names[digest], progress_at, now)
--- a/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/registrar.py
@@ -1,4 +1,4 @@
-"""Keeps an entry listed in the store, so that others find it."""
+"""Registration of an entry in the store, so that others find it."""
 
 import asyncio
 import random
@@ -12,18 +12,18 @@
 
 __all__ = ['Registrar']
 
-# Time after which a silent entry is not listed any more, in seconds.
+# Time without renewal after which an entry is no longer listed, in seconds.
 LEASE_SECONDS = 8.0
-# Pause between renewals, in seconds: two may fail in a row.
-KEEP_SECONDS = 2.5
+# Time between renewals, in seconds: two may fail in a row.
+RENEW_INTERVAL_SECONDS = 2.5
 RETRY_SECONDS = (0.3, 0.8)
-# Pause before a lost registration is made anew, so that entries that lost it
-# together do not write together.
-LOST_SECONDS = (0.0, 0.3)
+# Range of the delay before a lost registration is renewed, in seconds: entries
+# that lose theirs at the same time do not write at the same time.
+REREGISTER_DELAY_SECONDS = (0.0, 0.3)
 
 
 class Registrar:
-    """Holder of the lease under which an entry is listed."""
+    """Keeper of the lease under which an entry is listed."""
 
     def __init__(
         self,
@@ -36,44 +36,44 @@
         self._entry = entry
         self._lease: storevalues.Lease | None = None
         self._revision: storevalues.Revision | None = None
-        self._woken = asyncio.Event()
+        self._registration_lost = asyncio.Event()
 
     async def run(self) -> None:
-        """Stay listed until the entry stops."""
+        """Register, and renew the lease until the entry stops."""
         while True:
             if self._state.stopping:
-                # What is kept is what others count on; see leave.
-                await asyncio.sleep(KEEP_SECONDS)
+                # No renewal while stopping; ``unregister`` ends the lease.
+                await asyncio.sleep(RENEW_INTERVAL_SECONDS)
                 continue
             if self._lease is None:
                 done = await self._register()
             else:
-                done = await self._keep()
+                done = await self._renew()
             if done.is_ok():
-                await self._pause(KEEP_SECONDS)
+                await self._wait(RENEW_INTERVAL_SECONDS)
             else:
                 await asyncio.sleep(random.uniform(*RETRY_SECONDS))
 
-    async def _pause(self, seconds: float) -> None:
-        """Wait, or until the registration is lost."""
-        self._woken.clear()
+    async def _wait(self, seconds: float) -> None:
+        """Wait, at most until the registration is lost."""
+        self._registration_lost.clear()
         if self._lease is None:
             return
         try:
             async with asyncio.timeout(seconds):
-                await self._woken.wait()
+                await self._registration_lost.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(random.uniform(*LOST_SECONDS))
+        await asyncio.sleep(random.uniform(*REREGISTER_DELAY_SECONDS))
 
     def begin_era(self) -> None:
-        """Register anew; the key and its lease may be gone."""
+        """Register again, since the key and its lease may be lost."""
         self._drop_lease(f'era {self._store.era} of the store')
 
     def handle_item(self, item: storevalues.Item) -> None:
-        """Register anew if the own key is gone or not under the own lease.
+        """Register again if the entry's key is gone or under another lease.
 
-        A write of an earlier registration that comes late replaces the key.
+        A late write of an earlier registration can replace the key.
         """
         if self._lease is None or self._revision is None:
             return
@@ -88,7 +88,7 @@
                 'registration lost', lease=self._lease.number, reason=reason
             )
             self._lease = None
-            self._woken.set()
+            self._registration_lost.set()
 
     async def _register(self) -> result.Result[None, storevalues.Refusal]:
         begun = await self._store.begin_lease(LEASE_SECONDS)
@@ -97,8 +97,8 @@
         key = keys.make_entry_key(self._entry.name)
         value = keys.encode_entry(self._entry)
         write = storevalues.Write(key, value, begun.ok_value)
-        # Without a condition: the newest life of a name replaces others,
-        # and a write that comes late says the same.
+        # Without a condition: the newest incarnation of an entry replaces
+        # older ones, and a late write has the same value.
         written = await self._store.write((), (write,))
         if written.is_ok():
             self._lease = begun.ok_value
@@ -107,11 +107,11 @@
                 'registered', lease=self._lease.number, era=self._lease.era
             )
         if self._state.stopping:
-            # The stop came while the call was under way.
-            await self.leave()
+            # The stop began while the call was under way.
+            await self.unregister()
         return written.map(lambda _: None)
 
-    async def _keep(self) -> result.Result[None, storevalues.Refusal]:
+    async def _renew(self) -> result.Result[None, storevalues.Refusal]:
         kept = await self._store.keep_lease(self._lease)
         if kept.is_err() and kept.err_value.fault is (
             storevalues.Fault.MISSING
@@ -119,8 +119,8 @@
             self._drop_lease('lease ended')
         return kept
 
-    async def leave(self) -> None:
-        """End the lease, so that others stop to count on this entry."""
+    async def unregister(self) -> None:
+        """End the lease, so that others no longer use this entry."""
         if self._lease is not None:
             ended = await self._store.end_lease(self._lease)
             if ended.is_err():
--- a/packages/daemon/src/dunlintide_daemon/peerdump.py
+++ b/packages/daemon/src/dunlintide_daemon/peerdump.py
@@ -1,4 +1,4 @@
-"""The fleet's state at a process, for operators."""
+"""State dump of the fleet replica, for operators."""
 
 from typing import Any
 
@@ -9,17 +9,17 @@
 
 
 def describe(replica: replicas.Replica) -> dict[str, Any]:
-    """Return configuration and membership, fit for JSON."""
-    share = replica.configuration
+    """Return configuration and membership as JSON-serializable values."""
+    config = replica.configuration
     counts: dict[str, int] = {}
     for record in replica.members.list_records():
         counts[record.state] = counts.get(record.state, 0) + 1
     return {
-        'revision': share.revision,
-        'store_revision': share.store_revision,
-        'store_behind': share.store_behind,
-        'conflicts': sorted(share.conflicts),
-        'refused': share.refused,
+        'revision': config.revision,
+        'store_revision': config.store_revision,
+        'store_behind': config.store_behind,
+        'conflicts': sorted(config.conflicts),
+        'refused': config.refused,
         'watcher': replica.is_watcher,
         'neighbours': list(replica.neighbours.names),
         'members': counts,
