--- a/packages/trials/src/dunlintide_trials/cases/fairness.py
+++ b/packages/trials/src/dunlintide_trials/cases/fairness.py
@@ -165,7 +165,7 @@
         seconds; a response without a token counts as the deadline
     :ivar median: median of the time to the first token in seconds
     :ivar served: fraction of the requests with a complete response
-    :ivar asked: number of requests
+    :ivar request_count: number of requests
     :ivar flood: responses to the flood by error code or outcome
     :ivar rate: tokens per second of all teams
     """
@@ -173,7 +173,7 @@
     first_token: float
     median: float
     served: float
-    asked: int
+    request_count: int
     flood: dict[str, int]
     rate: float
 
@@ -280,7 +280,7 @@
     with _run('fifo', keys) as running:
         fifo = _measure_flooded(running, keys, share)
     note = (
-        f'{alone.first_token * 1000:.0f} ms alone, {flooded.asked} requests; '
+        f'{alone.first_token * 1000:.0f} ms alone, {flooded.request_count} requests; '
         f'flood over {ENTRIES} entries, {KEYS} keys, {CONNECTIONS} '
         f'connections: {flooded.flood}; '
         'baseline: first come, first served at the agent'
@@ -327,7 +327,7 @@
         alone = _summarize(_Victim(running, share).run(ALONE_SECONDS), {}, 0.0)
         for name, overrides in _KINDS.items():
             seen = _measure_flooded(running, keys, share, **overrides)
-            note = f'{seen.asked} requests; flood: {seen.flood}'
+            note = f'{seen.request_count} requests; flood: {seen.flood}'
             yield figures.at_least(
                 f'fairness.kinds.{name}.throughput',
                 round(seen.served, 3),
--- a/packages/trials/src/dunlintide_trials/prefixload.py
+++ b/packages/trials/src/dunlintide_trials/prefixload.py
@@ -152,7 +152,7 @@
         self._events: list[tuple] = []
         self._order = itertools.count()
         self.prefilled = 0
-        self.asked = 0
+        self.prompt_tokens = 0
         self.first_token_seconds: list[float] = []
         self.news = 0
         self.busiest = 0.0
@@ -223,7 +223,7 @@
         return self._build_result()
 
     def _start_measurement(self) -> None:
-        self.prefilled = self.asked = self.news = 0
+        self.prefilled = self.prompt_tokens = self.news = 0
         self.first_token_seconds.clear()
         self._reset_work()
         self.busiest = 0.0
@@ -256,7 +256,7 @@
         first_token_seconds = sorted(self.first_token_seconds)
         update_bytes = self.news * _HASH_BYTES / self.scenario.seconds
         return Result(
-            self.prefilled / self.asked,
+            self.prefilled / self.prompt_tokens,
             first_token_seconds[int(0.95 * len(first_token_seconds))],
             statistics.mean(first_token_seconds),
             len(first_token_seconds) / self.scenario.seconds,
@@ -303,7 +303,7 @@
         engine.view.add_session(turn.session, prompt_prefixes, count)
         salt = f'salt-{turn.team}'
         uncached = count - engine.cache.match(turn.session, salt, turn.prompt)
-        self.asked += count
+        self.prompt_tokens += count
         self.prefilled += uncached
         start = max(self.now, engine.free_at)
         end = start + _STEP_SECONDS + _PREFILL_TOKEN_SECONDS * uncached
--- a/packages/trials/src/dunlintide_trials/promises.py
+++ b/packages/trials/src/dunlintide_trials/promises.py
@@ -35,9 +35,9 @@
     exactly once when it completed; no response belongs to another request.
     """
     violations: list[str] = []
-    for asked in requests.completions:
+    for request in requests.completions:
         violations += records.check_text(
-            asked, model=running.model, layers=running.layers
+            request, model=running.model, layers=running.layers
         )
     calls = _list_service_requests(requests)
     violations += runs.check_refusals([*requests.completions, *calls])
--- a/packages/trials/src/dunlintide_trials/records.py
+++ b/packages/trials/src/dunlintide_trials/records.py
@@ -42,16 +42,16 @@
     return ''.join(token.text for token in tokens)
 
 
-def check_text(asked: SentRequest, *, model: str, layers: int) -> list[str]:
+def check_text(request: SentRequest, *, model: str, layers: int) -> list[str]:
     """List the errors in a completion's text.
 
     The text of an incomplete response must be a prefix of the expected
     text: no token is missing, repeated or from another request.
     """
     expected = compute_text(
-        asked.prompt, asked.max_tokens, model=model, layers=layers
+        request.prompt, request.max_tokens, model=model, layers=layers
     )
-    answer = asked.answer
+    answer = request.answer
     if answer.is_complete and answer.text != expected:
         return [f'{answer.request_id}: complete, but not the right text']
     if not expected.startswith(answer.text):
@@ -94,13 +94,13 @@
             if run['idempotency_key']
         )
 
-    def check_refusals(self, asked: Iterable[SentRequest]) -> list[str]:
+    def check_refusals(self, requests: Iterable[SentRequest]) -> list[str]:
         """List the requests that were reported as not run, but ran."""
         ran = {run['request_id'] for run in self._iterate_runs()}
         return [
             f'{one.answer.request_id}: told not-run ({one.answer.code}), '
             'but it ran'
-            for one in asked
+            for one in requests
             if one.answer.outcome == outcomes.Outcome.NOT_RUN
             and one.answer.request_id in ran
         ]
@@ -157,9 +157,9 @@
                 violations.append(f'{team}, key {key}: began as {found}')
         return violations
 
-    def check_teams(self, asked: Iterable[SentRequest]) -> list[str]:
+    def check_teams(self, requests: Iterable[SentRequest]) -> list[str]:
         """List the requests that ran on behalf of another team."""
-        teams = {one.answer.request_id: one.team for one in asked}
+        teams = {one.answer.request_id: one.team for one in requests}
         return [
             f'{run["request_id"]}: ran as {run["member"]}, was sent by '
             f'{teams[run["request_id"]]}'
