--- a/packages/trials/src/dunlintide_trials/cases/cache.py
+++ b/packages/trials/src/dunlintide_trials/cases/cache.py
@@ -67,7 +67,7 @@
             one.prefilled,
             'of prompt tokens',
             load.prefilled,
-            'prompt tokens run, over those asked; baseline: by load alone',
+            'fraction of the prompt tokens computed; baseline: by load only',
         )
         yield figures.plain(
             f'{case}.first_token', one.first_token, 's, p95', load.first_token
--- a/packages/trials/src/dunlintide_trials/cases/config.py
+++ b/packages/trials/src/dunlintide_trials/cases/config.py
@@ -50,7 +50,7 @@
             round(net.now - start, 2),
             's',
             SPREAD_BOUND,
-            note='store lost just after the watchers were told',
+            note='store lost just after the watchers were notified',
         )
 
 
--- a/packages/trials/src/dunlintide_trials/cases/fairness.py
+++ b/packages/trials/src/dunlintide_trials/cases/fairness.py
@@ -280,7 +280,8 @@
     with _run('fifo', keys) as running:
         fifo = _measure_flooded(running, keys, share)
     note = (
-        f'{alone.first_token * 1000:.0f} ms alone, {flooded.request_count} requests; '
+        f'{alone.first_token * 1000:.0f} ms alone, '
+        f'{flooded.request_count} requests; '
         f'flood over {ENTRIES} entries, {KEYS} keys, {CONNECTIONS} '
         f'connections: {flooded.flood}; '
         'baseline: first come, first served at the agent'
--- a/packages/trials/src/dunlintide_trials/demosteps.py
+++ b/packages/trials/src/dunlintide_trials/demosteps.py
@@ -104,7 +104,7 @@
     )
     seconds = answer.ended - answer.started
     _print(f'   {answer.text[:60].strip()} ...')
-    _print(f'   whole after {seconds * 1000:.0f} ms')
+    _print(f'   complete after {seconds * 1000:.0f} ms')
     request = records.SentRequest(team, answer, BLURB, STREAM_TOKENS)
     return _check_text(running, request)
 
@@ -168,7 +168,7 @@
         'the edit was accepted'
     )
     answer = callers[0].complete('And now?', model=running.model)
-    _print(f'   told: {answer.status} {answer.outcome}, {answer.code}')
+    _print(f'   refused with {answer.status} {answer.outcome}, {answer.code}')
     problems = _check(in_force, 'not in force at all entries')
     problems += _check(
         answer.outcome == outcomes.Outcome.NOT_RUN,
@@ -258,7 +258,7 @@
 
 _STEPS: tuple[tuple[str, Callable[..., Problems]], ...] = (
     ('A completion, streamed', _stream),
-    ('A completion, whole, at another entry', _complete),
+    ('A completion, not streamed, at another entry', _complete),
     ('A non-idempotent call and its repeat', _call_twice),
     ('A drain with a stream in flight', _drain),
     ('A new rule, in force everywhere', _apply_refusal),
--- a/packages/trials/src/dunlintide_trials/edge/promises.py
+++ b/packages/trials/src/dunlintide_trials/edge/promises.py
@@ -56,7 +56,7 @@
         and runs
     ):
         if request.kind == soakscene.ONCE:
-            yield f'{request.name}: told {request.status}, but ran'
+            yield f'{request.name}: refused with {request.status}, but ran'
     for run in runs:
         yield from _check_run(request, run)
 
--- a/packages/trials/src/dunlintide_trials/faultcontext.py
+++ b/packages/trials/src/dunlintide_trials/faultcontext.py
@@ -160,7 +160,9 @@
         for thread in self._threads:
             thread.join(max(0.0, end - time.monotonic()))
             if thread.is_alive():
-                self.violations.append('work of a fault did not end in time')
+                self.violations.append(
+                    f'work of a fault did not end in {seconds:.0f} s'
+                )
 
     def close(self) -> None:
         """Prevent further restarts before all processes are stopped."""
--- a/packages/trials/src/dunlintide_trials/faults.py
+++ b/packages/trials/src/dunlintide_trials/faults.py
@@ -1,8 +1,8 @@
 """Faults that a soak injects into single processes of a deployment.
 
-A fault is a function that takes a ``Field``, injects the fault and returns
-a function that reverts it, or None when no target was available. Faults
-overlap, but a process is the target of one fault at a time. To add a
+A fault is a function that takes a ``FaultContext``, injects the fault and
+returns a function that reverts it, or None when no target was available.
+Faults overlap, but a process is the target of one fault at a time. To add a
 fault, write a function here and list it in ``FAULTS``.
 """
 
