--- a/features/steps/entry_scene.py
+++ b/features/steps/entry_scene.py
@@ -234,7 +234,7 @@
             return result.Err(claims.ReusedKey(held))
         return result.Ok(held)
 
-    def pace(self, writers):
+    def set_writer_count(self, writers):
         pass
 
     def dump(self):
--- a/packages/trials/src/dunlintide_trials/streams.py
+++ b/packages/trials/src/dunlintide_trials/streams.py
@@ -148,7 +148,7 @@
     def release(self, binding: claims.Binding, timeout: float):
         return result.Err('no store')
 
-    def pace(self, writers: int) -> None:
+    def set_writer_count(self, writers: int) -> None:
         pass
 
     def dump(self) -> dict:
