--- a/packages/adapters/src/dunlintide_adapters/admin.py
+++ b/packages/adapters/src/dunlintide_adapters/admin.py
@@ -1,4 +1,4 @@
-"""The operators' port: metrics, health, state dump and drain."""
+"""HTTP server for operators: metrics, health, state dump and drain."""
 
 from concurrent import futures
 import http
@@ -23,22 +23,22 @@
 _THREADS = 2
 _MAX_BODY_BYTES = 64 << 10
 _MAX_CONNECTIONS = 64
-_STOP_SECONDS = 2.0
+_STOP_TIMEOUT_SECONDS = 2.0
 _JSON_TYPE = 'application/json'
 
 
 @attrs.frozen
 class Readiness:
-    """Whether a process should be sent work.
+    """Result of a readiness check.
 
-    :ivar reasons: why it should not; ready when there is none
+    :ivar reasons: why the process is not ready; empty when it is
     """
 
     reasons: tuple[str, ...] = ()
 
     @property
     def ready(self) -> bool:
-        """Whether nothing stands against it."""
+        """Whether the process can be sent work."""
         return not self.reasons
 
 
@@ -56,40 +56,40 @@
     return _Page(status, body.encode() + b'\n')
 
 
-def _refuse(status: http.HTTPStatus) -> _Page:
+def _build_error(status: http.HTTPStatus) -> _Page:
     page = httppages.render_error(status, status.description)
     return _Page(status, page.body, dict(page.headers)['Content-Type'])
 
 
 def _show_readiness(readiness: Callable[[], Readiness]) -> _Page:
-    found = readiness()
-    body = {'ready': found.ready, 'reasons': list(found.reasons)}
+    state = readiness()
+    body = {'ready': state.ready, 'reasons': list(state.reasons)}
     status = http.HTTPStatus.OK
-    if not found.ready:
+    if not state.ready:
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
     return _build_json(body, status)
 
 
 class AdminServer:
-    """Serves operators on a port of its own."""
+    """Serves operators on a port separate from callers' requests."""
 
     def __init__(
         self,
         routes: dict[tuple[str, str], Callable[[], _Page]],
         listen: str,
-        drainer: futures.Executor,
-        secure: tlssockets.Wrapper | None = None,
+        drain_executor: futures.Executor,
+        tls_wrapper: tlssockets.Wrapper | None = None,
     ) -> None:
         """Bind the address; use ``from_config`` instead."""
         self._routes = routes
-        self._drainer = drainer
+        self._drain_executor = drain_executor
         self._server = httpserver.HttpServer.from_config(
             self._answer,
             listen,
             _THREADS,
             _MAX_BODY_BYTES,
             max_connections=_MAX_CONNECTIONS,
-            secure=secure,
+            tls_wrapper=tls_wrapper,
         )
 
     @classmethod
@@ -100,20 +100,22 @@
         readiness: Callable[[], Readiness],
         drain: Callable[[], None],
         registry: registries.CollectorRegistry,
-        secure: tlssockets.Wrapper | None = None,
+        tls_wrapper: tlssockets.Wrapper | None = None,
     ) -> 'AdminServer':
         """Bind the address; ``start`` begins to serve.
 
         :param listen: ``host:port``; port 0 takes a free one
-        :param dump: gives the state of the process, fit for JSON and
-            without keys or request content
-        :param readiness: tells whether to send the process work
-        :param drain: begins a graceful stop; runs on a thread of its own
-        :param registry: metrics to show
-        :param secure: puts TLS on connections; None for plain ones
-        :raises OSError: when the port is taken
+        :param dump: returns the state of the process as JSON-serializable
+            data without keys or request content
+        :param readiness: returns whether the process can be sent work
+        :param drain: begins a graceful stop; runs on a separate thread
+        :param registry: metrics to serve
+        :param tls_wrapper: adds TLS to connections; None for plain TCP
+        :raises OSError: when the port is in use
         """
-        drainer = futures.ThreadPoolExecutor(1, thread_name_prefix='drain')
+        drain_executor = futures.ThreadPoolExecutor(
+            1, thread_name_prefix='drain'
+        )
 
         def show_metrics() -> _Page:
             body = prometheus_client.generate_latest(registry)
@@ -128,7 +130,7 @@
                 raise
 
         def begin_drain() -> _Page:
-            drainer.submit(run_drain)
+            drain_executor.submit(run_drain)
             return _build_json({'draining': True}, http.HTTPStatus.ACCEPTED)
 
         routes = {
@@ -138,11 +140,11 @@
             ('GET', '/debug/state'): lambda: _build_json(dump()),
             ('POST', '/drain'): begin_drain,
         }
-        return cls(routes, listen, drainer, secure)
+        return cls(routes, listen, drain_executor, tls_wrapper)
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port that the server listens on."""
         return self._server.port
 
     def start(self) -> None:
@@ -150,17 +152,17 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Close the port; what is being answered gets a short while."""
-        self._server.stop(_STOP_SECONDS)
-        self._drainer.shutdown(wait=False)
+        """Close the port, giving requests in flight 2 s to finish."""
+        self._server.stop(_STOP_TIMEOUT_SECONDS)
+        self._drain_executor.shutdown(wait=False)
 
     def _route(self, method: str, path: str) -> _Page:
         route = self._routes.get((method, path))
         if route is not None:
             return route()
         if any(path == known for _, known in self._routes):
-            return _refuse(http.HTTPStatus.METHOD_NOT_ALLOWED)
-        return _refuse(http.HTTPStatus.NOT_FOUND)
+            return _build_error(http.HTTPStatus.METHOD_NOT_ALLOWED)
+        return _build_error(http.HTTPStatus.NOT_FOUND)
 
     def _answer(self, environ: dict, start_response: Callable) -> list[bytes]:
         page = self._route(environ['REQUEST_METHOD'], environ['PATH_INFO'])
--- a/packages/adapters/src/dunlintide_adapters/cacheevents.py
+++ b/packages/adapters/src/dunlintide_adapters/cacheevents.py
@@ -1,4 +1,4 @@
-"""Cache events of a model engine, read over its HTTP interface."""
+"""Client of the cache events that a model engine publishes over HTTP."""
 
 from urllib import parse
 
@@ -9,17 +9,19 @@
 from dunlintide_core import prefixes
 
 __all__ = [
-    'Source',
+    'EventReader',
 ]
 
-# More than an engine publishes in a second; the rest comes next time.
+# Above what an engine publishes in a second; the next read gets the rest.
 MAX_EVENTS = 5_000
 MAX_BLOCKS = 20_000
-_EVENTS = '/v1/cache_events'
-_HELD = '/v1/cache'
+_EVENTS_PATH = '/v1/cache_events'
+_BLOCKS_PATH = '/v1/cache'
 _STORED = 'stored'
 
-_Read = result.Result[tuple[int, list[prefixes.Event]], engines.EngineError]
+_ReadResult = result.Result[
+    tuple[int, list[prefixes.Event]], engines.EngineError
+]
 
 
 class _Event(msgspec.Struct):
@@ -49,33 +51,39 @@
     )
 
 
-class Source:
-    """Reads one engine's events and what it holds."""
+class EventReader:
+    """Reads the cache events and the cached blocks of one engine."""
 
     def __init__(self, engine: engines.Engine) -> None:
-        """Remember the engine; its owner closes it."""
+        """Create a reader; the caller keeps ownership of the engine."""
         self._engine = engine
 
-    def read_events(self, since: int) -> _Read:
-        """Read some events behind a sequence number, oldest first.
+    def read_events(self, since: int) -> _ReadResult:
+        """Read a bounded number of events after a sequence number.
 
-        :returns: the number of the last event that the engine has
-            published or lost, and the events
+        :returns: the sequence number of the last event that the engine has
+            published or lost, and the events, oldest first
         """
         query = {'since': since, 'limit': MAX_EVENTS}
-        read = self._read(_EVENTS, query)
+        read = self._read(_EVENTS_PATH, query)
         return read.map(
-            lambda told: (told.sequence, [_convert(e) for e in told.events])
+            lambda answer: (
+                answer.sequence,
+                [_convert(e) for e in answer.events],
+            )
         )
 
-    def read_held(self) -> _Read:
-        """Read the blocks that the engine holds, the newest if too many.
+    def read_blocks(self) -> _ReadResult:
+        """Read the cached blocks, at most the newest ``MAX_BLOCKS``.
 
-        :returns: the number of the last event, and the blocks
+        :returns: the sequence number of the last event, and the blocks
         """
-        read = self._read(_HELD, {'limit': MAX_BLOCKS})
+        read = self._read(_BLOCKS_PATH, {'limit': MAX_BLOCKS})
         return read.map(
-            lambda told: (told.sequence, [_convert(e) for e in told.blocks])
+            lambda answer: (
+                answer.sequence,
+                [_convert(e) for e in answer.blocks],
+            )
         )
 
     def _read(
@@ -87,5 +95,5 @@
         try:
             return result.Ok(_decoder.decode(called.ok_value))
         except msgspec.MsgspecError as error:
-            detail = f'unusable answer: {type(error).__name__}'
+            detail = f'invalid answer: {type(error).__name__}'
             return result.Err(engines.EngineError(detail))
--- a/packages/adapters/src/dunlintide_adapters/claimroutes.py
+++ b/packages/adapters/src/dunlintide_adapters/claimroutes.py
@@ -1,8 +1,9 @@
-"""Claims sent to the entry that owns their bucket.
+"""Routing of claims to the entry that owns their bucket.
 
-One writer a bucket meets no conflicts. It is an optimisation only: where
-the owner cannot be reached, the claim is committed here, and the heads of
-the buckets keep both from succeeding.
+A single writer per bucket avoids conflicting transactions. This is only an
+optimisation: if the owner cannot be reached, this entry commits the claim
+itself, and the compare of the bucket head lets only one of two concurrent
+commits succeed.
 """
 
 import threading
@@ -21,7 +22,7 @@
 from dunlintide_core import fleet
 
 __all__ = [
-    'Owner',
+    'OwnerLookup',
     'RoutedWriter',
     'RouteTiming',
     'add_service',
@@ -29,14 +30,14 @@
 
 MAX_BATCH = 1000
 _CHANNEL_OPTIONS = (
-    # A claim is tried again in one place only: at the writer here.
+    # Only the local writer retries a claim; gRPC must not retry as well.
     ('grpc.enable_retries', 0),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 1000),
 )
 
-# Address of the entry that owns a bucket, None for this one.
-Owner = Callable[[int], str | None]
+# Returns the address of the entry that owns a bucket, None for this entry.
+OwnerLookup = Callable[[int], str | None]
 
 _Status = link_pb2.BindOutcome.Status
 
@@ -45,13 +46,14 @@
 class RouteTiming:
     """Time constants of a route, in seconds.
 
-    :ivar answer: longest wait for the owner, before the claim is made
-        here
-    :ivar rest: how long an owner that failed is left alone
+    :ivar timeout: longest wait for the owner before this entry commits
+        the claim itself
+    :ivar backoff: time after a failed call during which no claim is sent
+        to that owner
     """
 
-    answer: float = 1.0
-    rest: float = 2.0
+    timeout: float = 1.0
+    backoff: float = 2.0
 
 
 def _encode(outcome: writers.Outcome) -> link_pb2.BindOutcome:
@@ -75,7 +77,7 @@
 
 
 class _Servicer(link_pb2_grpc.ClaimsServicer):
-    """Commits what other entries send."""
+    """Commits the claims that other entries send."""
 
     def __init__(
         self, writer: writers.ClaimWriter, transport: transports.Transport
@@ -84,7 +86,7 @@
         self._transport = transport
 
     def Bind(self, request, context):
-        fault = self._transport.find_fault(context, fleet.Role.ENTRY)
+        fault = self._transport.check_caller(context, fleet.Role.ENTRY)
         if fault:
             context.abort(grpc.StatusCode.PERMISSION_DENIED, fault)
         timeout = request.timeout_ms / 1000
@@ -101,18 +103,18 @@
     writer: writers.ClaimWriter,
     transport: transports.Transport = transports.PLAIN,
 ) -> None:
-    """Let other entries send claims to a writer.
+    """Add the service that accepts claims of other entries to a server.
 
-    :param server: not started yet
+    :param server: server that has not been started yet
     """
     servicer = _Servicer(writer, transport)
     link_pb2_grpc.add_ClaimsServicer_to_server(servicer, server)
 
 
 class _Route:
-    """Claims on their way to one owner, one call at a time.
+    """Sends claims to one owner, one call at a time.
 
-    What gathers while a call is open goes with the next one.
+    Claims queued while a call is open are sent with the next call.
     """
 
     def __init__(
@@ -128,63 +130,67 @@
         self._stub = link_pb2_grpc.ClaimsStub(self._channel)
         self._lock = threading.Lock()
         self._queue: list[writers.Pending] = []
-        self._open = False
-        self._rests_until = 0.0
+        self._has_open_call = False
+        self._backoff_until = 0.0
 
     def put(self, pending: writers.Pending) -> None:
-        """Send a claim, or divert it while the owner is left alone."""
+        """Send a claim, or divert it during the backoff."""
         with self._lock:
-            resting = time.monotonic() < self._rests_until
-            if not resting:
+            is_backing_off = time.monotonic() < self._backoff_until
+            if not is_backing_off:
                 self._queue.append(pending)
-        if resting:
+        if is_backing_off:
             self._divert(pending)
         else:
             self._send()
 
     def close(self) -> None:
-        """End open calls; their claims are diverted."""
+        """Close the channel; claims of open calls are diverted."""
         self._channel.close()
 
-    def _take(self) -> list[writers.Pending]:
+    def _take_batch(self) -> list[writers.Pending]:
         with self._lock:
-            if self._open:
+            if self._has_open_call:
                 return []
             batch = self._queue[:MAX_BATCH]
             del self._queue[:MAX_BATCH]
-            self._open = bool(batch)
+            self._has_open_call = bool(batch)
             return batch
 
     def _send(self) -> None:
-        batch = self._take()
+        batch = self._take_batch()
         if not batch:
             return
         request = link_pb2.BindRequest(
-            bindings=[claims.encode_binding(one.wanted) for one in batch],
-            timeout_ms=int(self._timing.answer * 1000),
+            bindings=[
+                claims.encode_binding(pending.wanted) for pending in batch
+            ],
+            timeout_ms=int(self._timing.timeout * 1000),
         )
         try:
-            call = self._stub.Bind.future(request, timeout=self._timing.answer)
+            call = self._stub.Bind.future(
+                request, timeout=self._timing.timeout
+            )
         except ValueError:
-            # The channel was closed while a claim was on its way.
-            self._end(batch, None)
+            # The channel was closed after the claim was queued.
+            self._settle_batch(batch, None)
             return
-        call.add_done_callback(lambda done: self._finish(batch, done))
+        call.add_done_callback(lambda done: self._handle_reply(batch, done))
 
-    def _finish(self, batch: list[writers.Pending], call) -> None:
+    def _handle_reply(self, batch: list[writers.Pending], call) -> None:
         answered = call.code() is grpc.StatusCode.OK
-        self._end(batch, call.result() if answered else None)
+        self._settle_batch(batch, call.result() if answered else None)
         self._send()
 
-    def _end(
+    def _settle_batch(
         self,
         batch: list[writers.Pending],
         reply: link_pb2.BindReply | None,
     ) -> None:
         with self._lock:
-            self._open = False
+            self._has_open_call = False
             if reply is None:
-                self._rests_until = time.monotonic() + self._timing.rest
+                self._backoff_until = time.monotonic() + self._timing.backoff
                 batch = batch + self._queue
                 self._queue = []
         if reply is None:
@@ -199,19 +205,22 @@
 
 
 class RoutedWriter:
-    """Makes claims at the owners of their buckets, or here."""
+    """Commits claims through the owners of their buckets, or locally.
+
+    :ivar diverted: claims committed locally as their owner confirmed none
+    """
 
     def __init__(
         self,
         writer: writers.ClaimWriter,
-        owner: Owner,
+        owner: OwnerLookup,
         timing: RouteTiming = RouteTiming(),
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Remember where to send claims.
+        """Set up routing; connections are opened on demand.
 
         :param writer: commits the claims of this entry's own buckets
-        :param owner: tells who owns a bucket
+        :param owner: returns the owner of a bucket
         """
         self.diverted = 0
         self._writer = writer
@@ -222,9 +231,9 @@
         self._routes: dict[str, _Route] = {}
 
     def bind(self, wanted: claims.Binding, timeout: float) -> writers.Outcome:
-        """Make a claim, or find the one that holds.
+        """Commit a claim, or return the existing one.
 
-        :param timeout: seconds to wait at most
+        :param timeout: longest wait in seconds
         """
         address = self._find_owner(wanted)
         if address is None:
@@ -234,30 +243,30 @@
     def release(
         self, binding: claims.Binding, timeout: float
     ) -> writers.Outcome:
-        """Free the key of a claim that its executor has sealed unrun.
+        """Free the key of a claim that its executor sealed without running.
 
-        :param timeout: seconds to wait at most
+        :param timeout: longest wait in seconds
         """
         address = self._find_owner(binding)
         if address is None:
             return self._writer.release(binding, timeout)
         return self._send(address, claims.build_release(binding), timeout)
 
-    def keep(self, addresses: set[str]) -> None:
-        """Close the routes to entries that own nothing any more.
+    def update_owners(self, addresses: set[str]) -> None:
+        """Update the commit rate and close routes to former owners.
 
-        :param addresses: the other owners
+        :param addresses: addresses of the other entries that own buckets
         """
-        self._writer.pace(len(addresses) + 1)
+        self._writer.set_writer_count(len(addresses) + 1)
         self._close_others(addresses)
 
     def _close_others(self, addresses: set[str]) -> None:
         with self._lock:
-            gone = [
+            closed = [
                 self._routes.pop(address)
                 for address in self._routes.keys() - addresses
             ]
-        for route in gone:
+        for route in closed:
             route.close()
 
     def close(self) -> None:
@@ -265,9 +274,12 @@
         self._close_others(set())
 
     def dump(self) -> dict:
-        """Tell the state, without keys."""
-        own = self._writer.dump()
-        return own | {'routes': len(self._routes), 'diverted': self.diverted}
+        """Return the state for diagnostics, without keys."""
+        writer_state = self._writer.dump()
+        return writer_state | {
+            'routes': len(self._routes),
+            'diverted': self.diverted,
+        }
 
     def _find_owner(self, binding: claims.Binding) -> str | None:
         return self._owner(claims.choose_bucket(binding.key_digest))
@@ -290,9 +302,10 @@
             return route
 
     def _divert(self, pending: writers.Pending) -> None:
-        """Commit here what the owner did not.
+        """Commit a claim locally that the owner did not confirm.
 
-        It may have done so after all; then its claim is found here.
+        If the owner committed it after all, the local writer finds that
+        claim.
         """
         self.diverted += 1
         self._writer.put(pending)
--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -1,11 +1,13 @@
-"""Writer of claims: one transaction commits what many callers wait for.
-
-Callers of ``bind`` queue a claim and wait. One thread takes all that has
-gathered, whichever buckets it falls in, and commits it in a single
-transaction that compares the head of each touched bucket. A transaction
-that loses brings back, in the same call, what the writer had not seen.
-An answer that was lost is settled by the next try: it compares the same
-heads, so only one of the two takes effect, and the loser reads the winner.
+"""Writer of claims with group commit.
+
+Callers of ``bind`` queue a claim and wait. One thread takes all queued
+claims, of any bucket, and commits them in a single transaction that
+compares the head of each touched bucket. If a compare fails, the same call
+returns the segments that the writer had not read yet.
+
+When the answer to a transaction is lost, the next attempt compares the same
+heads. So only one of the two takes effect, and a failed attempt reads what
+the first one wrote.
 """
 
 import collections
@@ -30,10 +32,10 @@
 ]
 
 PREFIX = '/dunlintide/claims/'
-# What all writers together may ask of a store that takes several hundred.
-WRITES_PER_SECOND = 200.0
+# Bound for all writers together; the store handles several hundred.
+MAX_WRITES_PER_SECOND = 200.0
 MAX_CLAIMS_PER_COMMIT = 2000
-# A store transaction takes at most 128 operations; each bucket needs two.
+# A store transaction has at most 128 operations; each bucket needs two.
 MAX_BUCKETS_PER_COMMIT = 48
 RANGE_PAGE = 1000
 _LEASE_SLACK_SECONDS = 600
@@ -44,29 +46,29 @@
 class ClaimTiming:
     """Time constants of the writer, in seconds.
 
-    :ivar interval: least pause between the starts of two commits; it
-        bounds this writer's share of the store's writes
-    :ivar retry: pause after a failure of the store
+    :ivar interval: minimum time between the starts of two commits; it
+        bounds this writer's share of the store's write rate
+    :ivar retry_delay: pause after a failure of the store
     """
 
     interval: float = 0.01
-    retry: float = 0.2
+    retry_delay: float = 0.2
 
 
 @attrs.frozen
 class Unbound:
-    """The claim was not made, or not known to be made, in time."""
+    """The claim was not confirmed as committed in time."""
 
     detail: str
 
 
-# The claim that holds, or why there is none.
+# The claim that is in force, or the reason why there is none.
 Outcome = result.Result[claims.Binding, claims.ReusedKey | Unbound]
 
 
 @attrs.define(eq=False)
 class Pending:
-    """A claim that waits to be made.
+    """A claim that waits to be committed.
 
     :ivar deadline: monotonic time in seconds
     """
@@ -77,15 +79,17 @@
     _outcome: Outcome | None = attrs.field(default=None, init=False)
 
     def settle(self, outcome: Outcome) -> None:
-        """Give the outcome to the thread that waits."""
+        """Set the outcome and wake the waiting thread."""
         self._outcome = outcome
         self._done.set()
 
     def wait(self) -> Outcome:
-        """Wait for the outcome, until the deadline at most."""
+        """Wait for the outcome until the deadline."""
         self._done.wait(max(0.0, self.deadline - time.monotonic()))
         if self._outcome is None:
-            return result.Err(Unbound('not bound in time'))
+            return result.Err(
+                Unbound('claim was not committed before its deadline')
+            )
         return self._outcome
 
 
@@ -110,7 +114,11 @@
 
 
 class ClaimWriter:
-    """Makes claims in the store, many to a write."""
+    """Commits claims to the store in batches.
+
+    :ivar commits: transactions that succeeded
+    :ivar conflicts: transactions whose compare failed
+    """
 
     def __init__(
         self,
@@ -118,9 +126,10 @@
         wall_clock: Callable[[], float] = time.time,
         timing: ClaimTiming = ClaimTiming(),
     ) -> None:
-        """Remember the store; ``start`` begins.
+        """Create a writer; ``start`` starts its thread.
 
-        :param wall_clock: seconds since the epoch, for retention only
+        :param wall_clock: returns seconds since the epoch; used for the
+            retention of claims only
         """
         self._store = store
         self._wall_clock = wall_clock
@@ -140,32 +149,33 @@
         )
 
     def start(self) -> None:
-        """Commit in the background."""
+        """Start the thread that commits claims."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the commit that runs; what still waits is unbound."""
+        """Stop after the running commit; queued claims end as unbound."""
         with self._ready:
             self._stopped = True
             self._ready.notify_all()
         self._thread.join()
 
-    def pace(self, writers: int) -> None:
-        """Keep to this writer's part of the store's writes.
+    def set_writer_count(self, writers: int) -> None:
+        """Limit this writer to its share of the store's write rate.
 
-        :param writers: how many processes commit claims
+        :param writers: number of processes that commit claims
         """
         self._interval = max(
-            self._timing.interval, writers / WRITES_PER_SECOND
+            self._timing.interval, writers / MAX_WRITES_PER_SECOND
         )
 
     def bind(self, wanted: claims.Binding, timeout: float) -> Outcome:
-        """Make a claim, or find the one that holds.
+        """Commit a claim, or return the existing one.
+
+        The caller distinguishes the two by comparing the attempt in the
+        answer with its own.
 
-        The caller compares the attempt in the answer with its own to
-        tell the two apart.
         :param wanted: the claim
-        :param timeout: seconds to wait at most
+        :param timeout: longest wait in seconds
         """
         return self.submit(wanted, timeout).wait()
 
@@ -173,31 +183,31 @@
         """Queue a claim without waiting for it.
 
         :param wanted: the claim
-        :param timeout: seconds after which it need not be made
+        :param timeout: seconds after which the claim is dropped
         """
         pending = Pending(wanted, time.monotonic() + timeout)
         self.put(pending)
         return pending
 
     def put(self, pending: Pending) -> None:
-        """Queue a claim that somebody waits for already."""
+        """Queue an existing pending claim."""
         with self._ready:
             if not self._stopped:
                 self._queue.append(pending)
                 self._ready.notify()
                 return
-        pending.settle(result.Err(Unbound('the writer has stopped')))
+        pending.settle(result.Err(Unbound('claim writer has stopped')))
 
     def release(self, binding: claims.Binding, timeout: float) -> Outcome:
-        """Free the key of a claim that its executor has sealed unrun.
+        """Free the key of a claim that its executor sealed without running.
 
-        :param binding: the claim, as ``bind`` gave it
-        :param timeout: seconds to wait at most
+        :param binding: the claim, as returned by ``bind``
+        :param timeout: longest wait in seconds
         """
         return self.bind(claims.build_release(binding), timeout)
 
     def dump(self) -> dict:
-        """Tell the state, without keys."""
+        """Return the state for diagnostics, without keys."""
         return {
             'commits': self.commits,
             'conflicts': self.conflicts,
@@ -209,16 +219,16 @@
             },
         }
 
-    def _take(self) -> list[Pending]:
+    def _take_batch(self) -> list[Pending]:
         with self._ready:
             while not self._queue and not self._stopped:
                 self._ready.wait()
             if self._stopped:
                 return []
             now = time.monotonic()
-            taken: list[Pending] = []
+            batch: list[Pending] = []
             touched: set[int] = set()
-            while self._queue and len(taken) < MAX_CLAIMS_PER_COMMIT:
+            while self._queue and len(batch) < MAX_CLAIMS_PER_COMMIT:
                 number = claims.choose_bucket(self._queue[0].wanted.key_digest)
                 if len(touched | {number}) > MAX_BUCKETS_PER_COMMIT:
                     break
@@ -226,88 +236,92 @@
                 if pending.deadline <= now:
                     continue
                 touched.add(number)
-                taken.append(pending)
-            return taken
+                batch.append(pending)
+            return batch
 
     def _run(self) -> None:
         while not self._stopped:
             started = time.monotonic()
-            batch = self._take()
+            batch = self._take_batch()
             if batch:
-                self._settle(batch)
-            spent = time.monotonic() - started
-            time.sleep(max(0.0, self._interval - spent))
+                self._settle_batch(batch)
+            elapsed = time.monotonic() - started
+            time.sleep(max(0.0, self._interval - elapsed))
 
-    def _settle(self, batch: list[Pending]) -> None:
+    def _settle_batch(self, batch: list[Pending]) -> None:
         while not self._stopped:
-            batch = self._settle_known(batch)
+            batch = self._settle_from_buckets(batch)
             now = time.monotonic()
             batch = [pending for pending in batch if pending.deadline > now]
             if not batch or self._commit(batch):
                 return
 
-    def _settle_known(self, batch: list[Pending]) -> list[Pending]:
-        """Settle what the buckets answer; keep one claim of each key."""
-        rest: dict[bytes, Pending] = {}
+    def _settle_from_buckets(self, batch: list[Pending]) -> list[Pending]:
+        """Settle claims whose key a bucket holds.
+
+        :returns: one unsettled claim of each other key
+        """
+        unsettled: dict[bytes, Pending] = {}
         for pending in batch:
             digest = pending.wanted.key_digest
-            found = self._bucket(claims.choose_bucket(digest)).find_conflict(
-                pending.wanted
-            )
+            found = self._get_bucket(
+                claims.choose_bucket(digest)
+            ).find_conflict(pending.wanted)
             if isinstance(found, claims.Conflict):
                 pending.settle(result.Ok(found.binding))
             elif isinstance(found, claims.ReusedKey):
                 pending.settle(result.Err(found))
-            elif digest in rest:
-                # Its twin is committed first; it meets that claim next.
+            elif digest in unsettled:
+                # The first claim of this key is committed first; the
+                # queued one then finds it.
                 self.put(pending)
             else:
-                rest[digest] = pending
-        return list(rest.values())
+                unsettled[digest] = pending
+        return list(unsettled.values())
 
-    def _bucket(self, number: int) -> claims.Bucket:
+    def _get_bucket(self, number: int) -> claims.Bucket:
         bucket = self._buckets.get(number)
         if bucket is None:
             bucket = self._buckets[number] = claims.Bucket()
         return bucket
 
     def _commit(self, batch: list[Pending]) -> bool:
-        """Try one transaction; True when the batch has been settled."""
+        """Try one transaction; return True if it settled the batch."""
         groups: dict[int, list[Pending]] = {}
         for pending in batch:
             number = claims.choose_bucket(pending.wanted.key_digest)
             groups.setdefault(number, []).append(pending)
         lease = self._ensure_lease(batch)
         if lease is None:
-            time.sleep(self._timing.retry)
+            time.sleep(self._timing.retry_delay)
             return False
         outcome = self._store.transact(
-            self._compares(groups),
-            self._puts(groups, lease),
-            otherwise=self._reads(groups),
+            self._build_expects(groups),
+            self._build_puts(groups, lease),
+            failure_reads=self._build_reads(groups),
         )
         if isinstance(outcome, result.Ok):
-            self._take_commit(groups, outcome.ok_value)
+            self._apply_commit(groups, outcome.ok_value)
             return True
-        if isinstance(outcome.err_value, storage.CasLost):
+        if isinstance(outcome.err_value, storage.CasConflict):
             self.conflicts += 1
-            self._take_reads(groups, outcome.err_value.ranges)
+            self._apply_reads(groups, outcome.err_value.ranges)
         else:
-            time.sleep(self._timing.retry)
+            time.sleep(self._timing.retry_delay)
         return False
 
-    def _compares(self, groups) -> list[gateway.Expect]:
+    def _build_expects(self, groups) -> list[gateway.Expect]:
         return [
             gateway.Expect(
-                _head_key(number), self._bucket(number).head_revision
+                _head_key(number), self._get_bucket(number).head_revision
             )
             for number in groups
         ]
 
-    def _puts(self, groups, lease: int) -> list[gateway.Put]:
+    def _build_puts(self, groups, lease: int) -> list[gateway.Put]:
         puts = []
         for number, pendings in groups.items():
-            sequence = self._bucket(number).sequence + 1
+            sequence = self._get_bucket(number).sequence + 1
             segment = claims.Segment(
                 tuple(pending.wanted for pending in pendings)
             )
@@ -323,17 +337,19 @@
             )
         return puts
 
-    def _reads(self, groups) -> list[gateway.Range]:
+    def _build_reads(self, groups) -> list[gateway.Range]:
         reads = []
         for number in groups:
             reads.append(gateway.Range(_head_key(number)))
-            reads.append(_segment_range(number, self._bucket(number).sequence))
+            reads.append(
+                _segment_range(number, self._get_bucket(number).sequence)
+            )
         return reads
 
-    def _take_commit(self, groups, revision: int) -> None:
+    def _apply_commit(self, groups, revision: int) -> None:
         self.commits += 1
         for number, pendings in groups.items():
-            bucket = self._bucket(number)
+            bucket = self._get_bucket(number)
             bucket.sequence += 1
             bucket.head_revision = revision
             wanted = tuple(pending.wanted for pending in pendings)
@@ -342,19 +358,20 @@
             for pending in pendings:
                 pending.settle(result.Ok(pending.wanted))
 
-    def _take_reads(
+    def _apply_reads(
         self, groups, ranges: tuple[tuple[storage.Value, ...], ...]
     ) -> None:
-        """Take in what a lost transaction has brought back."""
+        """Apply the reads of a transaction whose compare failed."""
         for index, number in enumerate(groups):
             heads, segments = ranges[2 * index], ranges[2 * index + 1]
             if len(segments) >= RANGE_PAGE:
-                rest = self._read_rest(number, segments[-1])
-                if rest is None:
-                    # A head without all its segments would hide claims.
+                more = self._read_more_pages(number, segments[-1])
+                if more is None:
+                    # Applying the head without all of its segments would
+                    # hide claims.
                     continue
-                segments = segments + rest
-            bucket = self._bucket(number)
+                segments = segments + more
+            bucket = self._get_bucket(number)
             bucket.apply_segments(
                 claims.decode_segment(value.value) for value in segments
             )
@@ -363,29 +380,37 @@
                 bucket.head_revision = heads[0].mod_revision
             bucket.expire(self._wall_clock())
 
-    def _read_rest(
+    def _read_more_pages(
         self, number: int, last: storage.Value
     ) -> tuple[storage.Value, ...] | None:
         """Read further pages of segments.
 
-        A page may be newer than the head that came with the first one;
-        the transaction that follows then loses and reads again, and to
-        absorb a segment twice changes nothing.
+        A page may be newer than the head read with the first page. The
+        next transaction then fails its compare and reads again; applying
+        a segment twice has no effect.
+
+        :returns: the segments, None if a page could not be read
         """
-        rest: list[storage.Value] = []
+        more: list[storage.Value] = []
         while True:
             after = int(last.key.rsplit('/', 1)[1])
             page = self._store.get_page(_segment_range(number, after))
             if isinstance(page, result.Err):
-                logging.warning('claims bucket %d: page not read', number)
+                logging.warning(
+                    'claims bucket %d: reading a page of segments failed',
+                    number,
+                )
                 return None
-            rest.extend(page.ok_value)
+            more.extend(page.ok_value)
             if len(page.ok_value) < RANGE_PAGE:
-                return tuple(rest)
+                return tuple(more)
             last = page.ok_value[-1]
 
     def _ensure_lease(self, batch: list[Pending]) -> int | None:
-        """Give a lease that outlives every claim of the batch."""
+        """Return a lease that outlives every claim of the batch.
+
+        :returns: its id, None if the store granted none
+        """
         now = time.monotonic()
         retention = max(pending.wanted.retention for pending in batch)
         if now < self._lease_until and retention <= self._lease_retention:
--- a/packages/adapters/src/dunlintide_adapters/guards.py
+++ b/packages/adapters/src/dunlintide_adapters/guards.py
@@ -1,4 +1,4 @@
-"""Who may be linked and what it may send, by its certificate."""
+"""Authorization of peers on a link by their certificates."""
 
 import collections
 import threading
@@ -15,7 +15,7 @@
 
 
 class Refusals:
-    """Counts and logs what was refused, by reason; thread-safe.
+    """Counts and logs refusals by reason; thread-safe.
 
     The reasons are ``identity``, ``role`` and ``handshake``.
     """
@@ -25,7 +25,7 @@
         self._lock = threading.Lock()
 
     def add(self, reason: str, detail: str) -> None:
-        """Count a refusal and log why."""
+        """Count a refusal and log its details."""
         with self._lock:
             self._counts[reason] += 1
         logging.warning('tls: refused (%s): %s', reason, detail)
@@ -37,50 +37,53 @@
 
 
 class Guard:
-    """Holds one link to what the certificate of its far side allows.
+    """Limits one link to the frames that the peer's certificate allows.
 
-    :ivar answers: whether to say nothing before the far side is admitted
+    :ivar waits_for_hello: whether to send nothing, not even a hello, before
+        the hello of the peer was accepted
     """
 
     def __init__(
         self,
-        find_fault: Callable[[str, str], str] | None = None,
+        find_mismatch: Callable[[str, str], str] | None = None,
         refusals: Refusals | None = None,
-        answers: bool = False,
+        waits_for_hello: bool = False,
     ) -> None:
-        """Begin before the far side has said who it is.
+        """Create the guard of a link whose peer is not yet identified.
 
-        :param find_fault: says what is wrong with a role and a name; None
-            allows everything
+        :param find_mismatch: returns why the certificate does not allow a
+            role and a name, empty if it does; None allows everything
         """
-        self.answers = answers
-        self._find_fault = find_fault
+        self.waits_for_hello = waits_for_hello
+        self._find_mismatch = find_mismatch
         self._refusals = refusals
-        self._permitted: frozenset[str] | None = None
-        self._dropped = False
-        if find_fault is not None:
-            self._permitted = frozenset(('hello',))
-
-    def admit(self, role: str, name: str, receiver: str) -> str:
-        """Say why a peer is refused; empty when it may go on.
-
-        :param role: what it says that it is
-        :param receiver: this side's role
+        self._allowed_kinds: frozenset[str] | None = None
+        self._has_logged_drop = False
+        if find_mismatch is not None:
+            self._allowed_kinds = frozenset(('hello',))
+
+    def check_hello(self, role: str, name: str, receiver: str) -> str:
+        """Check the identity that a peer claims in its hello.
+
+        :param role: claimed role
+        :param name: claimed name
+        :param receiver: role of this process
+        :returns: why the peer is refused, empty if it is accepted
         """
-        if self._find_fault is None:
+        if self._find_mismatch is None:
             return ''
-        fault = self._find_fault(role, name)
-        if fault:
-            self._refusals.add('identity', f'a link: {fault}')
-            return fault
-        self._permitted = identities.list_permitted_bodies(role, receiver)
+        mismatch = self._find_mismatch(role, name)
+        if mismatch:
+            self._refusals.add('identity', f'a link: {mismatch}')
+            return mismatch
+        self._allowed_kinds = identities.list_permitted_bodies(role, receiver)
         return ''
 
-    def permits(self, body: str | None) -> bool:
-        """Tell whether a frame may come from the far side."""
-        if self._permitted is None or body in self._permitted:
+    def allows(self, body: str | None) -> bool:
+        """Return whether the peer may send a frame with this kind of body."""
+        if self._allowed_kinds is None or body in self._allowed_kinds:
             return True
-        if not self._dropped:
-            self._dropped = True
+        if not self._has_logged_drop:
+            self._has_logged_drop = True
             self._refusals.add('role', f'frames of kind {body!r}')
         return False
--- a/packages/adapters/src/dunlintide_adapters/outboxes.py
+++ b/packages/adapters/src/dunlintide_adapters/outboxes.py
@@ -1,4 +1,4 @@
-"""Frames that wait to be written to a link."""
+"""Bounded queue of frames to be written to a link."""
 
 import asyncio
 import threading
@@ -18,13 +18,13 @@
 
 
 class Outbox:
-    """Frames that wait for the writer, bounded in number.
+    """Bounded queue between senders of frames and the writer of a link.
 
-    :ivar taken: monotonic time at which the writer last took some
+    :ivar taken_at: monotonic time at which the writer last took frames
     """
 
     def __init__(self, batch_bytes: int) -> None:
-        self.taken = time.monotonic()
+        self.taken_at = time.monotonic()
         self._batch_bytes = batch_bytes
         self._frames: list[link_pb2.Frame] = []
         self._lock = threading.Lock()
@@ -32,18 +32,18 @@
         self._closed = False
 
     def put(self, frame: link_pb2.Frame) -> bool:
-        """Append a frame; False when closed or full."""
+        """Append a frame; return False if the queue is closed or full."""
         with self._lock:
             if self._closed or len(self._frames) >= MAX_BACKLOG_FRAMES:
                 return False
             self._frames.append(frame)
-            first = len(self._frames) == 1
-        if first:
+            was_empty = len(self._frames) == 1
+        if was_empty:
             self._wake()
         return True
 
     def close(self) -> None:
-        """Let the writer end once it has taken what is queued."""
+        """Refuse further frames; the writer ends after the queued ones."""
         with self._lock:
             self._closed = True
         self._wake()
@@ -52,21 +52,21 @@
         if eventloop.is_current():
             self._ready.set()
         else:
-            eventloop.call(self._ready.set)
+            eventloop.call_soon(self._ready.set)
 
-    async def _take(self) -> list[link_pb2.Frame]:
+    async def _take_frames(self) -> list[link_pb2.Frame]:
         while True:
             self._ready.clear()
             with self._lock:
                 frames, self._frames = self._frames, []
                 closed = self._closed
             if frames or closed:
-                self.taken = time.monotonic()
+                self.taken_at = time.monotonic()
                 return frames
             await self._ready.wait()
 
     async def envelopes(self) -> AsyncIterator[link_pb2.Envelope]:
         """Yield queued frames in messages of bounded size."""
-        while frames := await self._take():
+        while frames := await self._take_frames():
             for envelope in packing.pack(frames, self._batch_bytes):
                 yield envelope
--- a/packages/adapters/src/dunlintide_adapters/peers.py
+++ b/packages/adapters/src/dunlintide_adapters/peers.py
@@ -1,8 +1,8 @@
 """Anti-entropy calls between processes over gRPC.
 
-Calls share the port of the links. Each has a timeout and a bounded size,
-and what is sent of a configuration is bounded in bytes a second, so that
-a restart of many processes at once cannot fill a link.
+Calls use the same port as links. Each has a time-out and a bounded size, and
+a token bucket limits the bytes of configuration chunks sent per second, so
+that a restart of many processes at once cannot saturate a network link.
 """
 
 import collections
@@ -21,50 +21,50 @@
 
 __all__ = ['Answer', 'Client', 'add_service']
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_CHANNELS = 24
 CHUNK_BYTES_PER_SECOND = 256 << 10
 CHUNK_BURST_BYTES = 2 << 20
 _MAX_CHUNKS_BYTES = 192 << 10
 
-# Answers a request with at most so many bytes of chunks.
+# Answers a request; the integer is the maximum total bytes of chunks.
 Answer = Callable[[exchanges.Request, int], exchanges.Reply]
 
 _OPTIONS = (
     ('grpc.enable_retries', 0),
     ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
     ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
-    # A channel that went silent must not live on in its successor.
+    # A new channel must not reuse the connection of one that stalled.
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 1000),
 )
 
 
-class _Allowance:
+class _TokenBucket:
     """Token bucket of bytes."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self._rate = rate
         self._burst = burst
-        self._left = burst
-        self._filled = time.monotonic()
+        self._available = burst
+        self._refilled_at = time.monotonic()
         self._lock = threading.Lock()
 
-    def left(self) -> int:
-        """Return bytes that may be sent now."""
+    def get_available(self) -> int:
+        """Return the number of bytes that can be sent now."""
         with self._lock:
             now = time.monotonic()
-            gained = (now - self._filled) * self._rate
-            self._left = min(self._burst, self._left + gained)
-            self._filled = now
-            return max(0, int(self._left))
+            refill = (now - self._refilled_at) * self._rate
+            self._available = min(self._burst, self._available + refill)
+            self._refilled_at = now
+            return max(0, int(self._available))
 
-    def spend(self, amount: int) -> None:
-        """Take bytes out; it may go below zero once."""
+    def consume(self, amount: int) -> None:
+        """Remove tokens; the balance may become negative."""
         with self._lock:
-            self._left -= amount
+            self._available -= amount
 
 
 class _Servicer(link_pb2_grpc.PeerServicer):
@@ -73,7 +73,9 @@
     ) -> None:
         self._answer = answer
         self._transport = transport
-        self._allowance = _Allowance(CHUNK_BYTES_PER_SECOND, CHUNK_BURST_BYTES)
+        self._chunk_bucket = _TokenBucket(
+            CHUNK_BYTES_PER_SECOND, CHUNK_BURST_BYTES
+        )
 
     def Exchange(self, request, context):
         if request.ByteSize() > MAX_MESSAGE_BYTES:
@@ -83,13 +85,14 @@
         except ValueError as error:
             context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         sender = request.sender
-        # What a peer says of others is hearsay; of itself it must be true.
-        fault = self._transport.find_fault(context, sender.role, sender.name)
+        # What a peer reports of itself must match its certificate; what it
+        # reports of others is treated as hearsay.
+        fault = self._transport.check_caller(context, sender.role, sender.name)
         if fault:
             context.abort(grpc.StatusCode.PERMISSION_DENIED, fault)
-        limit = min(_MAX_CHUNKS_BYTES, self._allowance.left())
+        limit = min(_MAX_CHUNKS_BYTES, self._chunk_bucket.get_available())
         reply = self._answer(decoded, limit)
-        self._allowance.spend(sum(map(len, reply.chunks)))
+        self._chunk_bucket.consume(sum(map(len, reply.chunks)))
         return peercodec.encode_reply(reply)
 
 
@@ -108,19 +111,19 @@
 
 
 class Client:
-    """Calls peers; keeps the channels that were used last.
+    """Calls peers; keeps the most recently used channels.
 
-    Not safe for use by several threads, but for ``close``.
+    Not thread-safe, except for ``close``.
     """
 
     def __init__(
         self,
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
         transport: transports.Transport = transports.PLAIN,
     ) -> None:
-        """Begin without channels.
+        """Create a client without open channels.
 
-        :param timeout: bound on one call, in seconds
+        :param timeout: time-out of one call, in seconds
         """
         self._timeout = timeout
         self._transport = transport
@@ -131,10 +134,10 @@
     def exchange(
         self, address: str, request: exchanges.Request
     ) -> result.Result[exchanges.Reply, str]:
-        """Call a peer.
+        """Exchange state with a peer.
 
         :param address: ``host:port``
-        :return: its reply, or why there is none
+        :returns: reply of the peer, or the error
         """
         stub = link_pb2_grpc.PeerStub(self._open(address))
         try:
@@ -143,7 +146,7 @@
             )
             return result.Ok(peercodec.decode_reply(reply))
         except (grpc.RpcError, ValueError) as error:
-            self._drop(address)
+            self._discard(address)
             reason = type(error).__name__
             if isinstance(error, grpc.Call):
                 reason = str(error.code())
@@ -160,7 +163,7 @@
             oldest.close()
         return channel
 
-    def _drop(self, address: str) -> None:
+    def _discard(self, address: str) -> None:
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
--- a/packages/adapters/src/dunlintide_adapters/tlssockets.py
+++ b/packages/adapters/src/dunlintide_adapters/tlssockets.py
@@ -1,9 +1,9 @@
-"""TLS on the sockets that an HTTP server accepts, without blocking.
+"""Non-blocking TLS for the sockets that an HTTP server accepts.
 
-waitress moves bytes by ``recv`` and ``send`` of a socket that does not
-block, from its loop and from its worker threads. The socket here does the
-handshake within these calls, and says that it would block where TLS needs
-more from the network, so no thread waits for a slow or silent client.
+waitress calls ``recv`` and ``send`` of a non-blocking socket from its loop
+and from its worker threads. The socket of this module does the TLS
+handshake within these calls and raises BlockingIOError where TLS needs more
+from the network, so no thread waits for a slow or silent client.
 """
 
 import contextlib
@@ -22,58 +22,58 @@
     'Wrapper',
 ]
 
-# Largest content of a TLS record. Reads must ask for at least so much: what
-# stayed within the library would not make the socket readable again. Writes
-# give no more, since one that is tried again must begin with the same record.
+# Largest content of a TLS record. Reads must ask for at least this size: data
+# left in the TLS library would not make the socket readable again. Writes are
+# limited to it, since a retried write must begin with the same record.
 RECORD_BYTES = 16384
 
 _WOULD_BLOCK = BlockingIOError(errno.EWOULDBLOCK, os.strerror(errno.EAGAIN))
-_WAITS = (ssl.SSLWantReadError, ssl.SSLWantWriteError)
+_WANT_IO_ERRORS = (ssl.SSLWantReadError, ssl.SSLWantWriteError)
 
 
 class _Socket(ssl.SSLSocket):
-    """Server side of one connection; safe for several threads."""
+    """Server side of one TLS connection; thread-safe."""
 
-    guard: threading.Lock
-    ended = False
+    lock: threading.Lock
+    close_notified = False
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        if self.ended:
-            # Only taken to be thrown away, so it need not be deciphered.
+        if self.close_notified:
+            # The caller only discards this data, so it is not decrypted.
             return socket.socket.recv(self, size, flags)
-        with self.guard:
+        with self.lock:
             try:
                 return super().recv(size, flags)
-            except _WAITS:
+            except _WANT_IO_ERRORS:
                 raise _WOULD_BLOCK from None
 
     def send(self, data: bytes, flags: int = 0) -> int:
-        with self.guard:
+        with self.lock:
             try:
                 return super().send(data[:RECORD_BYTES], flags)
-            except _WAITS:
+            except _WANT_IO_ERRORS:
                 raise _WOULD_BLOCK from None
 
-    def _end(self) -> None:
-        """Tell the client that the end is meant; it need not answer."""
-        if not self.ended:
-            self.ended = True
+    def _send_close_notify(self) -> None:
+        """Send a TLS close_notify once, without waiting for the answer."""
+        if not self.close_notified:
+            self.close_notified = True
             with contextlib.suppress(OSError, ValueError):
                 self.unwrap()
 
     def shutdown(self, how: int) -> None:
-        with self.guard:
-            self._end()
+        with self.lock:
+            self._send_close_notify()
             socket.socket.shutdown(self, how)
 
     def close(self) -> None:
-        with self.guard:
-            self._end()
+        with self.lock:
+            self._send_close_notify()
             super().close()
 
 
 class Wrapper:
-    """Puts TLS on accepted sockets, with the newest certificate."""
+    """Adds TLS to accepted sockets, with the newest certificate."""
 
     def __init__(
         self, files: certificates.Files, paths: certificates.Paths
@@ -89,14 +89,16 @@
 
     @classmethod
     def from_paths(
-        cls, paths: certificates.Paths, seconds: float
+        cls, paths: certificates.Paths, check_seconds: float
     ) -> 'Wrapper':
         """Read the files.
 
-        :param seconds: shortest time between two looks at them
+        :param check_seconds: minimum time between checks for new files
         :raises ValueError: when they cannot be used
         """
-        return cls(certificates.Files.open(paths, seconds=seconds), paths)
+        return cls(
+            certificates.Files.open(paths, check_seconds=check_seconds), paths
+        )
 
     def _load(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -106,7 +108,7 @@
         context.sslsocket_class = _Socket
         return context
 
-    def _renew(self) -> None:
+    def _reload_if_changed(self) -> None:
         bundle = self._files.get()
         if bundle is self._bundle:
             return
@@ -114,17 +116,20 @@
             self._context = self._load()
             self._bundle = bundle
         except OSError as error:
-            # Replaced again since they were read; looked at once more.
-            logging.warning('tls: files not loaded: %s', error)
+            # The files were replaced again after they were read; the next
+            # connection tries to load them again.
+            logging.warning(
+                'tls: cannot load new certificate files: %s', error
+            )
 
     def wrap(self, accepted: socket.socket) -> ssl.SSLSocket:
-        """Put TLS on a socket; takes it over.
+        """Return a TLS socket that takes over an accepted one.
 
-        :raises OSError: when the client has gone
+        :raises OSError: when the client has disconnected
         """
-        self._renew()
+        self._reload_if_changed()
         wrapped = self._context.wrap_socket(
             accepted, server_side=True, do_handshake_on_connect=False
         )
-        wrapped.guard = threading.Lock()
+        wrapped.lock = threading.Lock()
         return wrapped
--- a/packages/adapters/src/dunlintide_adapters/transports.py
+++ b/packages/adapters/src/dunlintide_adapters/transports.py
@@ -1,8 +1,8 @@
 """Connections between processes: plain, or mutual TLS.
 
-With TLS each side shows a certificate of the fleet's authorities, and
-what it says of itself must agree with that certificate. Renewed files
-serve all connections made from then on; open ones go on.
+With TLS each side presents a certificate issued by the fleet's authorities,
+and the role and name that it claims must match that certificate. Renewed
+files are used for new connections; open ones stay unchanged.
 """
 
 import datetime
@@ -23,13 +23,13 @@
     'PLAIN',
     'Collector',
     'FilesState',
-    'Mutual',
+    'MutualTls',
     'Plain',
     'Transport',
     'build',
     'list_paths',
-    'make_check',
-    'make_own_check',
+    'make_identity_check',
+    'make_settings_check',
 ]
 
 Options = Iterable[tuple[str, Any]]
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class FilesState:
-    """How the files of a transport fare.
+    """State of the certificate files of a transport.
 
-    :ivar expires: end of the certificate in use
-    :ivar reloads: times that new files were taken up
-    :ivar failures: times that new files were refused
+    :ivar expires: expiry time of the certificate in use
+    :ivar reloads: number of successful reloads
+    :ivar failures: number of reloads with invalid files
     """
 
     expires: datetime.datetime
@@ -53,7 +53,7 @@
 
 
 class Transport(Protocol):
-    """How a process connects to others of the fleet."""
+    """How a process connects to other processes of the fleet."""
 
     refusals: guards.Refusals
 
@@ -66,32 +66,41 @@
     def dial_async(
         self, address: str, role: str, options: Options
     ) -> grpc.aio.Channel:
-        """Open a channel to a process of a role, on the event loop."""
+        """Open a channel on the event loop.
 
-    def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
-        """Make the guard of a link that was accepted."""
+        :param role: required role of the other process, empty for any
+        """
+
+    def make_accepted_guard(
+        self, context: grpc.ServicerContext
+    ) -> guards.Guard:
+        """Make the guard of an accepted link."""
+
+    def make_dialled_guard(self, role: str) -> guards.Guard:
+        """Make the guard of a link that this process opened.
 
-    def guard_dialled(self, role: str) -> guards.Guard:
-        """Make the guard of a link to a process of a role."""
+        :param role: required role of the other process, empty for any
+        """
 
-    def find_fault(
+    def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
-        """Say why a call is refused; empty when it may go on.
+        """Check the certificate of a caller.
 
-        :param role: role that the caller needs or gives, empty for any
-        :param name: name that it gives, empty when it gives none
+        :param role: role that is required or claimed, empty for any
+        :param name: name that the caller claims, empty for none
+        :returns: why the call is refused, empty if it is allowed
         """
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump."""
 
     def read_files(self) -> FilesState | None:
-        """Return how the files fare, None without TLS."""
+        """Return the state of the files, None without TLS."""
 
 
 class Plain:
-    """Connections without TLS; nobody can be told from another."""
+    """Connections without TLS, so peers are not authenticated."""
 
     def __init__(self) -> None:
         self.refusals = guards.Refusals()
@@ -110,15 +119,17 @@
         """Open a channel on the event loop."""
         return grpc.aio.insecure_channel(address, options=options)
 
-    def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
+    def make_accepted_guard(
+        self, context: grpc.ServicerContext
+    ) -> guards.Guard:
         """Make a guard that allows everything."""
         return guards.Guard()
 
-    def guard_dialled(self, role: str) -> guards.Guard:
+    def make_dialled_guard(self, role: str) -> guards.Guard:
         """Make a guard that allows everything."""
         return guards.Guard()
 
-    def find_fault(
+    def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
         """Allow any call."""
@@ -135,41 +146,50 @@
 PLAIN = Plain()
 
 
-def _find_role_fault(expected: str, role: str, name: str) -> str:
+def _find_role_mismatch(expected: str, role: str, name: str) -> str:
     if expected in ('', role):
         return ''
-    return f'dialled as {expected}, it says {role} {name!r}'
+    return f'expected a peer of role {expected}, got {role} {name!r}'
 
 
-class Mutual:
+class MutualTls:
     """Mutual TLS by certificates of the fleet's own authorities."""
 
     def __init__(self, files: certificates.Files, domain: str) -> None:
-        """Use files; see ``identities`` for the names in certificates."""
+        """Create a transport.
+
+        :param files: certificate files of this process
+        :param domain: domain of the DNS names in certificates; see
+            ``identities``
+        """
         self.refusals = guards.Refusals()
         self._files = files
         self._domain = domain
-        self._served: certificates.Bundle | None = None
+        self._server_bundle: certificates.Bundle | None = None
 
     def _configure(
         self, bundle: certificates.Bundle
     ) -> grpc.ServerCertificateConfiguration:
-        self._served = bundle
+        self._server_bundle = bundle
         return grpc.ssl_server_certificate_configuration(
             [(bundle.key, bundle.certificate)],
             root_certificates=bundle.authorities,
         )
 
-    def _renew(self) -> grpc.ServerCertificateConfiguration | None:
-        # Called by gRPC at each handshake; None keeps what it has.
+    def _get_changed_configuration(
+        self,
+    ) -> grpc.ServerCertificateConfiguration | None:
+        # gRPC calls this at each handshake; None keeps the configuration.
         bundle = self._files.get()
-        return None if bundle is self._served else self._configure(bundle)
+        return (
+            None if bundle is self._server_bundle else self._configure(bundle)
+        )
 
     def listen(self, server: grpc.aio.Server, address: str) -> int:
         """Bind an address and return the port."""
         credentials = grpc.dynamic_ssl_server_credentials(
             self._configure(self._files.get()),
-            self._renew,
+            self._get_changed_configuration,
             require_client_authentication=True,
         )
         return server.add_secure_port(address, credentials)
@@ -182,15 +202,18 @@
 
     def dial(self, address: str, options: Options) -> grpc.Channel:
         """Open a channel to a process of any role."""
-        named = (*options, (_TARGET, self._domain))
+        all_options = (*options, (_TARGET, self._domain))
         return grpc.secure_channel(
-            address, self._make_credentials(), options=named
+            address, self._make_credentials(), options=all_options
         )
 
     def dial_async(
         self, address: str, role: str, options: Options
     ) -> grpc.aio.Channel:
-        """Open a channel to a process of a role, on the event loop."""
+        """Open a channel on the event loop.
+
+        :param role: required role of the other process, empty for any
+        """
         target = f'{role}.{self._domain}' if role else self._domain
         return grpc.aio.secure_channel(
             address,
@@ -201,34 +224,39 @@
     def _identify(
         self, context: grpc.ServicerContext
     ) -> identities.Identity | None:
-        shown = context.auth_context().get(_NAMES, ())
-        names = [name.decode('ascii', 'replace') for name in shown]
+        dns_names = context.auth_context().get(_NAMES, ())
+        names = [name.decode('ascii', 'replace') for name in dns_names]
         return identities.read_identity(names, self._domain)
 
-    def guard_accepted(self, context: grpc.ServicerContext) -> guards.Guard:
-        """Make the guard of a link that was accepted."""
-        find = functools.partial(
+    def make_accepted_guard(
+        self, context: grpc.ServicerContext
+    ) -> guards.Guard:
+        """Make the guard of an accepted link."""
+        find_mismatch = functools.partial(
             identities.find_mismatch, self._identify(context)
         )
-        return guards.Guard(find, self.refusals, answers=True)
+        return guards.Guard(find_mismatch, self.refusals, waits_for_hello=True)
 
-    def guard_dialled(self, role: str) -> guards.Guard:
-        """Make the guard of a link to a process of a role."""
-        find = functools.partial(_find_role_fault, role)
-        return guards.Guard(find, self.refusals)
+    def make_dialled_guard(self, role: str) -> guards.Guard:
+        """Make the guard of a link that this process opened.
 
-    def find_fault(
+        :param role: required role of the other process, empty for any
+        """
+        find_mismatch = functools.partial(_find_role_mismatch, role)
+        return guards.Guard(find_mismatch, self.refusals)
+
+    def check_caller(
         self, context: grpc.ServicerContext, role: str, name: str = ''
     ) -> str:
-        """Say why a call is refused; empty when it may go on."""
+        """Return why a call is refused, empty if it is allowed."""
         identity = self._identify(context)
         if identity is not None:
             role = role or identity.role
             name = name or identity.name
-        fault = identities.find_mismatch(identity, role, name)
-        if fault:
-            self.refusals.add('identity', f'a call: {fault}')
-        return fault
+        mismatch = identities.find_mismatch(identity, role, name)
+        if mismatch:
+            self.refusals.add('identity', f'a call: {mismatch}')
+        return mismatch
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump, without keys."""
@@ -242,7 +270,7 @@
         }
 
     def read_files(self) -> FilesState | None:
-        """Return how the files fare; looks at them."""
+        """Return the state of the files; may reload them."""
         bundle = self._files.get()
         return FilesState(
             bundle.expires, self._files.reloads, self._files.failures
@@ -250,13 +278,13 @@
 
 
 class Collector:
-    """Gives the metrics of a transport to a registry."""
+    """Metrics collector of a transport."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yield them in the form of the metrics library."""
+        """Yield the metric families."""
         refused = metrics_core.CounterMetricFamily(
             'dunlintide_tls_refused',
             'Connections, calls and frames refused, by reason',
@@ -282,7 +310,7 @@
 
 
 def list_paths(tls: settings_module.Tls) -> certificates.Paths:
-    """List the files that settings name."""
+    """Return the paths of the TLS files named in the settings."""
     return certificates.Paths(
         pathlib.Path(tls.certificate),
         pathlib.Path(tls.key),
@@ -290,32 +318,35 @@
     )
 
 
-def make_check(
-    own: identities.Identity, domain: str
+def make_identity_check(
+    identity: identities.Identity, domain: str
 ) -> Callable[[certificates.Bundle], str]:
-    """Make a function that says why a certificate is not a process's."""
+    """Make a function that checks whether a certificate fits a process.
+
+    The function returns why it does not, empty if it does.
+    """
 
     def check(bundle: certificates.Bundle) -> str:
-        needed = identities.list_names(own, domain)
+        needed = identities.list_names(identity, domain)
         missing = [name for name in needed if name not in bundle.names]
         if missing:
-            return f'expected the DNS names {missing} in it'
-        shown = identities.read_identity(bundle.names, domain)
-        return identities.find_mismatch(shown, own.role, own.name)
+            return f'expected the DNS names {missing} in the certificate'
+        found = identities.read_identity(bundle.names, domain)
+        return identities.find_mismatch(found, identity.role, identity.name)
 
     return check
 
 
-def make_own_check(
+def make_settings_check(
     settings: settings_module.Settings,
 ) -> Callable[[certificates.Bundle], str]:
-    """Make that function for the process that has these settings."""
-    own = identities.Identity(settings.role, settings.name)
-    return make_check(own, settings.tls.domain)
+    """Make the identity check for the process with these settings."""
+    identity = identities.Identity(settings.role, settings.name)
+    return make_identity_check(identity, settings.tls.domain)
 
 
 def build(settings: settings_module.Settings) -> Transport:
-    """Build what settings ask for.
+    """Build the transport that the settings specify.
 
     :raises ValueError: when the files cannot be used
     """
@@ -323,6 +354,6 @@
     if tls is None:
         return PLAIN
     files = certificates.Files.open(
-        list_paths(tls), make_own_check(settings), tls.reload
+        list_paths(tls), make_settings_check(settings), tls.reload
     )
-    return Mutual(files, tls.domain)
+    return MutualTls(files, tls.domain)
--- a/packages/daemon/src/dunlintide_daemon/agent/caching.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/caching.py
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        source: cacheevents.Source,
+        source: cacheevents.EventReader,
         counts: counting.Counts,
         limit: int,
     ) -> None:
@@ -126,7 +126,7 @@
             self._reread()
 
     def _reread(self) -> None:
-        read = self._source.read_held()
+        read = self._source.read_blocks()
         if read.is_err():
             return
         last, blocks = read.ok_value
--- a/packages/daemon/src/dunlintide_daemon/agent/orders.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/orders.py
@@ -192,7 +192,7 @@
             order.layer_end,
             order.layer_count,
         )
-        loaded = self._engine.give_order(
+        loaded = self._engine.send_order(
             order.fence, wanted, LOAD_TIMEOUT_SECONDS
         )
         failure = loaded.err_value if loaded.is_err() else None
@@ -203,7 +203,7 @@
         if _make_holding(order) == self._hooks.get_holding():
             return
         refusal = placement.Refusal.LOAD_FAILED
-        if failure and failure.status == engines.OLD_FENCE_STATUS:
+        if failure and failure.status == engines.STALE_FENCE_STATUS:
             refusal = placement.Refusal.OLD_FENCE
         logging.warning('order not executed: %s', refusal)
         self._reply(link, order, refusal)
--- a/packages/daemon/src/dunlintide_daemon/agent/role.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/role.py
@@ -253,13 +253,13 @@
         )
         # The crash is reported before the failure of the attempt, so that a
         # retry elsewhere is checked against the suspects.
-        answered = error.status or error.lost or not error.sent
+        answered = error.status or error.connection_lost or not error.sent
         crashed = not answered and crashes.has_crashed(self._engine)
         if crashed:
             self.pipeline.report_crash(jobs)
             self._mark_away(supervisor.ENGINE_AWAY)
         self.pipeline.fail_jobs(jobs, error)
-        if not error.lost:
+        if not error.connection_lost:
             self._send_message(supervisor.EngineFailed(error.detail, crashed))
 
     def _send_message(self, message: Any) -> None:
@@ -491,7 +491,7 @@
                 self._check_readiness,
                 self.drain,
                 self._register_metrics(),
-                tlschecks.build_server(self.settings.admin_tls),
+                tlschecks.build_server_wrapper(self.settings.admin_tls),
             )
             self._admin.start()
             stack.callback(self._admin.stop)
--- a/packages/daemon/src/dunlintide_daemon/entry/role.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/role.py
@@ -158,7 +158,7 @@
             self.check_readiness,
             self.done.set,
             self._registry,
-            tlschecks.build_server(settings.admin_tls),
+            tlschecks.build_server_wrapper(settings.admin_tls),
         )
         self._state = fleetstate.build(
             settings,
@@ -234,7 +234,7 @@
             render_error=functools.partial(
                 problems.render_server_error, self._rng
             ),
-            secure=tlschecks.build_server(settings.listen_tls),
+            tls_wrapper=tlschecks.build_server_wrapper(settings.listen_tls),
         )
 
     def describe(self) -> dict[str, Any]:
@@ -299,7 +299,7 @@
             if fleet_roster.map_entries() != entries:
                 entries = fleet_roster.map_entries()
                 self._limits.entry_links.update(fleet_roster.hosts)
-                self._claims.keep(self._owners.update(fleet_roster.hosts))
+                self._claims.update_owners(self._owners.update(fleet_roster.hosts))
             self._fleet.drop_idle(now)
             self.done.wait(pause)
 
--- a/packages/daemon/src/dunlintide_daemon/gateway/calls.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/calls.py
@@ -261,7 +261,7 @@
             connection = await state.pool.acquire(
                 endpoint.address, CONNECT_SECONDS, max_idle
             )
-        except endpointhttp.Broken as broken:
+        except endpointhttp.CallError as broken:
             state.eject(
                 [endpoint.name], str(broken), exchange.caller_request.name
             )
@@ -270,8 +270,8 @@
         exchange.runs += 1
         try:
             return await self._exchange(exchange, endpoint, connection)
-        except endpointhttp.Broken as broken:
-            if broken.fault is not endpointhttp.Fault.TIMEOUT:
+        except endpointhttp.CallError as broken:
+            if broken.kind is not endpointhttp.FailureKind.TIMEOUT:
                 state.poison_requests.record_broken_run(
                     exchange.fingerprint, endpoint.name, state.now
                 )
@@ -286,11 +286,11 @@
         connection: endpointhttp.Connection,
     ) -> _SendResult:
         state = self._state
-        relayed = requests.Relayed(
+        relayed = requests.RelayOptions(
             endpoint=endpoint,
-            left=exchange.deadline - state.now,
+            remaining=exchange.deadline - state.now,
             team=exchange.team,
-            after=exchange.caller_request.after,
+            last_event_id=exchange.caller_request.after,
         )
         data = requests.encode(exchange.request, relayed)
         sent_at = state.now
@@ -305,7 +305,7 @@
             listing_age=round(state.now - state.listing_read_at, 3),
         )
         head = await connection.read_head(exchange.deadline)
-        verdict = requests.judge(head)
+        verdict = requests.read_answer_headers(head)
         state.record_rate_limit(endpoint.name, verdict.rate_limit, sent_at)
         body = await connection.read_all(exchange.deadline)
         if verdict.name not in (None, exchange.caller_request.name):
--- a/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/chainfinder.py
@@ -232,7 +232,7 @@
         """Choose queue class and longest wait, at most to the deadline."""
         terms = exchange.terms
         wait = waits.choose_wait(
-            exchange.request.arrived,
+            exchange.request.received_at,
             self._state.now,
             terms.target_seconds or DEFAULT_TARGET_SECONDS,
             terms.gap_seconds or 0.0,
--- a/packages/daemon/src/dunlintide_daemon/gateway/follower.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/follower.py
@@ -131,13 +131,13 @@
             self._recovered_at = now
             self._state.log.write_always('store regained', seconds=lost)
 
-    def _record_failure(self, refusal: storevalues.Refusal) -> None:
-        self._state.counters.store_faults.labels(refusal.fault).inc()
+    def _record_failure(self, refusal: storevalues.StoreFailure) -> None:
+        self._state.counters.store_faults.labels(refusal.kind).inc()
         if self._failing_since is None:
             self._failing_since = self._state.now
             self._state.log.write_always(
                 'store lost',
-                fault=refusal.fault,
+                fault=refusal.kind,
                 detail=refusal.detail,
                 **self._describe_revision(),
             )
@@ -151,7 +151,7 @@
         }
 
     async def _read_all(self) -> bool:
-        listed = await self._store.list_items(listings.EVERYTHING)
+        listed = await self._store.list_items(listings.ALL_KEYS_PREFIX)
         if listed.is_err():
             self._record_failure(listed.err_value)
             return False
@@ -193,11 +193,11 @@
     async def _watch(self) -> bool:
         drain = self._state.settings.drain
         watched = await self._store.watch(
-            listings.EVERYTHING, self._revision, drain * WATCH_TIMEOUT_FRACTION
+            listings.ALL_KEYS_PREFIX, self._revision, drain * WATCH_TIMEOUT_FRACTION
         )
         if watched.is_err():
             refusal = watched.err_value
-            if refusal.fault is storevalues.Fault.COMPACTED:
+            if refusal.kind is storevalues.FailureKind.COMPACTED:
                 self._state.log.write(
                     'history lost',
                     detail=refusal.detail,
--- a/packages/daemon/src/dunlintide_daemon/gateway/placer.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/placer.py
@@ -285,7 +285,7 @@
         # Sending it again is safe: by the expected number of orders the engine
         # accepts it only once.
         order.checked = False
-        if reception in (orders.Reception.BEGUN, orders.Reception.HELD):
+        if reception in (orders.OrderOutcome.BEGUN, orders.OrderOutcome.HELD):
             order.retry_at = order.due
         else:
             order.retry_at = self._state.now + RETRY_SECONDS
--- a/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/requesthandler.py
@@ -63,7 +63,7 @@
         try:
             outcome = await self._serve(exchange)
         except asyncio.CancelledError:
-            if not reply.gone:
+            if not reply.is_disconnected:
                 raise
         finally:
             self._record_end(exchange, kind, outcome)
@@ -85,7 +85,7 @@
         outcome: Outcome,
     ) -> None:
         state = self._state
-        seconds = state.now - exchange.request.arrived
+        seconds = state.now - exchange.request.received_at
         state.counters.requests.labels(kind, outcome).inc()
         state.counters.request_seconds.labels(kind).observe(seconds)
         state.log.write(
@@ -227,7 +227,7 @@
             caller_request=caller_request,
             rule=rule,
             service=self._draw_service(rule),
-            deadline=request.arrived + limit,
+            deadline=request.received_at + limit,
             version=deployment.version,
             priority=priority,
             fingerprint=fingerprint,
--- a/packages/daemon/src/dunlintide_daemon/gateway/streams.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/streams.py
@@ -157,7 +157,7 @@
                 sends=exchange.sends,
             )
         if reply.started:
-            reply.cut()
+            reply.abort()
             return Outcome.CUT
         if ran:
             late = state.now >= exchange.deadline
