--- a/packages/cli/src/dunlintide_cli/sources.py
+++ b/packages/cli/src/dunlintide_cli/sources.py
@@ -1,4 +1,4 @@
-"""Where the commands that only look take a configuration from."""
+"""Base of the commands that read a configuration without changing it."""
 
 from cleo import helpers
 import result
@@ -13,7 +13,7 @@
 __all__ = [
     'FILE',
     'OPTIONAL_FILE',
-    'Reader',
+    'ReadCommand',
 ]
 
 FILE = helpers.argument('file', 'Document, JSON with comments.')
@@ -22,15 +22,15 @@
 )
 
 
-class Reader(commands.Command):
-    """Reads a file, or what is in force."""
+class ReadCommand(commands.Command):
+    """Base of commands that read a file or the revision in force."""
 
     def read_current(
         self,
     ) -> result.Result[configstore.Snapshot | None, object]:
-        """Read what is in force from the store."""
+        """Read the revision in force from the store, None if there is none."""
         return self.open_store().and_then(
-            lambda store: store.read().map_err(lambda fault: fault.message)
+            lambda store: store.read().map_err(lambda error: error.message)
         )
 
     def read_source(
@@ -38,7 +38,8 @@
     ) -> result.Result[configuration.Configuration, int]:
         """Read the configuration of the file, or the one in force.
 
-        :returns: the configuration, or the exit code after printing why
+        :returns: the configuration, or the exit code after printing the
+            error
         """
         if self.argument('file'):
             draft = files.read_draft(self.argument('file'))
@@ -51,4 +52,4 @@
         if current.ok_value is None:
             return result.Ok(configuration.Configuration())
         decoded = documents.decode_configuration(current.ok_value.document)
-        return decoded.map_err(lambda damage: self.fail(damage.message))
+        return decoded.map_err(lambda error: self.fail(error.message))
--- a/packages/standins/src/dunlintide_standins/engine/loading.py
+++ b/packages/standins/src/dunlintide_standins/engine/loading.py
@@ -1,4 +1,4 @@
-"""Loading of layers from the weight store."""
+"""Loading of layer weights from the weight store."""
 
 import threading
 
@@ -11,42 +11,43 @@
 
 _READ_BYTES = 65_536
 _HTTP_OK = 200
-# Longest silence of the weight store in the middle of a layer.
-_SILENCE_SECONDS = 30.0
+_READ_TIMEOUT_SECONDS = 30.0
 
 
 def _list_layers(
-    held: session_store.Holding, order: messages.Order
+    current: session_store.Holding, order: messages.Order
 ) -> list[int]:
-    """List the ordered layers that are not held already."""
+    """List the ordered layers that are not loaded yet."""
     layers = set(range(order.layer_start, order.layer_end))
-    if (held.model, held.version) == (order.model, order.version):
-        layers -= set(range(held.layer_start, held.layer_end))
+    if (current.model, current.version) == (order.model, order.version):
+        layers -= set(range(current.layer_start, current.layer_end))
     return sorted(layers)
 
 
 class Loader:
     """Reads the weights of layers, one order at a time.
 
-    :ivar lock: held while an order is carried out
+    :ivar lock: held by the caller while it executes an order
     """
 
     def __init__(self, weights_url: str) -> None:
-        """Remember where the weights are; empty: loading takes no time."""
+        """Set the URL of the weight store; if empty, loading is immediate."""
         self.lock = threading.Lock()
         self._url = weights_url
         self._http = urllib3.PoolManager(
-            retries=False, timeout=urllib3.Timeout(read=_SILENCE_SECONDS)
+            retries=False, timeout=urllib3.Timeout(read=_READ_TIMEOUT_SECONDS)
         )
 
-    def load(self, held: session_store.Holding, order: messages.Order) -> bool:
-        """Read all ordered layers; False when one could not be read."""
+    def load(
+        self, current: session_store.Holding, order: messages.Order
+    ) -> bool:
+        """Read the missing layers; return False if one could not be read."""
         if not self._url:
             return True
         try:
             return all(
                 self._read(f'{order.model}/{order.version}/{layer}')
-                for layer in _list_layers(held, order)
+                for layer in _list_layers(current, order)
             )
         except urllib3.exceptions.HTTPError:
             return False
--- a/packages/standins/src/dunlintide_standins/engine/messages.py
+++ b/packages/standins/src/dunlintide_standins/engine/messages.py
@@ -7,15 +7,15 @@
 import msgspec
 
 __all__ = [
-    'Code',
-    'Held',
+    'ErrorCode',
+    'HoldingStatus',
     'Order',
     'Result',
     'State',
     'Step',
     'Steps',
     'Token',
-    'fail',
+    'build_failure',
     'pack',
     'unpack',
 ]
@@ -23,8 +23,8 @@
 ACTIVATION_BYTES = 8
 
 
-class Code(enum.StrEnum):
-    """Why a step didn't run."""
+class ErrorCode(enum.StrEnum):
+    """Reason why a step did not run."""
 
     BAD_STEP = 'bad-step'
     INJECTED = 'injected'
@@ -36,7 +36,7 @@
 
 
 class Step(msgspec.Struct):
-    """Work on one span of positions of a session."""
+    """Request to run the layers over a span of positions of a session."""
 
     session: str
     epoch: int = 1
@@ -70,20 +70,26 @@
 
 
 class Result(msgspec.Struct, omit_defaults=True):
-    """What became of a step."""
+    """Result of a step.
+
+    :ivar count: number of positions that were run; it has no default, so
+        that ``omit_defaults`` never leaves it out
+    """
 
     session: str
     epoch: int
     position: int
-    # Always sent, so without a default that would be left out.
     count: int
     activations: bytes | None = None
     token: Token | None = None
-    error: Code | None = None
+    error: ErrorCode | None = None
 
 
 class Order(msgspec.Struct):
-    """Order to hold a range of layers of a model version."""
+    """Order to load the layers ``[layer_start, layer_end)`` of a model.
+
+    :ivar fence: fencing number of the leader that sent it
+    """
 
     fence: int
     model: str
@@ -93,8 +99,8 @@
     layer_count: int = 0
 
 
-class Held(msgspec.Struct):
-    """What the engine holds and the highest fencing number it has seen."""
+class HoldingStatus(msgspec.Struct):
+    """The loaded layers and the highest fencing number received."""
 
     model: str
     version: str
@@ -106,7 +112,7 @@
 
 
 class State(msgspec.Struct):
-    """KV state of a session, as exported."""
+    """Exported KV state of a session."""
 
     model: str
     version: str
@@ -119,8 +125,8 @@
     inputs: list[int]
 
 
-def fail(step: Step, code: Code) -> Result:
-    """Build the result of a step that didn't run."""
+def build_failure(step: Step, code: ErrorCode) -> Result:
+    """Build the result of a step that did not run."""
     return Result(step.session, step.epoch, step.position, 0, error=code)
 
 
@@ -138,6 +144,6 @@
 def unpack(data: bytes) -> list[int]:
     """Decode activations.
 
-    :raises ValueError: when the size is no multiple of 8 bytes
+    :raises ValueError: if the size is not a multiple of 8 bytes
     """
     return _as_little_endian(array.array('Q', data)).tolist()
--- a/packages/standins/src/dunlintide_standins/engine/server.py
+++ b/packages/standins/src/dunlintide_standins/engine/server.py
@@ -1,4 +1,4 @@
-"""HTTP side of the engine."""
+"""HTTP server and settings of the engine."""
 
 from collections.abc import Callable
 import os
@@ -23,11 +23,11 @@
 
 _CRASH_STATUS = 1
 _SESSIONS = '/v1/sessions/'
-_KEPT_ORDERS = 1000
+_MAX_ORDERS = 1000
 
 
 def exit_process() -> None:
-    """Crash as a process does, without any clean-up."""
+    """Exit the process at once without clean-up, like a crash."""
     os._exit(_CRASH_STATUS)
 
 
@@ -39,33 +39,35 @@
     model: str = process.setting('copy-7b', 'model that is loaded')
     version: str = process.setting('1', 'version of the model')
     layer_start: int = process.setting(0, 'first layer')
-    layer_end: int = process.setting(8, 'layer behind the last one')
-    base_seconds: float = process.setting(0.002, 'time of an empty step')
+    layer_end: int = process.setting(8, 'layer after the last one')
+    base_seconds: float = process.setting(0.002, 'duration of an empty step')
     seconds_per_token: float = process.setting(
         0.0001, 'time that a token adds to a step'
     )
-    max_batch_tokens: int = process.setting(8192, 'bound on one step')
+    max_batch_tokens: int = process.setting(8192, 'maximum tokens in a batch')
     kv_tokens: int = process.setting(100_000, 'KV memory in tokens')
     preempts: bool = process.setting(
-        False, 'make room in a full KV memory by preempting the newest'
+        False, 'preempt the newest sessions when the KV memory is full'
+    )
+    load_lag_seconds: float = process.setting(0.5, 'age of the reported load')
+    crash_marker: str = process.setting(
+        '', 'text in a prompt that crashes the engine'
     )
-    load_lag_seconds: float = process.setting(0.5, 'age of reported load')
-    crash_marker: str = process.setting('', 'text in a prompt that crashes')
     crash_word: str = process.setting(
-        '', 'first word of a prompt that crashes layers behind the first'
+        '', 'first word of a prompt that crashes engines of later layers'
     )
     stop_modulus: int = process.setting(
-        0, 'token ids divisible by it stop the answer, 0 for none'
+        0, 'token ids divisible by it end the output, 0 for none'
     )
     cache_tokens: int = process.setting(16_384, 'size of the prefix cache')
     cache_event_lag_seconds: float = process.setting(
-        1.0, 'time before a cache event can be read'
+        1.0, 'delay before a cache event can be read'
     )
     cache_event_loss: float = process.setting(
-        0.1, 'share of cache events that is never published'
+        0.1, 'fraction of cache events that are lost'
     )
     seed: int = process.setting(
-        0, 'seed of the lost cache events and of failing sessions'
+        0, 'seed for lost cache events and failing sessions'
     )
     checks_fence: bool = process.setting(
         False, 'refuse orders with an old fencing number'
@@ -76,9 +78,11 @@
 
 
 class _Control(faults.Fault):
-    """Faults, a factor on the time of each step, and a crash.
+    """Faults of an engine to change.
 
-    :ivar fail_rate: share of sessions whose first step fails
+    :ivar slow_factor: factor on the duration of each step
+    :ivar fail_rate: fraction of sessions whose first step fails
+    :ivar crash: whether to crash now
     """
 
     slow_factor: float | None = None
@@ -95,15 +99,15 @@
 
 
 class Engine:
-    """A model engine that holds a range of layers.
+    """Stand-in of a model engine that runs a range of layers.
 
-    :ivar port: port that it listens on
+    :ivar port: port that the engine listens on
     """
 
     def __init__(self, config: Config, crash: Callable[[], None]) -> None:
         self._config = config
         self._crash = crash
-        self._gate = faults.Gate()
+        self._fault_injector = faults.FaultInjector()
         holding = session_store.Holding(
             config.model, config.version, config.layer_start, config.layer_end
         )
@@ -125,17 +129,20 @@
             config.preempts,
         )
         self._batcher = batching.Batcher(
-            self._sessions, self._cache, timing, lambda: self._gate.hang
+            self._sessions,
+            self._cache,
+            timing,
+            lambda: self._fault_injector.hang,
         )
         self._fail_rate = 0.0
         self._failures = random.Random(config.seed)
         self._fence = 0
         self._layer_count = 0
-        self._loading = loading.Loader(config.weights_url)
+        self._loader = loading.Loader(config.weights_url)
         self._orders: list[messages.Order] = []
         self._routes: dict[tuple[str, str], web.Handler] = {
             ('POST', '/v1/steps'): self._run_steps,
-            ('POST', '/v1/orders'): self._take_order,
+            ('POST', '/v1/orders'): self._execute_order,
             ('GET', '/v1/orders'): self._show_orders,
             ('GET', '/v1/holding'): self._show_holding,
             ('GET', '/v1/load'): self._show_load,
@@ -150,19 +157,19 @@
     def from_config(
         cls, config: Config, crash: Callable[[], None] | None = None
     ) -> 'Engine':
-        """Build an engine; its port is bound at once.
+        """Build an engine and bind its port.
 
-        :param crash: what a crash does; by default the process exits
+        :param crash: called to crash; exits the process by default
         """
         return cls(config, crash or exit_process)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve requests."""
         self._batcher.start()
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once and cut every connection."""
+        """Stop at once and close every connection."""
         self._batcher.stop()
         self._server.stop()
 
@@ -171,9 +178,9 @@
             return self._control(request)
         if request.path == '/runs':
             return self._show_runs(request)
-        stopped = self._gate.enter()
-        if stopped is not None:
-            return stopped
+        intercepted = self._fault_injector.intercept()
+        if intercepted is not None:
+            return intercepted
         if request.path.startswith(_SESSIONS):
             return self._handle_session(request)
         answer = self._routes.get((request.method, request.path))
@@ -182,14 +189,14 @@
     def _control(self, request: web.Request) -> web.Answer:
         if request.method == 'POST':
             control = web.decode_json(request, _Control)
-            self._gate.change(control)
+            self._fault_injector.change(control)
             if control.slow_factor is not None:
                 self._batcher.slow_factor = control.slow_factor
             if control.fail_rate is not None:
                 self._fail_rate = control.fail_rate
             if control.crash:
                 self._crash()
-                return web.dropped()
+                return web.drop_connection()
         cache = {
             'cache_hits': self._cache.hits,
             'cache_misses': self._cache.misses,
@@ -199,59 +206,65 @@
             'preempted': self._sessions.preempted,
             'recomputed': self._sessions.recomputed,
         }
-        return web.json_answer(self._gate.state() | cache)
+        return web.json_answer(self._fault_injector.state() | cache)
 
-    def _is_marked(self, step: messages.Step) -> bool:
+    def _triggers_crash(self, step: messages.Step) -> bool:
         if step.prompt is None:
-            return self._begins_marked(step)
+            return self._starts_with_crash_word(step)
         marker = self._config.crash_marker
         return bool(marker) and marker in step.prompt
 
-    def _begins_marked(self, step: messages.Step) -> bool:
-        """Tell a marked prompt by its activations, all that comes here."""
+    def _starts_with_crash_word(self, step: messages.Step) -> bool:
+        """Return whether a prompt starts with the crash word.
+
+        An engine of later layers gets no text, so it compares the first
+        activation with the one that the word would have there.
+        """
         word = self._config.crash_word
         if not word or step.position or not step.activations:
             return False
-        held = self._sessions.holding
-        marked = reference.compute_first(
-            word, held.model, held.version, held.layer_start
+        current = self._sessions.holding
+        expected = reference.compute_first_activation(
+            word, current.model, current.version, current.layer_start
         )
         first = step.activations[: messages.ACTIVATION_BYTES]
-        return messages.unpack(first) == [marked]
+        return messages.unpack(first) == [expected]
 
     def _run_steps(self, request: web.Request) -> web.Answer:
         steps = web.decode_json(request, messages.Steps).steps
-        marked = [
+        crash_prompts = [
             step.prompt or self._config.crash_word
             for step in steps
-            if self._is_marked(step)
+            if self._triggers_crash(step)
         ]
-        if marked:
-            self._leave_records(marked)
+        if crash_prompts:
+            self._print_runs(crash_prompts)
             self._crash()
-            return web.dropped()
-        failed, steps = self._fail_some(steps)
+            return web.drop_connection()
+        failed, steps = self._inject_failures(steps)
         results = self._batcher.run(steps)
-        if results is None or self._gate.drop_answer():
-            return web.dropped()
+        if results is None or self._fault_injector.should_drop_answer():
+            return web.drop_connection()
         return web.json_answer({'results': failed + results})
 
-    def _leave_records(self, prompts: list[str]) -> None:
-        """Print the record of runs, which ends with the process."""
+    def _print_runs(self, prompts: list[str]) -> None:
+        """Print the record of runs, as it is lost with the process."""
         with self._batcher.lock:
-            left = {'crashed_by': prompts, 'runs': self._sessions.runs()}
-        print(msgspec.json.encode(left).decode(), flush=True)
+            record = {'crashed_by': prompts, 'runs': self._sessions.runs()}
+        print(msgspec.json.encode(record).decode(), flush=True)
 
-    def _fail_some(
+    def _inject_failures(
         self, steps: list[messages.Step]
     ) -> tuple[list[messages.Result], list[messages.Step]]:
-        """Part the steps that are made to fail from those to run."""
+        """Fail first steps at random; return the failures and the rest."""
         failed = []
         rest = []
         for step in steps:
             first = step.position == 0
             if first and self._failures.random() < self._fail_rate:
-                failed.append(messages.fail(step, messages.Code.INJECTED))
+                failed.append(
+                    messages.build_failure(step, messages.ErrorCode.INJECTED)
+                )
             else:
                 rest.append(step)
         return failed, rest
@@ -270,7 +283,7 @@
             return _refuse('since and limit must be numbers', 400)
         with self._batcher.lock:
             events = self._cache.read_events(int(since))[: int(limit)]
-            last = self._cache.published
+            last = self._cache.last_sequence
         return web.json_answer({'sequence': last, 'events': events})
 
     def _show_cache(self, request: web.Request) -> web.Answer:
@@ -278,7 +291,7 @@
         if not limit.isdecimal():
             return _refuse('limit must be a number', 400)
         with self._batcher.lock:
-            last, blocks = self._cache.list_held()
+            last, blocks = self._cache.list_blocks()
         newest = blocks[-int(limit) :]
         return web.json_answer({'sequence': last, 'blocks': newest})
 
@@ -289,7 +302,7 @@
         if request.method == 'DELETE' and not action:
             with self._batcher.lock:
                 self._sessions.free(session_id)
-            self._batcher.note_change()
+            self._batcher.record_load()
             return web.json_answer({})
         if request.method == 'POST' and action == 'export':
             return self._export(session_id)
@@ -299,7 +312,7 @@
 
     def _export(self, session_id: str) -> web.Answer:
         with self._batcher.lock:
-            state = self._sessions.export(session_id)
+            state = self._sessions.export_state(session_id)
         if state is None:
             return _refuse('no such session', 404)
         return web.json_answer(_Exported(msgspec.msgpack.encode(state)))
@@ -308,33 +321,37 @@
         data = web.decode_json(request, _Exported).state
         state = msgspec.msgpack.decode(data, type=messages.State)
         with self._batcher.lock:
-            taken = self._sessions.take(session_id, state)
-        self._batcher.note_change()
-        return web.json_answer({}) if taken else _refuse('no fit', 409)
+            imported = self._sessions.import_state(session_id, state)
+        self._batcher.record_load()
+        return web.json_answer({}) if imported else _refuse('no fit', 409)
 
-    def _is_old(self, order: messages.Order) -> bool:
-        """Check an order's fence; the batcher's lock is held."""
+    def _is_stale_order(self, order: messages.Order) -> bool:
+        """Return whether to refuse an order for its fencing number.
+
+        Records the highest number of accepted orders. The caller holds the
+        lock of the batcher.
+        """
         if self._config.checks_fence and order.fence < self._fence:
             return True
         self._fence = max(self._fence, order.fence)
         return False
 
-    def _take_order(self, request: web.Request) -> web.Answer:
+    def _execute_order(self, request: web.Request) -> web.Answer:
         order = web.decode_json(request, messages.Order)
-        with self._loading.lock:
+        with self._loader.lock:
             with self._batcher.lock:
-                if self._is_old(order):
+                if self._is_stale_order(order):
                     return _refuse('old fencing number', 409)
-                held = self._sessions.holding
-            # The old layers are served until the new ones are here.
-            if not self._loading.load(held, order):
+                current = self._sessions.holding
+            # The old layers are served until the new ones are loaded.
+            if not self._loader.load(current, order):
                 return _refuse('the weight store failed', 503)
-            self._hold(order)
-        if self._gate.drop_answer():
-            return web.dropped()
+            self._apply_order(order)
+        if self._fault_injector.should_drop_answer():
+            return web.drop_connection()
         return web.json_answer({})
 
-    def _hold(self, order: messages.Order) -> None:
+    def _apply_order(self, order: messages.Order) -> None:
         with self._batcher.lock:
             holding = session_store.Holding(
                 order.model, order.version, order.layer_start, order.layer_end
@@ -343,17 +360,17 @@
             self._layer_count = order.layer_count
             self._cache.clear()
             self._orders.append(order)
-            del self._orders[:-_KEPT_ORDERS]
+            del self._orders[:-_MAX_ORDERS]
 
     def _show_holding(self, _request: web.Request) -> web.Answer:
         with self._batcher.lock:
-            held = messages.Held(
+            current = messages.HoldingStatus(
                 **attrs.asdict(self._sessions.holding),
                 layer_count=self._layer_count,
                 fence=self._fence,
-                loading=self._loading.lock.locked(),
+                loading=self._loader.lock.locked(),
             )
-        return web.json_answer(held)
+        return web.json_answer(current)
 
     def _show_orders(self, _request: web.Request) -> web.Answer:
         return web.json_answer(self._orders)
--- a/packages/standins/src/dunlintide_standins/engine/sessions.py
+++ b/packages/standins/src/dunlintide_standins/engine/sessions.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Holding:
-    """What the engine has loaded: layers ``[layer_start, layer_end)``."""
+    """The layers ``[layer_start, layer_end)`` that the engine has loaded."""
 
     model: str
     version: str
@@ -27,9 +27,9 @@
     layer_end: int
 
     @property
-    def constants(self) -> tuple[int, ...]:
+    def weights(self) -> tuple[int, ...]:
         """Weights of the layers."""
-        return reference.get_constants(
+        return reference.get_layer_weights(
             self.model, self.version, self.layer_start, self.layer_end
         )
 
@@ -38,7 +38,8 @@
 class Run:
     """Record of one epoch of a session on this engine.
 
-    :ivar first_position: above 0 where the epoch went on with kept state
+    :ivar first_position: first position run, above 0 if the epoch continued
+        from existing KV state
     :ivar positions: number of positions that were run
     :ivar layer_steps: positions times layers
     """
@@ -61,16 +62,17 @@
     prompt_tokens: int
     layers: list[int]
     inputs: list[int]
-    order: int
+    admission_index: int
     run: Run | None = None
-    swapped: bool = False
+    is_preempted: bool = False
 
 
 class Sessions:
-    """KV state of all sessions; the engine's lock guards it.
+    """KV state of all sessions; the caller holds the engine's lock.
 
-    :ivar preempted: times that a session lost its place in the KV memory
-    :ivar recomputed: positions that were run again for it
+    :ivar used: positions in the KV memory
+    :ivar preempted: number of preemptions so far
+    :ivar recomputed: positions that were run again after a preemption
     """
 
     def __init__(
@@ -82,7 +84,7 @@
         self._stop_modulus = stop_modulus
         self._sessions: dict[str, _Session] = {}
         self._runs: collections.deque[Run] = collections.deque(maxlen=MAX_RUNS)
-        self._orders = itertools.count()
+        self._admission_indexes = itertools.count()
         self.preempted = 0
         self.recomputed = 0
 
@@ -91,25 +93,25 @@
 
     @property
     def usage(self) -> float:
-        """Used share of the KV memory."""
+        """Fraction of the KV memory that is used."""
         return self.used / self._kv_tokens
 
     def load(self, holding: Holding) -> None:
-        """Hold other layers; the state of all sessions is lost."""
+        """Replace the loaded layers and discard the state of all sessions."""
         self.holding = holding
         self._sessions.clear()
         self.used = 0
 
     def free(self, session_id: str) -> bool:
-        """Free the KV state of a session."""
+        """Free the KV state of a session; return whether it existed."""
         session = self._sessions.pop(session_id, None)
         if session is None:
             return False
-        self.used -= 0 if session.swapped else session.position
+        self.used -= 0 if session.is_preempted else session.position
         return True
 
     def runs(self) -> list[dict[str, Any]]:
-        """Give the record of runs, oldest first."""
+        """Return the record of runs, oldest first."""
         return [attrs.asdict(run) for run in self._runs]
 
     def _record(self, step: messages.Step) -> Run:
@@ -125,86 +127,94 @@
         self._runs.append(run)
         return run
 
-    def _admit(
+    def _find_session(
         self, step: messages.Step
-    ) -> Result[_Session | None, messages.Code]:
-        """Find the session that a step goes on with, None for a new one."""
+    ) -> Result[_Session | None, messages.ErrorCode]:
+        """Find the session that a step continues, None if it starts one."""
         holding = self.holding
         if step.layers not in (None, (holding.layer_start, holding.layer_end)):
-            return Err(messages.Code.LAYERS)
+            return Err(messages.ErrorCode.LAYERS)
         session = self._sessions.get(step.session)
         if session is not None and step.epoch < session.epoch:
-            return Err(messages.Code.STALE_EPOCH)
+            return Err(messages.ErrorCode.STALE_EPOCH)
         if session is None or step.epoch > session.epoch:
             if step.position == 0:
                 return Ok(None)
         if session is None:
-            return Err(messages.Code.POSITION)
-        # Only once an epoch: asked for again, a step must not run again.
+            return Err(messages.ErrorCode.POSITION)
+        # Truncate only on the first step of an epoch, so that a repeated step
+        # is refused and not run twice.
         newer = step.epoch > session.epoch
         if step.truncate and newer and step.position < session.position:
             self._truncate(session, step.position)
         if step.position != session.position:
-            return Err(messages.Code.POSITION)
+            return Err(messages.ErrorCode.POSITION)
         return Ok(session)
 
     def _truncate(self, session: _Session, position: int) -> None:
-        """Forget the positions behind one; a real engine drops blocks."""
+        """Discard the positions from one on.
+
+        The layer states are recomputed from the inputs; a real engine drops
+        KV blocks instead.
+        """
         self.used -= session.position - position
         session.position = position
         del session.inputs[position:]
         session.layers = [0] * len(session.layers)
-        constants = self.holding.constants
-        reference.run_layers(constants, session.layers, session.inputs)
+        weights = self.holding.weights
+        reference.run_layers(weights, session.layers, session.inputs)
 
     def _fits(self, session: _Session | None, step, count: int) -> bool:
         old = self._sessions.get(step.session)
         freed = 0
-        if session is None and old is not None and not old.swapped:
+        if session is None and old is not None and not old.is_preempted:
             freed = old.position
         return self.used - freed + count <= self._kv_tokens
 
     def _list_newer(self, session: _Session | None) -> list[_Session]:
-        """List what holds memory and is newer than a session."""
+        """List the sessions that use memory and are newer than another."""
         if session is None:
             return []
         return [
-            one
-            for one in self._sessions.values()
-            if not one.swapped and one.order > session.order
+            other
+            for other in self._sessions.values()
+            if not other.is_preempted
+            and other.admission_index > session.admission_index
         ]
 
-    def make_room(self, session_id: str, count: int) -> int | None:
-        """Preempt the newest sessions until a step of one fits.
+    def preempt_for(self, session_id: str, count: int) -> int | None:
+        """Preempt the newest sessions until a step of an older one fits.
+
+        A preempted session is recomputed before its next step.
 
-        What was preempted is run again before its next step.
-        :returns: positions that must run again first, None when the step
-            has to wait for older sessions
+        :param count: positions of the step
+        :returns: positions of the session to recompute first, None if the
+            step must wait for older sessions
         """
         session = self._sessions.get(session_id)
-        again = 0
-        if session is not None and session.swapped:
-            again = session.position
+        to_recompute = 0
+        if session is not None and session.is_preempted:
+            to_recompute = session.position
         newer = self._list_newer(session)
         free = self._kv_tokens - self.used
-        possible = free + sum(one.position for one in newer)
-        if possible < count + again:
-            alone = possible == self._kv_tokens
-            # One that never fits is refused by the step itself.
-            return 0 if alone and not again else None
-        newer.sort(key=lambda one: one.order)
-        while self.used + count + again > self._kv_tokens:
+        obtainable = free + sum(other.position for other in newer)
+        if obtainable < count + to_recompute:
+            has_no_older = obtainable == self._kv_tokens
+            # A step that is too large even alone is refused when it runs.
+            return 0 if has_no_older and not to_recompute else None
+        newer.sort(key=lambda other: other.admission_index)
+        while self.used + count + to_recompute > self._kv_tokens:
             newest = newer.pop()
-            newest.swapped = True
+            newest.is_preempted = True
             self.used -= newest.position
             self.preempted += 1
-        if again:
-            session.swapped = False
-            self.used += again
-            self.recomputed += again
-        return again
+        if to_recompute:
+            session.is_preempted = False
+            self.used += to_recompute
+            self.recomputed += to_recompute
+        return to_recompute
 
-    def _open(
+    def _open_session(
         self, session: _Session | None, step: messages.Step, count: int
     ) -> _Session:
         if session is None:
@@ -219,7 +229,7 @@
                 prompt_tokens,
                 [0] * layers,
                 [],
-                next(self._orders),
+                next(self._admission_indexes),
             )
             self._sessions[step.session] = session
         if session.run is None or session.epoch != step.epoch:
@@ -230,24 +240,24 @@
     def run(
         self, step: messages.Step, activations: list[int]
     ) -> messages.Result:
-        """Run the layers over a step's span.
+        """Run the layers over the span of a step.
 
-        :param activations: input of the first layer held here
+        :param activations: input of the first loaded layer
         """
         count = len(activations)
-        admitted = self._admit(step)
+        admitted = self._find_session(step)
         if admitted.is_err():
-            return messages.fail(step, admitted.unwrap_err())
+            return messages.build_failure(step, admitted.unwrap_err())
         if not self._fits(admitted.unwrap(), step, count):
-            return messages.fail(step, messages.Code.KV_FULL)
-        session = self._open(admitted.unwrap(), step, count)
-        constants = self.holding.constants
-        values = reference.run_layers(constants, session.layers, activations)
+            return messages.build_failure(step, messages.ErrorCode.KV_FULL)
+        session = self._open_session(admitted.unwrap(), step, count)
+        weights = self.holding.weights
+        values = reference.run_layers(weights, session.layers, activations)
         session.inputs += activations
         session.position += count
         self.used += count
         session.run.positions += count
-        session.run.layer_steps += count * len(constants)
+        session.run.layer_steps += count * len(weights)
         return self._answer(step, session, values)
 
     def _answer(
@@ -268,8 +278,8 @@
         )
         return result
 
-    def export(self, session_id: str) -> messages.State | None:
-        """Copy the KV state of a session, None for an unknown one."""
+    def export_state(self, session_id: str) -> messages.State | None:
+        """Return a copy of the KV state of a session, None if unknown."""
         session = self._sessions.get(session_id)
         if session is None:
             return None
@@ -285,22 +295,26 @@
             list(session.inputs),
         )
 
-    def take(self, session_id: str, state: messages.State) -> bool:
-        """Import a session; False when it doesn't fit the engine.
+    def import_state(self, session_id: str, state: messages.State) -> bool:
+        """Import a session, replacing one of the same or an older epoch.
 
-        One that is here already in a newer epoch is kept.
+        :returns: False if the layers differ, the KV memory is too full or
+            the session exists in a newer epoch
         """
-        held = self._sessions.get(session_id)
-        if held is not None and held.epoch > state.epoch:
+        existing = self._sessions.get(session_id)
+        if existing is not None and existing.epoch > state.epoch:
             return False
-        same = attrs.astuple(self.holding) == (
+        same_layers = attrs.astuple(self.holding) == (
             state.model,
             state.version,
             state.layer_start,
             state.layer_end,
         )
-        freed = held.position if held is not None else 0
-        if not same or self.used - freed + state.position > self._kv_tokens:
+        freed = existing.position if existing is not None else 0
+        if (
+            not same_layers
+            or self.used - freed + state.position > self._kv_tokens
+        ):
             return False
         self.free(session_id)
         self._sessions[session_id] = _Session(
@@ -309,7 +323,7 @@
             state.prompt_tokens,
             state.layers,
             state.inputs,
-            next(self._orders),
+            next(self._admission_indexes),
         )
         self.used += state.position
         return True
--- a/packages/standins/src/dunlintide_standins/faults.py
+++ b/packages/standins/src/dunlintide_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the control address of a stand-in switches on."""
+"""Fault injection through the control address of a stand-in."""
 
 import threading
 import time
@@ -7,19 +7,19 @@
 
 from dunlintide_standins import web
 
-__all__ = ['Fault', 'Gate']
+__all__ = ['Fault', 'FaultInjector']
 
 _HANG_POLL_SECONDS = 0.05
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """Faults to change; what is left out stays as it is.
+    """Faults to change; fields that are None keep the current value.
 
-    :ivar down: close each connection without an answer
-    :ivar hang: accept calls and never answer them
-    :ivar slow_seconds: wait before each answer
-    :ivar drop_answers: run the next so many calls that change something,
-        and close their connections without an answer
+    :ivar down: close each connection without a response
+    :ivar hang: accept calls and never respond
+    :ivar slow_seconds: delay before each call runs
+    :ivar drop_answers: number of further changing calls that run and whose
+        connections are closed without a response
     """
 
     down: bool | None = None
@@ -28,8 +28,8 @@
     drop_answers: int | None = None
 
 
-class Gate:
-    """Holds the faults that are on and applies them to calls."""
+class FaultInjector:
+    """Applies the active faults to calls."""
 
     def __init__(self) -> None:
         self.down = False
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
 
     def change(self, fault: Fault) -> None:
-        """Switch faults on or off."""
+        """Set the faults that are not None."""
         with self._lock:
             if fault.down is not None:
                 self.down = fault.down
@@ -51,7 +51,7 @@
                 self._drops = fault.drop_answers
 
     def state(self) -> dict[str, bool | float | int]:
-        """Give the faults that are on, as the control address does."""
+        """Return the current faults, as the control address reports them."""
         return {
             'down': self.down,
             'hang': self.hang,
@@ -59,23 +59,25 @@
             'drop_answers': self._drops,
         }
 
-    def enter(self) -> web.Answer | None:
-        """Let a call in, or give the answer that stops it.
+    def intercept(self) -> web.Answer | None:
+        """Delay a call if it is to be slow, or return a response to it.
 
-        A call that hung is never run, also when the fault ends.
+        A call that hung is never run, even after the fault ends.
+
+        :returns: None if the call is to run
         """
         if self.down:
-            return web.dropped()
+            return web.drop_connection()
         if self.hang:
             while self.hang and not self.down:
                 time.sleep(_HANG_POLL_SECONDS)
-            return web.dropped()
+            return web.drop_connection()
         if self.slow_seconds > 0:
             time.sleep(self.slow_seconds)
         return None
 
-    def drop_answer(self) -> bool:
-        """Tell whether the answer of a call that ran is to be lost."""
+    def should_drop_answer(self) -> bool:
+        """Return whether to drop a response, and count it as dropped."""
         with self._lock:
             if self._drops <= 0:
                 return False
--- a/packages/standins/src/dunlintide_standins/store/watches.py
+++ b/packages/standins/src/dunlintide_standins/store/watches.py
@@ -1,4 +1,4 @@
-"""Watches of the store: streams of changes."""
+"""Watches of the store: streams of key changes."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -30,16 +30,18 @@
 
 
 class Watches:
-    """Streams changes to those who watch.
+    """Streams key changes to watchers.
 
-    :ivar open: number of watches that are open now
+    :ivar open: number of open watches
     """
 
-    def __init__(self, state: states.State, gate: faults.Gate) -> None:
+    def __init__(
+        self, state: states.State, fault_injector: faults.FaultInjector
+    ) -> None:
         self.open = 0
         self._state = state
-        self._gate = gate
-        self._silenced = 0
+        self._fault_injector = fault_injector
+        self._last_silenced = 0
         self._opened = 0
         self._closed = False
 
@@ -50,24 +52,29 @@
             self._state.changed.notify_all()
 
     def silence(self) -> None:
-        """Send nothing more on the watches open now, nor close them."""
+        """Stop sending on the open watches without closing them."""
         with self._state.changed:
-            self._silenced = self._opened
+            self._last_silenced = self._opened
 
     def _poll(
         self, call: messages.WatchCreate, start: int
     ) -> tuple[bytes | None, int]:
-        """Wait for changes; gives a message and the next revision."""
+        """Wait briefly for changes.
+
+        :param start: first revision to report
+        :returns: a message, None without changes, and the next revision to
+            start from
+        """
         state = self._state
         if state.revision < start:
             state.changed.wait(_POLL_SECONDS)
-        # Nothing is delivered while the store hangs, and nothing is lost.
-        if self._gate.hang:
+        # A hanging store sends nothing; the changes are sent afterwards.
+        if self._fault_injector.hang:
             state.changed.wait(_POLL_SECONDS)
             return None, start
         events = [
             _describe(event, call.prev_kv)
-            for event in state.since(start)
+            for event in state.list_events(start)
             if states.contains(event.current.key, call.key, call.range_end)
         ]
         after = max(start, state.revision + 1)
@@ -76,26 +83,26 @@
         answer = {'header': calls.header(state), 'watch_id': _WATCH_ID}
         return _encode(answer | {'events': events}), after
 
-    def _follow(
+    def _stream_messages(
         self, call: messages.WatchCreate, number: int, generation: int
     ) -> Iterator[bytes | None]:
         state = self._state
         start = call.start_revision or state.revision + 1
         answer = {'header': calls.header(state), 'watch_id': _WATCH_ID}
         yield _encode(answer | {'created': True})
-        if start < state.oldest():
-            compacted = {'compact_revision': str(state.oldest())}
+        if start < state.get_oldest_revision():
+            compacted = {'compact_revision': str(state.get_oldest_revision())}
             yield _encode(answer | {'canceled': True} | compacted)
             return
-        while not self._gate.down and not self._closed:
+        while not self._fault_injector.down and not self._closed:
             with state.changed:
                 if state.generation != generation:
                     return
                 message, start = self._poll(call, start)
-            yield None if number <= self._silenced else message
+            yield None if number <= self._last_silenced else message
 
-    def follow(self, call: messages.WatchCreate) -> Iterator[bytes | None]:
-        """Give the messages of one watch, None where there is nothing."""
+    def stream(self, call: messages.WatchCreate) -> Iterator[bytes | None]:
+        """Yield the messages of a watch, and None after a wait without one."""
         state = self._state
         with state.changed:
             self.open += 1
@@ -106,7 +113,7 @@
             call.key, call.range_end, start, call.prev_kv
         )
         try:
-            yield from self._follow(call, number, generation)
+            yield from self._stream_messages(call, number, generation)
         finally:
             with state.changed:
                 self.open -= 1
