--- a/packages/trials/src/dunlintide_trials/cases/fairness.py
+++ b/packages/trials/src/dunlintide_trials/cases/fairness.py
@@ -1,6 +1,7 @@
-"""What a team notices of another one that floods all entries.
+"""Effect on a team of another team that floods all entries.
 
-Real processes: two stages, whose engines' modelled steps are the bound.
+The deployment of real processes has two stages, whose throughput is
+limited by the modelled step times of the stand-in engines.
 """
 
 import contextlib
@@ -27,8 +28,8 @@
 
 VICTIM = 'victim'
 FLOODER = 'flooder'
-VICTIM_PART = 0.25
-TIMES_SHARE = 20
+VICTIM_SHARE = 0.25
+FLOOD_FACTOR = 20
 MODEL = 'bench'
 SLOTS = 16
 STAGES = 2
@@ -47,9 +48,9 @@
 DEADLINE_SECONDS = 10
 FIRST_TOKEN_BOUND = 1.3
 THROUGHPUT_BOUND = 0.95
-_LATE_SECONDS = 3.0
+_MARGIN_SECONDS = 3.0
 
-# A step of a full batch at each stage; the stages work side by side.
+# Tokens/s of full batches; the stages run in parallel on half the slots.
 _BATCH = SLOTS // STAGES
 CAPACITY = _BATCH / (STEP_SECONDS + _BATCH * TOKEN_SECONDS)
 
@@ -92,7 +93,7 @@
 def _make_rules(keys: list[str]) -> dict[str, Any]:
     hashes = [operators.hash_key(key) for key in keys]
     terms = {'deadline_seconds': DEADLINE_SECONDS}
-    weights = {VICTIM: VICTIM_PART, FLOODER: 1.0 - VICTIM_PART}
+    weights = {VICTIM: VICTIM_SHARE, FLOODER: 1.0 - VICTIM_SHARE}
     return {
         'members': [
             {'name': VICTIM, 'key_hashes': []},
@@ -112,16 +113,20 @@
 
 @attrs.define
 class _Victim:
-    """Steady requests at the share of a team, over all entries.
+    """A team that sends requests at its fair share to all entries.
 
-    :ivar share: tokens a second
+    :ivar running: the deployment
+    :ivar share: requested tokens per second
     """
 
     running: deployment.Deployment
     share: float
 
     def run(self, seconds: float) -> list[client.Answer]:
-        """Ask for so long; gives the answers in the order of starts."""
+        """Send requests for some seconds.
+
+        :returns: responses in the order of the requests
+        """
         rng = random.Random(0)
         callers = [
             self.running.make_caller(entry, VICTIM) for entry in range(ENTRIES)
@@ -148,18 +153,21 @@
             threads.append(thread)
             time.sleep(pause * rng.uniform(0.8, 1.2))
         for thread in threads:
-            thread.join(DEADLINE_SECONDS + _LATE_SECONDS)
+            thread.join(DEADLINE_SECONDS + _MARGIN_SECONDS)
         return answers
 
 
 @attrs.frozen
-class _Seen:
-    """What the victim saw in a window.
-
-    :ivar first_token: 95th percentile in seconds; an answer without a
-        token counts as the deadline
-    :ivar served: complete answers, of those asked for
-    :ivar rate: tokens a second of all teams
+class _Measurement:
+    """Measurements of the victim in a window.
+
+    :ivar first_token: 95th percentile of the time to the first token in
+        seconds; a response without a token counts as the deadline
+    :ivar median: median of the time to the first token in seconds
+    :ivar served: fraction of the requests with a complete response
+    :ivar asked: number of requests
+    :ivar flood: responses to the flood by error code or outcome
+    :ivar rate: tokens per second of all teams
     """
 
     first_token: float
@@ -170,9 +178,9 @@
     rate: float
 
 
-def _look(
+def _summarize(
     answers: list[client.Answer], flood: dict[str, int], rate: float
-) -> _Seen:
+) -> _Measurement:
     waits = [
         (
             answer.times[0] - answer.started
@@ -181,7 +189,7 @@
         )
         for answer in answers
     ]
-    return _Seen(
+    return _Measurement(
         statistics.quantiles(waits, n=20)[-1],
         statistics.median(waits),
         sum(answer.is_complete for answer in answers) / len(answers),
@@ -208,7 +216,7 @@
     running: deployment.Deployment,
     keys: list[str],
     seconds: float,
-    **kind: Any,
+    **overrides: Any,
 ) -> floods.Plan:
     plan = floods.Plan(
         urls=tuple(
@@ -217,11 +225,11 @@
         keys=tuple(keys),
         model=MODEL,
         connections=CONNECTIONS,
-        rate=TIMES_SHARE * (1.0 - VICTIM_PART) * CAPACITY / TOKENS,
+        rate=FLOOD_FACTOR * (1.0 - VICTIM_SHARE) * CAPACITY / TOKENS,
         seconds=seconds,
         max_tokens=TOKENS,
     )
-    return attrs.evolve(plan, **kind)
+    return attrs.evolve(plan, **overrides)
 
 
 def _count_finished(running: deployment.Deployment) -> int:
@@ -229,8 +237,10 @@
     return running.read_state(head)['gate']['in_flight']['finished']
 
 
-def _saturate(running: deployment.Deployment, keys: list[str]) -> float:
-    """Measure the tokens a second that a flood alone gets."""
+def _measure_capacity(
+    running: deployment.Deployment, keys: list[str]
+) -> float:
+    """Measure the tokens per second of a flood without other load."""
     seconds = WARM_UP_SECONDS + SATURATED_SECONDS
     with floods.Flood.start(_plan_flood(running, keys, seconds)):
         time.sleep(WARM_UP_SECONDS)
@@ -240,35 +250,35 @@
         return done * TOKENS / (time.monotonic() - began)
 
 
-def _flood(
+def _measure_flooded(
     running: deployment.Deployment,
     keys: list[str],
     share: float,
-    **kind: Any,
-) -> _Seen:
+    **overrides: Any,
+) -> _Measurement:
     seconds = WARM_UP_SECONDS + FLOOD_SECONDS
-    plan = _plan_flood(running, keys, seconds, **kind)
+    plan = _plan_flood(running, keys, seconds, **overrides)
     with floods.Flood.start(plan) as flood:
         time.sleep(WARM_UP_SECONDS)
         before, began = _count_finished(running), time.monotonic()
-        answers = _Victim(running, share).run(FLOOD_SECONDS - _LATE_SECONDS)
+        answers = _Victim(running, share).run(FLOOD_SECONDS - _MARGIN_SECONDS)
         done = _count_finished(running) - before
         rate = done * TOKENS / (time.monotonic() - began)
-    return _look(answers, flood.counts, rate)
+    return _summarize(answers, flood.counts, rate)
 
 
 def measure_flood() -> Iterator[figures.Figure]:
-    """Measure a team beside another at 20 times its share."""
+    """Measure a team while another sends 20 times its own share."""
     keys = [secrets.token_urlsafe(16) for _ in range(KEYS)]
     with _run('fair', keys) as running:
-        capacity = _saturate(running, keys)
-        share = VICTIM_PART * capacity
+        capacity = _measure_capacity(running, keys)
+        share = VICTIM_SHARE * capacity
         victim = _Victim(running, share)
         victim.run(WARM_UP_SECONDS)
-        alone = _look(victim.run(ALONE_SECONDS), {}, 0.0)
-        flooded = _flood(running, keys, share)
+        alone = _summarize(victim.run(ALONE_SECONDS), {}, 0.0)
+        flooded = _measure_flooded(running, keys, share)
     with _run('fifo', keys) as running:
-        fifo = _flood(running, keys, share)
+        fifo = _measure_flooded(running, keys, share)
     note = (
         f'{alone.first_token * 1000:.0f} ms alone, {flooded.asked} requests; '
         f'flood over {ENTRIES} entries, {KEYS} keys, {CONNECTIONS} '
@@ -310,13 +320,13 @@
 
 
 def measure_kinds() -> Iterator[figures.Figure]:
-    """Measure a team beside floods that aim at other parts."""
+    """Measure a team during floods of other kinds of requests."""
     keys = [secrets.token_urlsafe(16) for _ in range(KEYS)]
     with _run('fair', keys) as running:
-        share = VICTIM_PART * _saturate(running, keys)
-        alone = _look(_Victim(running, share).run(ALONE_SECONDS), {}, 0.0)
-        for name, kind in _KINDS.items():
-            seen = _flood(running, keys, share, **kind)
+        share = VICTIM_SHARE * _measure_capacity(running, keys)
+        alone = _summarize(_Victim(running, share).run(ALONE_SECONDS), {}, 0.0)
+        for name, overrides in _KINDS.items():
+            seen = _measure_flooded(running, keys, share, **overrides)
             note = f'{seen.asked} requests; flood: {seen.flood}'
             yield figures.at_least(
                 f'fairness.kinds.{name}.throughput',
--- a/packages/trials/src/dunlintide_trials/cases/links.py
+++ b/packages/trials/src/dunlintide_trials/cases/links.py
@@ -1,8 +1,9 @@
-"""Steps of many sessions over one slow link between two processes' ends.
+"""Batching of the steps of many sessions on one slow link.
 
-Each session sends a step and the next one when its token is back, as in
-decoding. The relay delays each direction and limits the bytes a second.
-The baseline sends one step a message; tokens come back as ever.
+Each session sends its next step when the token of the previous one
+arrives, as in decoding. A relay delays both directions and limits the
+bytes per second. The baseline sends one step per message, while tokens are
+batched as usual.
 """
 
 import contextlib
@@ -63,13 +64,15 @@
 
 
 def _serve(counts: _Counts) -> linkserver.LinkServer:
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         counts.messages += 1
         counts.frames += len(frames)
         for frame in frames:
             link.send(_make_token(frame.step.request_id))
 
-    handlers = links.Handlers(lambda link: None, take, lambda link, why: None)
+    handlers = links.Handlers(
+        lambda link: None, handle_frames, lambda link, why: None
+    )
     return linkserver.LinkServer(
         '127.0.0.1:0', lambda: _make_hello('b'), handlers
     )
@@ -81,12 +84,12 @@
             link.send(_make_step(f'session-{number}'))
         up.set()
 
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         for frame in frames:
             link.send(_make_step(frame.token.request_id))
 
-    handlers = links.Handlers(begin, take, lambda link, why: None)
-    # Queued pings wait behind steps, and no loss is measured here.
+    handlers = links.Handlers(begin, handle_frames, lambda link, why: None)
+    # Pings queue behind steps, so a short timeout would break the link.
     timing = links.LinkTiming(silence=_WAIT_SECONDS)
     return links.Dialer(
         f'127.0.0.1:{port}',
@@ -98,7 +101,7 @@
 
 
 def _run(batch_bytes: int) -> _Counts:
-    """Give what arrived in the window."""
+    """Count the messages and frames that arrive in the window."""
     counts = _Counts()
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(linkserver.serve(_serve(counts)))
@@ -110,7 +113,9 @@
         dialer.start()
         stack.callback(dialer.stop)
         if not up.wait(_WAIT_SECONDS):
-            raise RuntimeError('the link did not open')
+            raise RuntimeError(
+                f'the link was not up within {_WAIT_SECONDS:.0f} s'
+            )
         time.sleep(WARM_UP_SECONDS)
         before = attrs.evolve(counts)
         time.sleep(WINDOW_SECONDS)
@@ -118,26 +123,26 @@
 
 
 def measure_batching() -> Iterator[figures.Figure]:
-    """Measure how steps share messages, and what that carries."""
-    together = _run(packing.BATCH_BYTES)
-    alone = _run(1)
+    """Measure the steps per message and the rate of steps."""
+    batched = _run(packing.BATCH_BYTES)
+    unbatched = _run(1)
     where = (
         f'{SESSIONS} sessions, {DELAY_SECONDS * 1000:.0f} ms each way, '
         f'{BYTES_PER_SECOND / 1000:.0f} kB/s; baseline: one step a message'
     )
     yield figures.plain(
         'links.batching.frames_per_message',
-        round(together.frames / together.messages, 2),
+        round(batched.frames / batched.messages, 2),
         '1',
-        round(alone.frames / alone.messages, 2),
+        round(unbatched.frames / unbatched.messages, 2),
         where,
     )
     yield figures.at_least(
         'links.batching.rate',
-        round(together.frames / WINDOW_SECONDS),
+        round(batched.frames / WINDOW_SECONDS),
         'steps/s',
-        round(alone.frames / WINDOW_SECONDS),
-        round(alone.frames / WINDOW_SECONDS),
+        round(unbatched.frames / WINDOW_SECONDS),
+        round(unbatched.frames / WINDOW_SECONDS),
         where,
     )
 
--- a/packages/trials/src/dunlintide_trials/cases/throughput.py
+++ b/packages/trials/src/dunlintide_trials/cases/throughput.py
@@ -1,11 +1,11 @@
-"""Throughput over the max-flow bound, in an event model and in processes.
-
-Figures named ``processes`` come from real processes, all others from
-``dunlintide_trials.stages``; its docstring gives the assumptions. Six
-fleets are drawn, each with six
-kinds of accelerator in each of four layer ranges, three failure domains
-and links that differ a hundredfold; three entries route. The value is
-that of the worst fleet.
+"""Throughput relative to the max-flow bound, by routing policy.
+
+Figures named ``processes`` come from real processes, all others from the
+event model in ``dunlintide_trials.stages``, whose docstring lists its
+assumptions. The model runs six random fleets, each with six kinds of
+accelerator in each of four layer ranges, three failure domains, links that
+differ by a factor of 100, and three entries. Its figures are those of the
+worst fleet.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,7 +16,7 @@
 
 from dunlintide_core import plan as plans
 from dunlintide_trials import figures
-from dunlintide_trials import mixes
+from dunlintide_trials import randomfleets
 from dunlintide_trials import routing
 from dunlintide_trials import saturation
 from dunlintide_trials import stages
@@ -27,76 +27,91 @@
 ENTRIES = 3
 BOUND_TARGET = 0.90
 DEGRADED_TARGET = 0.85
-# Links were left without a target; this only guards what was measured.
+# Slow links have no target; the bound only detects regressions.
 LINK_GUARD = 0.75
-# Sessions for each that the chains hold with full batches.
+# Sessions relative to the number that fills the batches of all chains.
 SESSIONS_FACTOR = 2.0
 WARM_UP_SECONDS = 20.0
 WINDOW_SECONDS = 10.0
-# Arrivals stay at this part of the bound before the fault.
+# Rate of arrivals as a fraction of the bound before the fault.
 OFFERED = 0.95
 REACTION_SECONDS = 5.0
 REACTED_SECONDS = 5.0
 SLOWDOWN = 10.0
 
-# Callers that fill the batches of all processes' engines twice.
+# Twice the callers that fill the batches of the engines of all processes.
 STREAMS = 384
 PROCESS_WARM_UP_SECONDS = 10.0
 PROCESS_OFFERED = 0.9
-# Answers over the slowest chains take about this long.
+# Duration of the responses over the slowest chains.
 PROCESS_FILL_SECONDS = 25.0
 
-_PROCESSES = '12 engines of 6 kinds, a process each'
+_PROCESSES_NOTE = '12 engines of 6 kinds, a process each'
 _MEAN_TOKENS = sum(stages.SESSION_TOKENS) / 2
-_MODEL = 'event model, worst of 6 fleets'
+_MODEL_NOTE = 'event model, worst of 6 fleets'
 
-_Policy = Callable[[mixes.Mix, plans.Plan, int], stages.Entry]
+_Policy = Callable[[randomfleets.RandomFleet, plans.Plan, int], stages.Entry]
 
 
-def _route(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
-    return routing.Router(mix.stops, mix.layers, mix.links, seed).entry()
+def _route(
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
+) -> stages.Entry:
+    return routing.Router(
+        fleet.stages, fleet.layers, fleet.links, seed
+    ).entry()
 
 
 def _route_unlearnt(
-    mix: mixes.Mix, plan: plans.Plan, seed: int
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
 ) -> stages.Entry:
-    router = routing.Router(mix.stops, mix.layers, mix.links, seed, False)
+    router = routing.Router(
+        fleet.stages, fleet.layers, fleet.links, seed, False
+    )
     return router.entry()
 
 
-def _take_turns(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
-    return routing.make_round_robin(mix.stops, mix.layers)
+def _take_turns(
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
+) -> stages.Entry:
+    return routing.make_round_robin(fleet.stages, fleet.layers)
 
 
-def _take_least(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
-    return routing.make_least_outstanding(mix.stops, mix.layers, seed)
+def _take_least(
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
+) -> stages.Entry:
+    return routing.make_least_outstanding(fleet.stages, fleet.layers, seed)
 
 
-def _take_shares(mix: mixes.Mix, plan: plans.Plan, seed: int) -> stages.Entry:
+def _take_shares(
+    fleet: randomfleets.RandomFleet, plan: plans.Plan, seed: int
+) -> stages.Entry:
     return routing.make_shares_only(plan, seed)
 
 
-def _plan(mix: mixes.Mix) -> plans.Plan:
-    return plans.make_plan(mix.stops, mix.layers, mix.links)
+def _plan(fleet: randomfleets.RandomFleet) -> plans.Plan:
+    return plans.make_plan(fleet.stages, fleet.layers, fleet.links)
 
 
 def _count_sessions(plan: plans.Plan) -> int:
-    held = 0.0
+    sessions = 0.0
     for chain in plan.chains:
-        steps = sum(stages.BATCH / stop.capacity for stop in chain.stages)
-        held += chain.share * (chain.latency + steps)
-    return int(SESSIONS_FACTOR * held)
+        steps = sum(stages.BATCH / stage.capacity for stage in chain.stages)
+        sessions += chain.share * (chain.latency + steps)
+    return int(SESSIONS_FACTOR * sessions)
 
 
 def _build(
-    mix: mixes.Mix, plan: plans.Plan, policy: _Policy, opened: bool
+    fleet: randomfleets.RandomFleet,
+    plan: plans.Plan,
+    policy: _Policy,
+    has_arrivals: bool,
 ) -> stages.Model:
-    entries = [policy(mix, plan, seed) for seed in range(ENTRIES)]
-    sessions = 0 if opened else _count_sessions(plan)
-    arrivals = OFFERED * plan.bound / _MEAN_TOKENS if opened else 0.0
+    entries = [policy(fleet, plan, seed) for seed in range(ENTRIES)]
+    sessions = 0 if has_arrivals else _count_sessions(plan)
+    arrivals = OFFERED * plan.bound / _MEAN_TOKENS if has_arrivals else 0.0
     return stages.Model(
-        mix.stops,
-        mix.links,
+        fleet.stages,
+        fleet.links,
         entries,
         sessions,
         random.Random(sum(map(ord, policy.__name__))),
@@ -104,10 +119,10 @@
     )
 
 
-def _reach(policy: _Policy, seed: int) -> float:
-    mix = mixes.draw(seed)
-    plan = _plan(mix)
-    model = _build(mix, plan, policy, opened=False)
+def _measure_policy(policy: _Policy, seed: int) -> float:
+    fleet = randomfleets.generate(seed)
+    plan = _plan(fleet)
+    model = _build(fleet, plan, policy, has_arrivals=False)
     end = WARM_UP_SECONDS + WINDOW_SECONDS
     model.run(end)
     return model.rate(WARM_UP_SECONDS, end) / plan.bound
@@ -123,40 +138,40 @@
 
 
 def _measure_bound_processes() -> Iterator[figures.Figure]:
-    """Measure real processes with enough streams to fill all chains."""
+    """Measure real processes with streams that fill all chains."""
     routings = ('planned', 'planned', 'round-robin', 'round-robin')
     with saturation.run(routings) as running:
-        bound = saturation.find_bound(saturation.list_stops(running))
+        bound = saturation.compute_bound(saturation.list_stages(running))
         planned = _saturate(running, (0, 1))
-        in_turn = _saturate(running, (2, 3))
+        round_robin = _saturate(running, (2, 3))
     yield figures.at_least(
         'throughput.bound.processes',
         planned / bound,
         '1',
         BOUND_TARGET,
-        in_turn / bound,
-        f'{_PROCESSES}, {STREAMS} callers; bound {bound:.0f} tokens/s; '
+        round_robin / bound,
+        f'{_PROCESSES_NOTE}, {STREAMS} callers; bound {bound:.0f} tokens/s; '
         'baseline: round robin',
     )
 
 
 def _measure_degraded_processes() -> Iterator[figures.Figure]:
-    """Measure real processes from 5 s to 10 s after a stage slows.
+    """Measure real processes from 5 s to 10 s after a stage slows down.
 
-    The busiest endpoint's steps take ten times as long. Requests come
-    at a rate that the deployment carried before.
+    The steps of the fastest endpoint take ten times as long. Requests
+    arrive at a rate that the deployment sustains before that.
     """
     with saturation.run(('planned', 'planned')) as running:
-        stops = saturation.list_stops(running)
-        before = saturation.find_bound(stops)
-        slow = max(stops, key=lambda stop: stop.capacity)
-        after = saturation.find_bound(
+        plan_stages = saturation.list_stages(running)
+        before = saturation.compute_bound(plan_stages)
+        slow = max(plan_stages, key=lambda stage: stage.capacity)
+        after = saturation.compute_bound(
             (
-                attrs.evolve(stop, capacity=stop.capacity / SLOWDOWN)
-                if stop is slow
-                else stop
+                attrs.evolve(stage, capacity=stage.capacity / SLOWDOWN)
+                if stage is slow
+                else stage
             )
-            for stop in stops
+            for stage in plan_stages
         )
         arrivals = PROCESS_OFFERED * before / saturation.MEAN_TOKENS
         entries = (0, 1)
@@ -176,34 +191,39 @@
         '1',
         DEGRADED_TARGET,
         sound / before,
-        f'{_PROCESSES}, arrivals at {PROCESS_OFFERED} of the bound; bound '
-        f'{before:.0f}, then {after:.0f} tokens/s; {failed} failed; '
+        f'{_PROCESSES_NOTE}, arrivals at {PROCESS_OFFERED} of the bound; '
+        f'bound {before:.0f}, then {after:.0f} tokens/s; {failed} failed; '
         'baseline: before the fault, of the old bound',
     )
 
 
 def measure_bound() -> Iterator[figures.Figure]:
-    """Measure policies with enough sessions to fill all chains."""
+    """Measure routing policies with sessions that fill all chains."""
     yield from _measure_bound_processes()
     reached = {
-        policy: min(_reach(policy, seed) for seed in SEEDS)
+        policy: min(_measure_policy(policy, seed) for seed in SEEDS)
         for policy in (_route, _take_turns, _take_least, _take_shares)
     }
-    turns = reached[_take_turns]
-    note = f'{_MODEL}; baseline: round robin'
+    round_robin = reached[_take_turns]
+    note = f'{_MODEL_NOTE}; baseline: round robin'
     yield figures.at_least(
-        'throughput.bound', reached[_route], '1', BOUND_TARGET, turns, note
+        'throughput.bound',
+        reached[_route],
+        '1',
+        BOUND_TARGET,
+        round_robin,
+        note,
     )
     for name, policy in (
         ('least_outstanding', _take_least),
         ('shares_only', _take_shares),
     ):
         yield figures.plain(
-            f'throughput.bound.{name}', reached[policy], '1', turns, note
+            f'throughput.bound.{name}', reached[policy], '1', round_robin, note
         )
 
 
-def _busiest_stop(plan: plans.Plan) -> str:
+def _find_busiest_stage(plan: plans.Plan) -> str:
     carried: dict[str, float] = {}
     for chain in plan.chains:
         for agent in chain.agents:
@@ -211,7 +231,7 @@
     return max(carried, key=carried.get)
 
 
-def _busiest_link(plan: plans.Plan) -> tuple[str, str]:
+def _find_busiest_link(plan: plans.Plan) -> tuple[str, str]:
     carried: dict[tuple[str, str], float] = {}
     for chain in plan.chains:
         for source, target in zip(chain.stages, chain.stages[1:]):
@@ -221,41 +241,45 @@
     return max(carried, key=carried.get)
 
 
-def _slow_stop(mix: mixes.Mix, model: stages.Model) -> plans.Plan:
-    agent = _busiest_stop(_plan(mix))
+def _slow_stage(
+    fleet: randomfleets.RandomFleet, model: stages.Model
+) -> plans.Plan:
+    agent = _find_busiest_stage(_plan(fleet))
     model.stages[agent].speed = 1.0 / SLOWDOWN
-    stops = [
+    plan_stages = [
         (
-            attrs.evolve(stop, capacity=stop.capacity / SLOWDOWN)
-            if stop.agent == agent
-            else stop
+            attrs.evolve(stage, capacity=stage.capacity / SLOWDOWN)
+            if stage.agent == agent
+            else stage
         )
-        for stop in mix.stops
+        for stage in fleet.stages
     ]
-    return plans.make_plan(stops, mix.layers, mix.links)
+    return plans.make_plan(plan_stages, fleet.layers, fleet.links)
 
 
-def _slow_link(mix: mixes.Mix, model: stages.Model) -> plans.Plan:
-    pair = _busiest_link(_plan(mix))
+def _slow_link(
+    fleet: randomfleets.RandomFleet, model: stages.Model
+) -> plans.Plan:
+    pair = _find_busiest_link(_plan(fleet))
     model.slowdowns[pair] = SLOWDOWN
-    usual = mix.links.domains[pair]
+    quality = fleet.links.domains[pair]
     slowed = attrs.evolve(
-        usual, tokens_per_second=usual.tokens_per_second / SLOWDOWN
+        quality, tokens_per_second=quality.tokens_per_second / SLOWDOWN
     )
-    links = plans.Links(domains={**mix.links.domains, pair: slowed})
-    return plans.make_plan(mix.stops, mix.layers, links)
+    links = plans.Links(domains={**fleet.links.domains, pair: slowed})
+    return plans.make_plan(fleet.stages, fleet.layers, links)
 
 
-def _react(
+def _measure_degraded(
     policy: _Policy,
-    slow: Callable[[mixes.Mix, stages.Model], plans.Plan],
-    opened: bool,
+    slow: Callable[[randomfleets.RandomFleet, stages.Model], plans.Plan],
+    has_arrivals: bool,
     seed: int,
 ) -> float:
-    mix = mixes.draw(seed)
-    model = _build(mix, _plan(mix), policy, opened)
+    fleet = randomfleets.generate(seed)
+    model = _build(fleet, _plan(fleet), policy, has_arrivals)
     model.run(WARM_UP_SECONDS)
-    degraded = slow(mix, model)
+    degraded = slow(fleet, model)
     start = WARM_UP_SECONDS + REACTION_SECONDS
     end = start + REACTED_SECONDS
     model.run(end)
@@ -263,24 +287,29 @@
 
 
 def measure_degraded() -> Iterator[figures.Figure]:
-    """Measure from 5 s to 10 s after the busiest stage or link slows.
+    """Measure from 5 s to 10 s after the busiest stage or link slows down.
 
-    With a fixed number of callers, those that are stuck on the slow
-    stage ask for nothing else; that is given beside arrivals at a rate.
+    Besides Poisson arrivals a fixed number of callers is measured, as
+    those that wait for the slow stage send no other requests.
     """
 
     yield from _measure_degraded_processes()
 
-    def worst(policy: _Policy, slow, opened: bool) -> float:
-        return min(_react(policy, slow, opened, seed) for seed in SEEDS)
+    def worst(policy: _Policy, slow, has_arrivals: bool) -> float:
+        return min(
+            _measure_degraded(policy, slow, has_arrivals, seed)
+            for seed in SEEDS
+        )
 
-    note = f'{_MODEL}, Poisson arrivals; baseline: shares stay as declared'
+    note = (
+        f'{_MODEL_NOTE}, Poisson arrivals; baseline: shares stay as declared'
+    )
     yield figures.at_least(
         'throughput.degraded',
-        worst(_route, _slow_stop, True),
+        worst(_route, _slow_stage, True),
         '1',
         DEGRADED_TARGET,
-        worst(_route_unlearnt, _slow_stop, True),
+        worst(_route_unlearnt, _slow_stage, True),
         note,
     )
     yield figures.at_least(
@@ -293,10 +322,10 @@
     )
     yield figures.plain(
         'throughput.degraded.fixed_callers',
-        worst(_route, _slow_stop, False),
+        worst(_route, _slow_stage, False),
         '1',
-        worst(_route_unlearnt, _slow_stop, False),
-        f'{_MODEL}, callers wait for stuck answers; same baseline',
+        worst(_route_unlearnt, _slow_stage, False),
+        f'{_MODEL_NOTE}, callers wait for stuck answers; same baseline',
     )
 
 
--- a/packages/trials/src/dunlintide_trials/cases/tls.py
+++ b/packages/trials/src/dunlintide_trials/cases/tls.py
@@ -1,6 +1,6 @@
-"""What TLS costs: between processes, and on the callers' port.
+"""Cost of TLS between processes and on the port for callers.
 
-The baseline of each figure is the same without TLS in the same run.
+The baseline of each figure is measured without TLS in the same run.
 """
 
 import contextlib
@@ -22,8 +22,8 @@
 from dunlintide_adapters.wire import link_pb2
 from dunlintide_trials import authority
 from dunlintide_trials.cases import idle_links
+from dunlintide_trials import childprocesses
 from dunlintide_trials import figures
-from dunlintide_trials import pairs
 
 __all__ = ['CASES']
 
@@ -40,37 +40,46 @@
 _WAIT_SECONDS = 30.0
 _MICRO = 1e6
 _MEGA = 1e6
-# Regression bounds, well above what a loaded machine shows.
+# Regression bounds relative to the baseline, well above the ratios of a
+# loaded machine.
 _LINK_RATIO = 2.5
 _STREAM_RATIO = 4.0
 
 
 @attrs.frozen
 class _Cost:
-    """Processor time for one message of both ends, and the rate."""
+    """Cost of one step and its token.
 
-    micros: float
+    :ivar microseconds: processor time of both ends in microseconds
+    :ivar rate: steps per second
+    """
+
+    microseconds: float
     rate: float
 
 
-def _answer(pipe: connection.Connection, folder: str | None) -> None:
-    """Be an agent that answers each step with a token."""
+def _run_answering_agent(
+    pipe: connection.Connection, folder: str | None
+) -> None:
+    """Act as an agent that answers each step with a token."""
     count = 0
 
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         nonlocal count
         count += len(frames)
         for frame in frames:
             token = link_pb2.Token(request_id=frame.step.request_id)
             link.send(link_pb2.Frame(token=token))
 
-    handlers = links.Handlers(lambda link: None, take, lambda link, why: None)
+    handlers = links.Handlers(
+        lambda link: None, handle_frames, lambda link, why: None
+    )
     hello = link_pb2.Hello(name='agent', role='agent', incarnation=1)
     server = linkserver.LinkServer(
         f'{_HOST}:0',
         lambda: hello,
         handlers,
-        transport=pairs.open_transport(folder, 'agent', 'agent'),
+        transport=childprocesses.open_transport(folder, 'agent', 'agent'),
     )
     with linkserver.serve(server):
         pipe.send(server.port)
@@ -78,10 +87,10 @@
             pipe.send(count)
 
 
-def _ask(
+def _run_sending_agent(
     pipe: connection.Connection, port: int, size: int, folder: str | None
 ) -> None:
-    """Be an agent that keeps some steps under way, one a message."""
+    """Act as an agent that keeps steps in flight, one per message."""
     step = link_pb2.Step(request_id='r', activations=bytes(size))
     frame = link_pb2.Frame(step=step)
     up = threading.Event()
@@ -92,25 +101,25 @@
         for _ in range(_WINDOW):
             link.send(frame)
 
-    def take(link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def handle_frames(link: links.Link, frames: list[link_pb2.Frame]) -> None:
         nonlocal count
         count += len(frames)
         for _ in frames:
             link.send(frame)
 
-    handlers = links.Handlers(begin, take, lambda link, why: None)
+    handlers = links.Handlers(begin, handle_frames, lambda link, why: None)
     hello = link_pb2.Hello(name='other', role='agent', incarnation=1)
     dialer = links.Dialer(
         f'{_HOST}:{port}',
         lambda: hello,
         handlers,
         batch_bytes=1,
-        transport=pairs.open_transport(folder, 'agent', 'other'),
+        transport=childprocesses.open_transport(folder, 'agent', 'other'),
         role='agent',
     )
     dialer.start()
     if not up.wait(_WAIT_SECONDS):
-        raise TimeoutError('the link did not open')
+        raise TimeoutError(f'the link was not up within {_WAIT_SECONDS:.0f} s')
     pipe.send(None)
     while pipe.recv() is not None:
         pipe.send(count)
@@ -119,15 +128,17 @@
 
 def _measure_steps(size: int, folder: str | None) -> _Cost:
     with (
-        pairs.start(_answer, folder) as near,
-        pairs.start(_ask, near.first, size, folder) as far,
+        childprocesses.start_process(_run_answering_agent, folder) as near,
+        childprocesses.start_process(
+            _run_sending_agent, near.first_message, size, folder
+        ) as far,
     ):
         time.sleep(_SETTLE_SECONDS)
-        begin, count = time.monotonic(), near.ask()
-        used = near.read_time() + far.read_time()
+        begin, count = time.monotonic(), near.request()
+        used = near.read_cpu_seconds() + far.read_cpu_seconds()
         time.sleep(_SECONDS)
-        spent, count = time.monotonic() - begin, near.ask() - count
-        used = near.read_time() + far.read_time() - used
+        spent, count = time.monotonic() - begin, near.request() - count
+        used = near.read_cpu_seconds() + far.read_cpu_seconds() - used
     return _Cost(used / count * _MICRO, count / spent)
 
 
@@ -145,7 +156,7 @@
 
 
 def measure_links() -> Iterator[figures.Figure]:
-    """Measure processor time of messages and idle links."""
+    """Measure the processor time of messages and of idle links."""
     with contextlib.ExitStack() as stack:
         folder = str(_write_files(stack))
         for size in _STEP_BYTES:
@@ -153,10 +164,10 @@
             secured = _measure_steps(size, folder)
             yield figures.at_most(
                 f'tls.links.step.{size}',
-                round(secured.micros, 1),
+                round(secured.microseconds, 1),
                 'us',
-                round(plain.micros * _LINK_RATIO, 1),
-                round(plain.micros, 1),
+                round(plain.microseconds * _LINK_RATIO, 1),
+                round(plain.microseconds, 1),
                 f'both ends, a step of {size} bytes and its token, one a '
                 f'message; {secured.rate:.0f} a second with TLS, '
                 f'{plain.rate:.0f} without',
@@ -182,23 +193,23 @@
         )
 
 
-def _serve_callers(pipe: connection.Connection, folder: str | None) -> None:
-    """Be an HTTP server that streams many small pieces."""
+def _run_http_server(pipe: connection.Connection, folder: str | None) -> None:
+    """Act as an HTTP server that streams many small chunks."""
 
     def stream(environ: dict, start_response: Callable) -> Iterator[bytes]:
         start_response('200 OK', [('Content-Type', 'text/event-stream')])
         count = int(environ['PATH_INFO'].strip('/'))
         return (_CHUNK for _ in range(count))
 
-    secure = None
+    tls_wrapper = None
     if folder is not None:
         paths = certificates.Paths(
             pathlib.Path(folder, 'entry.certificate.pem'),
             pathlib.Path(folder, 'entry.key.pem'),
         )
-        secure = tlssockets.Wrapper.from_paths(paths, _SETTLE_SECONDS)
+        tls_wrapper = tlssockets.Wrapper.from_paths(paths, _SETTLE_SECONDS)
     server = httpserver.HttpServer.from_config(
-        stream, f'{_HOST}:0', _THREADS, tls_wrapper=secure
+        stream, f'{_HOST}:0', _THREADS, tls_wrapper=tls_wrapper
     )
     server.start()
     pipe.send(server.port)
@@ -218,25 +229,31 @@
     caller.request('GET', f'/{chunks}')
     received = len(caller.getresponse().read())
     if received != chunks * len(_CHUNK):
-        raise RuntimeError(f'{received} bytes instead of {chunks} pieces')
+        raise RuntimeError(
+            f'received {received} of {chunks * len(_CHUNK)} bytes'
+        )
 
 
 def _measure_callers(folder: str | None) -> tuple[float, float]:
-    """Return the server's microseconds for a connection and a piece."""
+    """Return the server's microseconds per connection and per chunk."""
     context = None
     if folder is not None:
         context = ssl.create_default_context(
             cafile=f'{folder}/entry.authorities.pem'
         )
-    with pairs.start(_serve_callers, folder) as server:
-        begin = server.read_time()
+    with childprocesses.start_process(_run_http_server, folder) as server:
+        begin = server.read_cpu_seconds()
         for _ in range(_CONNECTIONS):
-            with contextlib.closing(_connect(server.first, context)) as caller:
+            with contextlib.closing(
+                _connect(server.first_message, context)
+            ) as caller:
                 _fetch(caller, 1)
-        connected = server.read_time()
-        with contextlib.closing(_connect(server.first, context)) as caller:
+        connected = server.read_cpu_seconds()
+        with contextlib.closing(
+            _connect(server.first_message, context)
+        ) as caller:
             _fetch(caller, _CHUNKS)
-        streamed = server.read_time()
+        streamed = server.read_cpu_seconds()
     return (
         (connected - begin) / _CONNECTIONS * _MICRO,
         (streamed - connected) / _CHUNKS * _MICRO,
@@ -244,7 +261,7 @@
 
 
 def measure_callers() -> Iterator[figures.Figure]:
-    """Measure processor time of the callers' port."""
+    """Measure the processor time of a server for callers."""
     with contextlib.ExitStack() as stack:
         folder = str(_write_files(stack))
         plain = _measure_callers(None)
--- /dev/null
+++ b/packages/trials/src/dunlintide_trials/edge/soakscene.py
@@ -0,0 +1,248 @@
+"""Deployment under a soak of the edge role, with its callers."""
+
+import contextlib
+import os
+import pathlib
+import random
+import signal
+import threading
+import time
+from typing import Callable
+
+import attrs
+
+from dunlintide_standins.fleet import callers
+from dunlintide_standins.fleet import operators
+from dunlintide_standins.fleet import runners as runners_module
+from dunlintide_standins import relay as relay_module
+from dunlintide_trials.edge import scene as scenes
+
+__all__ = ['LimitPeriod', 'SentRequest', 'SoakScene']
+
+DOMAINS = ('a', 'b')
+ENTRIES = ('one', 'two', 'three')
+# Minimum and maximum seconds between two requests of a caller.
+PAUSE_SECONDS = (0.0, 0.05)
+STREAM = 'stream'
+ONCE = 'once'
+REPEATABLE = 'repeatable'
+
+
+@attrs.define
+class SentRequest:
+    """A request and its response as its caller saw it.
+
+    :ivar kind: ``STREAM``, ``ONCE`` or ``REPEATABLE``
+    :ivar count: number of events that a stream was asked for
+    :ivar status: HTTP status, 0 without a response
+    :ivar is_complete: whether the response was complete
+    """
+
+    name: str
+    kind: str
+    count: int
+    status: int = 0
+    is_complete: bool = False
+    body: bytes = b''
+
+
+@attrs.define
+class LimitPeriod:
+    """Period in which an endpoint announced one rate limit.
+
+    :ivar limit: requests per second
+    :ivar since: monotonic time of the start in seconds
+    :ivar until: monotonic time of the end, None before the end
+    """
+
+    runner: runners_module.Runner
+    limit: float
+    since: float
+    until: float | None = None
+
+
+class SoakScene:
+    """Entries with relays to the store, endpoints and callers.
+
+    :ivar scene: the deployment
+    :ivar version: version of the newest configuration
+    :ivar requests: all requests in the order of their starts
+    :ivar relays: relay to the store by name of the entry
+    :ivar store_fault_times: monotonic times of faults of the store
+    :ivar entry_fault_times: monotonic times of faults of entries
+    :ivar drains: name of each drained endpoint and monotonic time
+    :ivar limits: rate limits that endpoints announced
+    """
+
+    def __init__(
+        self,
+        pick_ports: Callable[[int], list[int]],
+        folder: pathlib.Path,
+        stack: contextlib.ExitStack,
+    ) -> None:
+        self.scene = scenes.Scene(pick_ports, folder)
+        stack.callback(self.scene.close)
+        self.version = 7
+        self.requests: list[SentRequest] = []
+        self.relays: dict[str, relay_module.Relay] = {}
+        self.store_fault_times: list[float] = []
+        self.entry_fault_times: list[float] = []
+        self.drains: list[tuple[str, float]] = []
+        self.limits: list[LimitPeriod] = []
+        self._reserved: set[runners_module.Runner] = set()
+        self._lock = threading.Lock()
+        self._request_count = 0
+        self._stopped = threading.Event()
+        self._threads: list[threading.Thread] = []
+        self._start(stack)
+
+    def _start(self, stack: contextlib.ExitStack) -> None:
+        scene = self.scene
+        scene.configure(operators.make_configuration(self.version))
+        scene.add_runners(DOMAINS)
+        scene.add_runners(DOMAINS)
+        for index, name in enumerate(ENTRIES):
+            relay = relay_module.Relay('127.0.0.1:0', scene.store_address)
+            relay.start()
+            stack.callback(relay.stop)
+            self.relays[name] = relay
+            address = f'127.0.0.1:{relay.port}'
+            domain = DOMAINS[index % len(DOMAINS)]
+            scene.add_entry(name, domain, address)
+        for entry in scene.entries:
+            scene.wait_until(entry.is_ready, f'{entry.name} is ready')
+        scene.wait_for_layers()
+        for entry in scene.entries:
+            scene.wait_for_listing(entry)
+
+    # Methods for faults.
+
+    def signal(self, entry: scenes.Entry, number: signal.Signals) -> None:
+        """Send a signal to an entry if it runs."""
+        if entry.process.poll() is None:
+            os.kill(entry.process.pid, number)
+
+    def restart(self, entry: scenes.Entry) -> None:
+        """Restart an entry, killing it if it still runs."""
+        entry.stop()
+        entry.start()
+
+    def record_store_fault(self) -> None:
+        """Record the time of a fault of the store."""
+        self.store_fault_times.append(time.monotonic())
+
+    def record_entry_fault(self, entry: scenes.Entry) -> None:
+        """Record the time of a fault of an entry."""
+        self.entry_fault_times.append(time.monotonic())
+
+    def record_drain(self, runner: runners_module.Runner) -> None:
+        """Record the time at which an endpoint starts to drain."""
+        self.drains.append((runner.name, time.monotonic()))
+
+    def set_limit(
+        self, runner: runners_module.Runner, limit: float | None
+    ) -> None:
+        """Set the rate limit that an endpoint announces, None for none."""
+        now = time.monotonic()
+        for period in self.limits:
+            if period.runner is runner and period.until is None:
+                period.until = now
+        runner.faults.rate_limit = limit
+        if limit is not None:
+            self.limits.append(LimitPeriod(runner, limit, now))
+
+    def end_limits(self) -> None:
+        """Remove the rate limits of all endpoints."""
+        for runner in self.scene.fleet.runners:
+            self.set_limit(runner, None)
+
+    def reserve(self, runner: runners_module.Runner) -> bool:
+        """Reserve an endpoint for a fault.
+
+        At most half of the endpoints of the same kind and service can be
+        reserved at a time.
+
+        :returns: whether the endpoint was reserved
+        """
+        same_kind = [
+            each
+            for each in self.scene.fleet.runners
+            if each.kind == runner.kind and each.service == runner.service
+        ]
+        reserved = [each for each in same_kind if each in self._reserved]
+        if runner in self._reserved or 2 * len(reserved) + 2 > len(same_kind):
+            return False
+        self._reserved.add(runner)
+        return True
+
+    def release(self, runner: runners_module.Runner) -> None:
+        """Make an endpoint available to other faults again."""
+        self._reserved.discard(runner)
+
+    # Methods for callers.
+
+    def start_callers(self, count: int, seed: int) -> None:
+        """Start threads that send requests.
+
+        :param count: number of threads
+        :param seed: seed of their random generators
+        """
+        for index in range(count):
+            rng = random.Random(f'{seed}/{index}')
+            thread = threading.Thread(target=self._run_caller, args=(rng,))
+            thread.start()
+            self._threads.append(thread)
+
+    def stop_callers(self) -> None:
+        """Stop sending and wait for outstanding responses."""
+        self._stopped.set()
+        for thread in self._threads:
+            thread.join()
+
+    def _run_caller(self, rng: random.Random) -> None:
+        while not self._stopped.is_set():
+            entry = rng.choice(self.scene.entries)
+            remaining = rng.randint(1, 6)
+            try:
+                caller = callers.Caller(entry.listen)
+            except OSError:
+                time.sleep(PAUSE_SECONDS[1])
+                continue
+            # A connection is reused for several requests unless the entry
+            # closes it.
+            with contextlib.closing(caller):
+                while remaining and self.send_request(caller, rng):
+                    remaining -= 1
+                    time.sleep(rng.uniform(*PAUSE_SECONDS))
+
+    def _make_request(self, rng: random.Random) -> SentRequest:
+        with self._lock:
+            self._request_count += 1
+            name = f'r{self._request_count}'
+        kind = rng.choice((STREAM, STREAM, ONCE, REPEATABLE))
+        request = SentRequest(name, kind, rng.randint(5, 60))
+        with self._lock:
+            self.requests.append(request)
+        return request
+
+    def send_request(self, caller: callers.Caller, rng: random.Random) -> bool:
+        """Send one request and record its response.
+
+        :returns: whether the connection can be reused
+        """
+        request = self._make_request(rng)
+        try:
+            if request.kind == STREAM:
+                data = callers.build_stream(request.name, request.count)
+            else:
+                path = '/orders/x' if request.kind == ONCE else '/lists/x'
+                data = callers.build_request(request.name, path)
+            caller.send(data)
+            answer = caller.read_answer()
+        except (OSError, ValueError, IndexError):
+            return False
+        request.status = answer.status
+        request.is_complete = answer.is_complete
+        request.body = answer.body
+        closes = answer.headers.get('connection') == 'close'
+        return answer.is_complete and not closes
--- a/packages/trials/src/dunlintide_trials/engineload.py
+++ b/packages/trials/src/dunlintide_trials/engineload.py
@@ -1,7 +1,7 @@
-"""Engines laid out as a deployment's leader lays them out, under load.
+"""Synthetic engine fleet for measuring the cost of chain decisions.
 
-For figures of what a decision costs: mixed cards in equal failure domains,
-and requests in flight at random.
+Engines with mixed accelerators are spread over equal failure domains, get
+their layers from the leader's layout and run a random number of requests.
 """
 
 import random
@@ -17,13 +17,13 @@
 
 __all__ = ['PROFILE', 'EngineLoad']
 
-CARDS = {
+ACCELERATORS = {
     'fast': profiles.Accelerator('fast', 72_000.0, 2.4, 3.2),
     'small': profiles.Accelerator('small', 14_400.0, 5.3, 7.9),
     'slow': profiles.Accelerator('slow', 21_600.0, 16.0, 8.2),
 }
-# Shares of the kinds of cards.
-_MIX = (('fast', 12), ('small', 63), ('slow', 48))
+# Relative number of engines by kind of accelerator.
+_KIND_WEIGHTS = (('fast', 12), ('small', 63), ('slow', 48))
 PROFILE = profiles.EngineProfile(
     layers=80,
     layer_mb=1750.0,
@@ -41,17 +41,18 @@
     loads_at_once=9,
     usual_prompt=780,
     usual_answer=230,
-    accelerators=CARDS,
+    accelerators=ACCELERATORS,
     delays_ms={},
 )
-_TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer // 2
-# Requests in flight at an engine, at most.
-_BUSY = 40
+_MEAN_TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer // 2
+# Maximum requests in flight at an engine.
+_MAX_RUNNING = 40
 
 
 def _make_engine(index: int, domains: int) -> endpoints_module.Endpoint:
-    kinds = [kind for kind, count in _MIX for _ in range(count)]
-    step = 41  # Coprime to the length, so that kinds spread over domains.
+    kinds = [kind for kind, count in _KIND_WEIGHTS for _ in range(count)]
+    # Coprime to the number of kinds, so that kinds spread over domains.
+    step = 41
     return endpoints_module.Endpoint(
         name=f'engine-{index}',
         address=f'10.0.{index // 250}.{index % 250 + 1}:80',
@@ -62,7 +63,7 @@
     )
 
 
-def _hold(placement: layout.Placement) -> endpoints_module.Endpoint:
+def _assign_layers(placement: layout.Placement) -> endpoints_module.Endpoint:
     return attrs.evolve(
         placement.endpoint, start=placement.start, end=placement.end
     )
@@ -70,10 +71,12 @@
 
 @attrs.define(eq=False)
 class EngineLoad:
-    """Engines, what they carry and a usual request.
+    """Engines, their usage and the demand of a typical request.
 
     :ivar engines: engines with their layers
-    :ivar usages: their use by name
+    :ivar table: chains that the engines can form
+    :ivar usages: usage of each engine, by its name
+    :ivar demand: demand of a typical request
     """
 
     engines: list[endpoints_module.Endpoint]
@@ -85,53 +88,57 @@
     def from_size(
         cls, count: int, domains: int, seed: int = 1
     ) -> 'EngineLoad':
-        """Lay out engines and let requests run on them.
+        """Lay out engines and give them a random load.
 
-        :param count: engines
-        :param domains: failure domains of about as many engines each
+        :param count: number of engines
+        :param domains: number of failure domains, equal in size
         """
         empty = [_make_engine(index, domains) for index in range(count)]
         placements = layout.plan_new(PROFILE, (), empty)
-        engines = list(map(_hold, placements))
-        draw = random.Random(seed)
+        engines = list(map(_assign_layers, placements))
+        rng = random.Random(seed)
         usages = {}
         for engine in engines:
-            running = draw.randrange(_BUSY)
-            held = engine.end - engine.start
-            part = running * _TOKENS * held // 4
-            usages[engine.name] = occupancy.Usage(running, running // 4, part)
+            running = rng.randrange(_MAX_RUNNING)
+            layer_count = engine.end - engine.start
+            cached_tokens = running * _MEAN_TOKENS * layer_count // 4
+            usages[engine.name] = occupancy.Usage(
+                running, running // 4, cached_tokens
+            )
         table = chaintable.ChainTable.from_engines(PROFILE, engines)
         answer = PROFILE.usual_answer
         demand = chains.Demand(
-            PROFILE.usual_prompt, answer, _TOKENS, 'domain-0'
+            PROFILE.usual_prompt, answer, _MEAN_TOKENS, 'domain-0'
         )
         return cls(engines, table, usages, demand)
 
     def choose(self) -> chains.Hops | None:
-        """Choose a chain for the usual request."""
+        """Choose a chain for the typical request."""
         return self.table.choose(self.demand, self.usages)
 
-    def fill(self) -> None:
-        """Take all memory."""
+    def fill_caches(self) -> None:
+        """Mark the KV cache of all engines as full."""
         for engine in self.engines:
-            held = engine.end - engine.start
-            taken = PROFILE.get_cache_capacity(engine.kind, held)
-            self.usages[engine.name] = occupancy.Usage(_BUSY, 0, int(taken))
+            layer_count = engine.end - engine.start
+            used_tokens = PROFILE.get_cache_capacity(engine.kind, layer_count)
+            self.usages[engine.name] = occupancy.Usage(
+                _MAX_RUNNING, 0, int(used_tokens)
+            )
 
-    def scatter(self) -> None:
-        """Leave no domain whole, so that only chains across pipes remain.
+    def fragment(self) -> None:
+        """Fill caches so that every remaining chain crosses domains.
 
-        The first half of all layers has room in every second domain alone,
-        the second half in the others.
+        Even-numbered failure domains have room for the first half of the
+        layers only, the others for the second half only.
         """
         names = sorted({engine.domain for engine in self.engines})
         half = PROFILE.layers // 2
         for engine in self.engines:
-            even = names.index(engine.domain) % 2 == 0
-            low = engine.start + engine.end < 2 * half
-            held = engine.end - engine.start
-            cache = PROFILE.get_cache_capacity(engine.kind, held)
-            taken = 0 if even == low else cache
+            is_even = names.index(engine.domain) % 2 == 0
+            is_lower_half = engine.start + engine.end < 2 * half
+            layer_count = engine.end - engine.start
+            cache = PROFILE.get_cache_capacity(engine.kind, layer_count)
+            used_tokens = 0 if is_even == is_lower_half else cache
             if engine.start < half < engine.end:
-                taken = 0
-            self.usages[engine.name] = occupancy.Usage(1, 0, int(taken))
+                used_tokens = 0
+            self.usages[engine.name] = occupancy.Usage(1, 0, int(used_tokens))
--- a/packages/trials/src/dunlintide_trials/floods.py
+++ b/packages/trials/src/dunlintide_trials/floods.py
@@ -1,8 +1,8 @@
-"""A flood of requests from a process of its own.
+"""Load generator that floods entries with requests from its own process.
 
 Usage: ``python -m dunlintide_trials.floods`` with a ``Plan`` as JSON on
-the standard input. It prints the counts of answers by kind as JSON once
-its time is over.
+standard input. After the planned time it prints the number of responses by
+error code or outcome as JSON.
 """
 
 import collections
@@ -28,14 +28,18 @@
 
 @attrs.frozen
 class Plan:
-    """What a flood sends.
-
-    :ivar urls: entries, asked in turn
-    :ivar keys: bearer keys of one team, used in turn
-    :ivar connections: requests that may be open at once
-    :ivar rate: requests a second, while a connection is free
+    """Parameters of a flood.
+
+    :ivar urls: URLs of entries, assigned to connections in turn
+    :ivar keys: bearer keys, assigned to connections in turn
+    :ivar model: model of the completions
+    :ivar connections: maximum number of concurrent requests
+    :ivar rate: requests per second while a connection is free
+    :ivar seconds: duration of the flood
+    :ivar prompt_words: words in each prompt
+    :ivar max_tokens: tokens that each completion generates
     :ivar claims: whether each request has an idempotency key
-    :ivar read_seconds: silence after which an answer is given up
+    :ivar read_seconds: read timeout of a response in seconds
     """
 
     urls: tuple[str, ...]
@@ -50,8 +54,11 @@
     read_seconds: float = _READ_SECONDS
 
 
-class _Pace:
-    """Hands out the moments of requests; missed ones are lost."""
+class _Schedule:
+    """Schedules requests at a fixed rate and skips missed ones.
+
+    :ivar count: requests that were scheduled
+    """
 
     def __init__(self, rate: float, seconds: float) -> None:
         self._lock = threading.Lock()
@@ -61,33 +68,36 @@
         self.count = 0
 
     def wait(self) -> int | None:
-        """Wait for the next moment; None once the time is over."""
+        """Wait until the next request is due.
+
+        :returns: number of the request, None after the end of the flood
+        """
         with self._lock:
-            moment = max(self._next, time.monotonic())
-            self._next = moment + self._interval
+            due = max(self._next, time.monotonic())
+            self._next = due + self._interval
             self.count += 1
             count = self.count
-        if moment >= self._end:
+        if due >= self._end:
             return None
-        time.sleep(max(0.0, moment - time.monotonic()))
+        time.sleep(max(0.0, due - time.monotonic()))
         return count
 
 
-def _describe(answer: client.Answer) -> str:
+def _name_result(answer: client.Answer) -> str:
     return answer.code or answer.outcome
 
 
 def _run(
     plan: Plan,
     number: int,
-    pace: _Pace,
+    schedule: _Schedule,
     counts: collections.Counter[str],
 ) -> None:
     url = plan.urls[number % len(plan.urls)]
     key = plan.keys[number % len(plan.keys)]
     caller = client.Caller(url, key, read_seconds=plan.read_seconds)
     rng = random.Random(number)
-    while (count := pace.wait()) is not None:
+    while (count := schedule.wait()) is not None:
         words = (f'{count}-{word}' for word in range(plan.prompt_words))
         answer = caller.complete(
             ' '.join(words),
@@ -96,21 +106,21 @@
             stream=rng.random() < 0.5,
             idempotency_key=f'flood-{count}' if plan.claims else None,
         )
-        # One operation of the interpreter; the counts need no lock.
-        counts[_describe(answer)] += 1
+        # Each thread has a counter of its own, so no lock is needed.
+        counts[_name_result(answer)] += 1
     caller.close()
 
 
 def main() -> None:
-    """Run the flood that the standard input describes."""
+    """Run the flood that is described on standard input."""
     plan = Plan(**json.load(sys.stdin))
-    pace = _Pace(plan.rate, plan.seconds)
+    schedule = _Schedule(plan.rate, plan.seconds)
     counts: list[collections.Counter[str]] = []
     threads = []
     for number in range(plan.connections):
         counts.append(collections.Counter())
         thread = threading.Thread(
-            target=_run, args=(plan, number, pace, counts[-1]), daemon=True
+            target=_run, args=(plan, number, schedule, counts[-1]), daemon=True
         )
         thread.start()
         threads.append(thread)
@@ -124,9 +134,9 @@
 
 @attrs.define
 class Flood:
-    """A running flood.
+    """Handle to the process of a flood.
 
-    :ivar counts: answers by kind, once it has ended
+    :ivar counts: responses by error code or outcome, set after the end
     """
 
     process: subprocess.Popen
@@ -135,7 +145,7 @@
     @classmethod
     @contextlib.contextmanager
     def start(cls, plan: Plan) -> Iterator['Flood']:
-        """Start a flood and wait for its end behind the block."""
+        """Start a flood and wait for its end on leaving the context."""
         process = subprocess.Popen(
             (sys.executable, '-m', 'dunlintide_trials.floods'),
             stdin=subprocess.PIPE,
--- a/packages/trials/src/dunlintide_trials/load.py
+++ b/packages/trials/src/dunlintide_trials/load.py
@@ -1,4 +1,4 @@
-"""Load for soaks: threads that ask, ask again and remember."""
+"""Load generator of soaks that records requests, repeats and responses."""
 
 import json
 import random
@@ -18,16 +18,17 @@
 _MAX_TOKENS = 40
 _WORDS = ('fresh', 'peach', 'cobbler', 'brisket', 'diesel', 'fridge', 'drum')
 _PROMPT_WORDS = (3, 40)
-_PAUSE_SECONDS = (0.0, 0.1)
+_GAP_SECONDS = (0.0, 0.1)
 _MAX_REPEATS = 3
-_REPEAT_RATE = 0.4
+_REPEAT_PROBABILITY = 0.4
 _STREAM_SHARE = 0.7
 _KEYED_STREAM_SHARE = 0.35
-# Of each 16 threads; the last one reads.
+# Threads of each group of 16 by kind of request; the remaining one sends
+# idempotent reads.
 _COMPLETE_THREADS = 8
-_KEYED_THREADS = 3
-_ORDER_THREADS = 3
-_ORDER_ONCE_THREADS = 1
+_KEYED_COMPLETE_THREADS = 3
+_KEYED_CALL_THREADS = 3
+_UNKEYED_CALL_THREADS = 1
 
 
 @attrs.frozen
@@ -35,7 +36,8 @@
     """A call of a plain service with all its repeats.
 
     :ivar key: idempotency key, empty without one
-    :ivar body: what was sent, empty for an idempotent call
+    :ivar body: body of the request, empty for an idempotent call
+    :ivar answers: responses to the call and its repeats, in order
     """
 
     team: str
@@ -44,34 +46,39 @@
     answers: tuple[client.Answer, ...]
 
     def check(self) -> list[str]:
-        """List what is wrong with the answers, compared with each other.
+        """List responses that belong to other calls or differ in repeats.
 
-        The stand-in echoes the key and the team, so an answer that
-        belongs to another call shows. Without a key of the caller, where
-        the router may make one, it shows by the request's id.
+        The stand-in echoes the team and the idempotency key, which
+        identify the call. Without a key from the caller the router may
+        generate one, so the request id identifies the call instead.
         """
-        whole = [one for one in self.answers if one.is_complete]
-        wrong = []
-        for answer in whole:
+        complete = [one for one in self.answers if one.is_complete]
+        violations = []
+        for answer in complete:
             echo = json.loads(answer.body)
             found = (echo['member'], echo['idempotency_key'])
-            right = found == (self.team, self.key)
+            matches = found == (self.team, self.key)
             if not self.key:
                 found = (echo['member'], echo['request_id'])
-                right = found == (self.team, answer.request_id)
-            if not right:
-                wrong.append(f'{answer.request_id}: answer of {found}')
-        if self.key and len({one.body for one in whole}) > 1:
-            wrong.append(f'key {self.key}: repeats got different answers')
-        return wrong
+                matches = found == (self.team, answer.request_id)
+            if not matches:
+                violations.append(
+                    f'{answer.request_id}: got the answer of {found}'
+                )
+        if self.key and len({one.body for one in complete}) > 1:
+            violations.append(
+                f'key {self.key}: repeats got different responses'
+            )
+        return violations
 
 
 @attrs.frozen
-class _Turn:
-    """What one request is made with.
+class _RequestSpec:
+    """Parameters of one request.
 
-    :ivar callers: one for each entry, in the order to ask them
-    :ivar name: unique in the run
+    :ivar callers: one client for each entry, in the order of repeats
+    :ivar rng: random generator of the thread
+    :ivar name: unique name within the soak
     """
 
     team: str
@@ -80,7 +87,7 @@
     name: str
 
     def draw_prompt(self) -> str:
-        """Return a prompt of random length that no other turn sends."""
+        """Build a unique prompt of random length."""
         count = self.rng.randint(*_PROMPT_WORDS)
         return ' '.join([self.name, *self.rng.choices(_WORDS, k=count)])
 
@@ -91,20 +98,20 @@
     return 'order without a key' if call.body else 'read'
 
 
-def _repeat(
+def _send_repeatedly(
     send: Callable[[client.Caller], client.Answer],
     callers: list[client.Caller],
     rng: random.Random,
 ) -> list[client.Answer]:
-    """Send under a key until it is complete, and some once more.
+    """Repeat a keyed request until it completes, sometimes once more.
 
-    Each repeat goes through another entry.
+    Each repeat goes to the next entry.
     """
     answers: list[client.Answer] = []
     while len(answers) <= _MAX_REPEATS:
         answer = send(callers[len(answers) % len(callers)])
         answers.append(answer)
-        if answer.is_complete and rng.random() > _REPEAT_RATE:
+        if answer.is_complete and rng.random() > _REPEAT_PROBABILITY:
             break
     return answers
 
@@ -112,9 +119,12 @@
 class Load:
     """Threads that send requests until they are stopped.
 
-    Each thread sends one kind of request, and asks one entry first: a
-    request that waits, as at a paused entry, holds up no other kind and
-    no other entry.
+    Each thread sends one kind of request, to one entry first, so that a
+    request that waits at a paused entry delays neither other kinds nor
+    other entries.
+
+    :ivar completions: completions with their responses
+    :ivar calls: calls of plain services with their responses
     """
 
     def __init__(
@@ -124,9 +134,14 @@
         seed: int,
         threads: int,
     ) -> None:
-        """Prepare the threads; ``start`` begins."""
+        """Prepare the threads, which ``start`` starts.
+
+        :param teams: teams that send requests
+        :param seed: seed of the random generators
+        :param threads: number of threads
+        """
         self._teams = teams
-        self.completions: list[records.Asked] = []
+        self.completions: list[records.SentRequest] = []
         self.calls: list[ServiceCall] = []
         self._running = running
         self._lock = threading.Lock()
@@ -141,15 +156,15 @@
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self, seconds: float) -> int:
-        """Send nothing new and wait for the answers.
+        """Stop sending and wait for outstanding responses.
 
         :param seconds: longest wait for all threads together
-        :returns: number of threads that still wait
+        :returns: number of threads that still wait for a response
         """
         self._stopped.set()
         end = time.monotonic() + seconds
@@ -159,7 +174,7 @@
 
     def _run(self, number: int, rng: random.Random) -> None:
         count = 0
-        send = self._choose(number)
+        send = self._choose_kind(number)
         entries = list(range(len(self._running.plan.entries)))
         first = number % len(entries)
         while not self._stopped.is_set():
@@ -169,40 +184,40 @@
                 self._running.make_caller(entry, team)
                 for entry in entries[first:] + entries[:first]
             ]
-            turn = _Turn(team, callers, rng, f'{number}-{count}')
-            send(turn)
+            spec = _RequestSpec(team, callers, rng, f'{number}-{count}')
+            send(spec)
             for caller in callers:
                 caller.close()
-            self._stopped.wait(rng.uniform(*_PAUSE_SECONDS))
+            self._stopped.wait(rng.uniform(*_GAP_SECONDS))
 
-    def _choose(self, number: int) -> Callable[[_Turn], None]:
-        """Choose what a thread sends, by its number."""
+    def _choose_kind(self, number: int) -> Callable[[_RequestSpec], None]:
+        """Choose the kind of request that a thread sends."""
         kinds = [self._complete] * _COMPLETE_THREADS
-        kinds += [self._complete_keyed] * _KEYED_THREADS
-        kinds += [self._order] * _ORDER_THREADS
-        kinds += [self._order_once] * _ORDER_ONCE_THREADS
-        kinds.append(self._read)
+        kinds += [self._complete_keyed] * _KEYED_COMPLETE_THREADS
+        kinds += [self._call_keyed] * _KEYED_CALL_THREADS
+        kinds += [self._call_unkeyed] * _UNKEYED_CALL_THREADS
+        kinds.append(self._call_idempotent)
         return kinds[number % len(kinds)]
 
-    def _complete(self, turn: _Turn) -> None:
-        rng = turn.rng
-        prompt = turn.draw_prompt()
+    def _complete(self, spec: _RequestSpec) -> None:
+        rng = spec.rng
+        prompt = spec.draw_prompt()
         max_tokens = rng.randint(1, _MAX_TOKENS)
         stream = rng.random() < _STREAM_SHARE
-        answer = turn.callers[0].complete(
+        answer = spec.callers[0].complete(
             prompt,
             model=self._running.model,
             max_tokens=max_tokens,
             stream=stream,
         )
-        asked = records.Asked(turn.team, answer, prompt, max_tokens)
+        request = records.SentRequest(spec.team, answer, prompt, max_tokens)
         with self._lock:
-            self.completions.append(asked)
+            self.completions.append(request)
 
-    def _complete_keyed(self, turn: _Turn) -> None:
-        rng = turn.rng
-        prompt = turn.draw_prompt()
-        key = f'copy-{turn.name}-{rng.getrandbits(32):08x}'
+    def _complete_keyed(self, spec: _RequestSpec) -> None:
+        rng = spec.rng
+        prompt = spec.draw_prompt()
+        key = f'copy-{spec.name}-{rng.getrandbits(32):08x}'
         max_tokens = rng.randint(1, _MAX_TOKENS)
         stream = rng.random() < _KEYED_STREAM_SHARE
 
@@ -215,16 +230,16 @@
                 idempotency_key=key,
             )
 
-        asked = [
-            records.Asked(turn.team, answer, prompt, max_tokens, key)
-            for answer in _repeat(send, turn.callers, turn.rng)
+        requests = [
+            records.SentRequest(spec.team, answer, prompt, max_tokens, key)
+            for answer in _send_repeatedly(send, spec.callers, spec.rng)
         ]
         with self._lock:
-            self.completions += asked
+            self.completions += requests
 
-    def _order(self, turn: _Turn) -> None:
+    def _call_keyed(self, spec: _RequestSpec) -> None:
         service = self._running.plan.blueprint.services[0]
-        key = f'order-{turn.name}-{turn.rng.getrandbits(32):08x}'
+        key = f'order-{spec.name}-{spec.rng.getrandbits(32):08x}'
         body = json.dumps({'order': key}).encode()
 
         def send(caller: client.Caller) -> client.Answer:
@@ -236,47 +251,48 @@
                 idempotency_key=key,
             )
 
-        answers = _repeat(send, turn.callers, turn.rng)
-        call = ServiceCall(turn.team, key, body, tuple(answers))
+        answers = _send_repeatedly(send, spec.callers, spec.rng)
+        call = ServiceCall(spec.team, key, body, tuple(answers))
         with self._lock:
             self.calls.append(call)
 
-    def _order_once(self, turn: _Turn) -> None:
-        """Send what must not run twice without a key, so only once."""
+    def _call_unkeyed(self, spec: _RequestSpec) -> None:
+        """Send a non-idempotent call without a key and don't repeat it."""
         service = self._running.plan.blueprint.services[0]
-        body = json.dumps({'order': turn.name}).encode()
-        answer = turn.callers[0].call_service(
+        body = json.dumps({'order': spec.name}).encode()
+        answer = spec.callers[0].call_service(
             service.name, service.path, method='POST', body=body
         )
         with self._lock:
-            self.calls.append(ServiceCall(turn.team, '', body, (answer,)))
+            self.calls.append(ServiceCall(spec.team, '', body, (answer,)))
 
-    def _read(self, turn: _Turn) -> None:
+    def _call_idempotent(self, spec: _RequestSpec) -> None:
         service = self._running.plan.blueprint.services[-1]
-        path = f'{service.path}/{turn.name}'
-        answer = turn.callers[0].call_service(service.name, path)
+        path = f'{service.path}/{spec.name}'
+        answer = spec.callers[0].call_service(service.name, path)
         with self._lock:
-            self.calls.append(ServiceCall(turn.team, '', b'', (answer,)))
+            self.calls.append(ServiceCall(spec.team, '', b'', (answer,)))
 
     def count_keyed(self) -> tuple[int, int]:
-        """Count the requests under a key, and their repeats."""
-        asked = [one.key for one in self.completions if one.key]
-        asked += [c.key for c in self.calls if c.key for _ in c.answers]
-        return len(set(asked)), len(asked) - len(set(asked))
+        """Count the idempotency keys and the repeats under them."""
+        keys = [one.key for one in self.completions if one.key]
+        keys += [c.key for c in self.calls if c.key for _ in c.answers]
+        return len(set(keys)), len(keys) - len(set(keys))
 
-    def count_quiet_seconds(self) -> tuple[int, int]:
-        """Count the seconds in which no completion ended whole.
+    def count_failing_seconds(self) -> tuple[int, int]:
+        """Count the seconds in which no completion succeeded.
 
-        :returns: them, and all seconds from the first answer to the last
+        :returns: these seconds, and the seconds from the first response to
+            the last
         """
         answers = [one.answer for one in self.completions]
         ends = {int(one.ended) for one in answers}
-        whole = {int(one.ended) for one in answers if one.is_complete}
+        complete = {int(one.ended) for one in answers if one.is_complete}
         span = max(ends) - min(ends) + 1 if ends else 0
-        return span - len(whole), span
+        return span - len(complete), span
 
     def count_outcomes(self) -> dict[str, int]:
-        """Count the answers by kind of request and outcome."""
+        """Count the responses by kind of request and outcome."""
         counts: dict[str, int] = {}
         answers = [
             ('keyed completion' if one.key else 'completion', one.answer)
--- a/packages/trials/src/dunlintide_trials/stagelosses.py
+++ b/packages/trials/src/dunlintide_trials/stagelosses.py
@@ -1,8 +1,9 @@
-"""Deaths of a stage under streams, measured at the callers.
+"""Effect of the loss of a stage on the streams through it.
 
-A round opens streams through all entries, kills the agent or the engine
-of one middle stage once each has its tokens, and looks at the streams
-that ran over it. The engines' records tell what ran again.
+A round opens streams through all entries, kills the agent or the engine of
+one middle stage when each stream has some tokens, and measures the gap in
+the streams through that stage. The records of the engines show which steps
+were recomputed.
 """
 
 from concurrent import futures
@@ -23,52 +24,57 @@
 from dunlintide_trials import processes
 from dunlintide_trials import records
 
-__all__ = ['AGENT', 'ENGINE', 'Loss', 'join', 'lose_stage', 'run']
+__all__ = ['AGENT', 'ENGINE', 'StageLoss', 'merge', 'kill_stage', 'run']
 
 AGENT = 'agent'
 ENGINE = 'engine'
-# So many that no entry comes to the end of its ten retries.
+# With fewer entries one of them would use up its ten initial retries.
 ENTRIES = 8
 STREAMS = 16
 TOKENS_BEFORE = 64
 TOKENS = 160
-# Three stages make 24 ms a token, close to the aim of 26 ms.
+# Three stages take 24 ms per token, close to the target of 26 ms.
 STEP_SECONDS = 0.008
 _WAIT_SECONDS = 60.0
 _EXAMPLE = launcher.EXAMPLE
 
 
 @attrs.frozen
-class Loss:
-    """What the death of one stage did to the streams over it.
-
-    :ivar seconds: from the kill to the next token, for each stream
-    :ivar again: layer-steps that ran beyond what one run takes, likewise
-    :ivar wrong: streams whose answer was not whole and right
-    :ivar kept: bytes of activations that a head kept for a stream
-    :ivar denied: retries that the entries' budgets did not cover
+class StageLoss:
+    """Effect of the loss of a stage on the streams through it.
+
+    :ivar seconds: time from the kill to the next token of each stream
+    :ivar recomputed: layer steps of each stream beyond those of
+        a single run
+    :ivar wrong: number of streams with an incomplete or wrong response
+    :ivar kept: mean bytes of activations for a stream at each agent that
+        kept some
+    :ivar denied: retries that the retry budgets of the entries denied
     """
 
     seconds: list[float]
-    again: list[int]
+    recomputed: list[int]
     wrong: int
     kept: list[float]
     denied: int = 0
 
-    def tell_percentile(self, part: float) -> float:
-        """Return a percentile of the seconds, 0 to 1."""
+    def compute_percentile(self, part: float) -> float:
+        """Return a percentile of the seconds.
+
+        :param part: percentile as a fraction
+        """
         if len(self.seconds) < 2:
             return statistics.fmean(self.seconds)
         cuts = statistics.quantiles(self.seconds, n=100, method='inclusive')
         return cuts[round(part * 100) - 1]
 
 
-def join(losses: Iterable[Loss]) -> Loss:
-    """Put the streams of several rounds together."""
+def merge(losses: Iterable[StageLoss]) -> StageLoss:
+    """Combine the losses of several rounds."""
     losses = list(losses)
-    return Loss(
+    return StageLoss(
         [second for loss in losses for second in loss.seconds],
-        [again for loss in losses for again in loss.again],
+        [steps for loss in losses for steps in loss.recomputed],
         sum(loss.wrong for loss in losses),
         [size for loss in losses for size in loss.kept],
         sum(loss.denied for loss in losses),
@@ -77,9 +83,9 @@
 
 @contextlib.contextmanager
 def run(recovery: str) -> Iterator[deployment.Deployment]:
-    """Start three stages of two engines each, and entries.
+    """Start a deployment of three stages with two engines each.
 
-    :param recovery: the entries' setting of that name
+    :param recovery: the ``recovery`` setting of the entries
     """
     blueprint = blueprints.shrink(blueprints.load_blueprint(_EXAMPLE))
     pipeline = blueprint.pipelines[0]
@@ -94,7 +100,7 @@
     )
     rules = operators.load_rules(_EXAMPLE.parent / blueprint.rules)
     for rule in rules['rules']:
-        # A new entry has but a small share of a team's limit.
+        # A new entry has only a small share of a team's limit.
         rule['then'].pop('concurrency', None)
     with tempfile.TemporaryDirectory(prefix='dunlintide-') as folder:
         path = pathlib.Path(folder)
@@ -104,7 +110,7 @@
 
 
 def _make_prompt(name: str, number: int, words: int) -> str:
-    # The first word keeps the streams from sharing a prefix.
+    # A unique first word prevents that streams share a prefix.
     return ' '.join([f'{name}-{number}'] + ['special'] * (words - 1))
 
 
@@ -121,20 +127,23 @@
 def _wait_tokens(
     running: deployment.Deployment, middle: list[str], positions: int, old: set
 ) -> None:
-    def have() -> bool:
+    def have_tokens() -> bool:
         found = set()
         for endpoint in middle:
             found |= _find_started(running, endpoint, positions)
         return len(found - old) >= STREAMS
 
-    if not processes.wait_for(have, _WAIT_SECONDS, pause=0.005):
-        raise RuntimeError('the streams did not get their tokens')
+    if not processes.wait_for(have_tokens, _WAIT_SECONDS, pause=0.005):
+        raise RuntimeError(
+            f'fewer than {STREAMS} streams reached {positions} positions '
+            f'within {_WAIT_SECONDS:.0f} s'
+        )
 
 
-def _tell_delay(answer: client.Answer, killed: float) -> float:
-    """Return the seconds from the kill to the token behind the gap.
+def _compute_delay(answer: client.Answer, killed: float) -> float:
+    """Return the seconds from the kill to the token after the longest gap.
 
-    A token that was past the stage may still come after the kill.
+    The first token after the kill may have passed the stage before it.
     """
     gaps = [
         (after - before, after)
@@ -144,7 +153,7 @@
     return max(gaps)[1] - killed
 
 
-def _count_again(
+def _count_recomputed(
     found: list[dict], request_id: str, words: int, layers: int
 ) -> int:
     ran = sum(
@@ -154,7 +163,7 @@
 
 
 def _read_kept(running: deployment.Deployment) -> list[float]:
-    """Read the mean bytes of a session at each agent that keeps some."""
+    """Read the mean activation bytes per session of each agent with any."""
     found = []
     for agent in running.plan.agents:
         if agent.endpoint.kind == ENGINE:
@@ -172,30 +181,37 @@
 
 
 def _read_runs(
-    running: deployment.Deployment, engine: str, over: list[dict] | None
+    running: deployment.Deployment, engine: str, killed_runs: list[dict] | None
 ) -> list[dict]:
-    """Read all records; those of a dead engine were read before."""
-    if over is None:
+    """Read the runs of all engines.
+
+    :param engine: engine that may have been killed
+    :param killed_runs: runs of that engine from before the kill, None when it
+        still runs
+    """
+    if killed_runs is None:
         return running.read_runs(ENGINE)
     names = [
         agent.endpoint.standin.name
         for agent in running.plan.agents
         if agent.endpoint.kind == ENGINE
     ]
-    found = list(over)
+    found = list(killed_runs)
     for name in names:
         if name != engine:
             found += running.read_endpoint_runs(name)
     return found
 
 
-def lose_stage(
+def kill_stage(
     running: deployment.Deployment, kind: str, name: str, words: int
-) -> Loss:
-    """Kill one middle stage under streams, and start it again after.
+) -> StageLoss:
+    """Kill the agent or engine of one middle stage during streams.
+
+    The killed process is restarted at the end.
 
-    :param kind: what is killed, ``AGENT`` or ``ENGINE``
-    :param name: begins each prompt, so it must be new
+    :param kind: process to kill, ``AGENT`` or ``ENGINE``
+    :param name: unique start of each prompt
     :param words: tokens of each prompt
     """
     teams = list(running.keys)
@@ -223,47 +239,51 @@
         ]
         _wait_tokens(running, middle, words + TOKENS_BEFORE, old)
         counts = [len(_find_started(running, e, 1) - old) for e in middle]
-        struck = counts.index(max(counts))
-        engine = middle[struck]
-        victim = agents[struck].name if kind == AGENT else engine
-        over = running.read_endpoint_runs(engine)
+        affected = counts.index(max(counts))
+        engine = middle[affected]
+        killed_name = agents[affected].name if kind == AGENT else engine
+        killed_runs = running.read_endpoint_runs(engine)
         kept = _read_kept(running)
         denied = _count_denied(running)
         killed = time.monotonic()
-        running.started[victim].kill()
+        running.started[killed_name].kill()
         answers = [one.result() for one in waiting]
-    found = _read_runs(running, engine, over if kind == ENGINE else None)
-    running.restart(victim)
-    seen = (over, found, old, killed)
-    loss = _judge(running, answers, prompts, seen, words)
+    found = _read_runs(
+        running, engine, killed_runs if kind == ENGINE else None
+    )
+    running.restart(killed_name)
+    observed = (killed_runs, found, old, killed)
+    loss = _summarize(running, answers, prompts, observed, words)
     denied = _count_denied(running) - denied
     return attrs.evolve(loss, kept=kept, denied=denied)
 
 
-def _judge(
+def _summarize(
     running: deployment.Deployment,
     answers: list[client.Answer],
     prompts: list[str],
-    seen: tuple[list[dict], list[dict], set[str], float],
+    observed: tuple[list[dict], list[dict], set[str], float],
     words: int,
-) -> Loss:
-    over, found, old, killed = seen
-    hit = {run['request_id'] for run in over} - old
+) -> StageLoss:
+    killed_runs, found, old, killed = observed
+    affected_ids = {run['request_id'] for run in killed_runs} - old
     wrong = 0
     for answer, prompt in zip(answers, prompts):
-        asked = records.Asked('', answer, prompt, TOKENS)
-        faults = records.check_text(
-            asked, model=running.model, layers=running.layers
+        request = records.SentRequest('', answer, prompt, TOKENS)
+        errors = records.check_text(
+            request, model=running.model, layers=running.layers
         )
-        wrong += bool(faults) or not answer.is_complete
-    struck = [
-        one for one in answers if one.request_id in hit and one.is_complete
+        wrong += bool(errors) or not answer.is_complete
+    affected = [
+        one
+        for one in answers
+        if one.request_id in affected_ids and one.is_complete
     ]
-    return Loss(
-        [_tell_delay(one, killed) for one in struck],
+    return StageLoss(
+        [_compute_delay(one, killed) for one in affected],
         [
-            _count_again(found, one.request_id, words, running.layers)
-            for one in struck
+            _count_recomputed(found, one.request_id, words, running.layers)
+            for one in affected
         ],
         wrong,
         [],
--- a/packages/trials/src/dunlintide_trials/streams.py
+++ b/packages/trials/src/dunlintide_trials/streams.py
@@ -1,7 +1,7 @@
-"""Many streams at the pace of real tokens through one real entry.
+"""Many concurrent streams through one real entry at a realistic token rate.
 
-The entry, its agents and the callers are three processes, so that the
-entry's CPU time and memory are its own.
+The entry, its agents and the callers run in three processes, so that the
+CPU time and memory of the entry can be measured separately.
 """
 
 import contextlib
@@ -26,17 +26,17 @@
 from dunlintide_core import settings
 from dunlintide_daemon.entry import role
 from dunlintide_daemon.entry import sources
-from dunlintide_trials import pairs
+from dunlintide_trials import childprocesses
 
 __all__ = [
     'STEP_SECONDS',
     'Usage',
     'run_entry',
-    'run_toy',
+    'run_baseline',
 ]
 
 STEP_SECONDS = 0.026
-# As many links as would carry an entry's streams in a large deployment.
+# Links that carry the streams of an entry in a large deployment.
 AGENTS = 16
 THREADS = 256
 WARMUP_SECONDS = 0.8
@@ -45,18 +45,19 @@
 _LAYERS = 24
 _MICRO = 1e6
 _MB = 1e6
-_EVENT = b'data: {'
+_EVENT_MARKER = b'data: {'
 
 Serve = Callable[[list[str]], contextlib.AbstractContextManager[int]]
 
 
 @attrs.frozen
 class Usage:
-    """What a server spent on streams.
+    """Resources that a server used for streams.
 
-    :ivar cpu_token: CPU time for one token, in microseconds
+    :ivar cpu_token: CPU time per token in microseconds
     :ivar resident: resident memory in MB while all streams ran
-    :ivar complete: streams that ended whole
+    :ivar threads: number of threads of the server
+    :ivar complete: number of streams that completed
     """
 
     cpu_token: float
@@ -66,23 +67,23 @@
 
 
 class _Agent:
-    """An agent whose endpoint makes a token for each session at a step."""
+    """An agent that sends one token to each session per step."""
 
     def __init__(self, number: int) -> None:
         self.name = f'agent-{number}'
         self._sessions: dict[str, list] = {}
         self._lock = threading.Lock()
         handlers = links.Handlers(
-            lambda link: None, self._take, lambda link, reason: None
+            lambda link: None, self._handle_frames, lambda link, reason: None
         )
         self._server = linkserver.LinkServer(
-            '127.0.0.1:0', self._hello, handlers
+            '127.0.0.1:0', self._make_hello, handlers
         )
         self.address = f'127.0.0.1:{self._server.port}'
         self._server.start()
-        threading.Thread(target=self._step, daemon=True).start()
+        threading.Thread(target=self._run_steps, daemon=True).start()
 
-    def _hello(self) -> link_pb2.Hello:
+    def _make_hello(self) -> link_pb2.Hello:
         endpoint = link_pb2.Endpoint(
             kind='engine',
             model=_MODEL,
@@ -94,14 +95,16 @@
             name=self.name, role='agent', incarnation=1, endpoint=endpoint
         )
 
-    def _take(self, link: links.Link, frames: list[link_pb2.Frame]) -> None:
+    def _handle_frames(
+        self, link: links.Link, frames: list[link_pb2.Frame]
+    ) -> None:
         for frame in frames:
             if frame.WhichOneof('body') == 'open':
                 with self._lock:
                     request_id = frame.open.terms.request_id
                     self._sessions[request_id] = [link, frame.open, 0]
 
-    def _step(self) -> None:
+    def _run_steps(self) -> None:
         due = time.monotonic()
         while True:
             due += STEP_SECONDS
@@ -112,22 +115,22 @@
                 self._send(session)
 
     def _send(self, session: list) -> None:
-        link, asked, index = session
-        request_id = asked.terms.request_id
+        link, request, index = session
+        request_id = request.terms.request_id
         token = link_pb2.Token(
             request_id=request_id,
-            epoch=asked.epoch,
+            epoch=request.epoch,
             index=index,
             id=index,
             text=f' word{index}',
         )
         link.send(link_pb2.Frame(token=token))
         session[2] += 1
-        if session[2] < asked.max_tokens:
+        if session[2] < request.max_tokens:
             return
         done = link_pb2.Done(
             request_id=request_id,
-            epoch=asked.epoch,
+            epoch=request.epoch,
             tokens=session[2],
             finish_reason='length',
         )
@@ -137,7 +140,7 @@
 
 
 class _Writer:
-    """No request of the load is bound to an executor."""
+    """Claim writer without a store; no request of the load has a key."""
 
     def bind(self, wanted: claims.Binding, timeout: float):
         return result.Err('no store')
@@ -153,7 +156,7 @@
 
 
 def _make_key(number: int) -> str:
-    # A stream each, as one team may not take all of an entry's threads.
+    # One team per stream, as a team must not use all threads of an entry.
     return f'bench-{number}'
 
 
@@ -174,7 +177,7 @@
             ),
         ),
     )
-    listed = [
+    hosts = [
         hostlist.Host(f'agent-{number}', 'agent', address)
         for number, address in enumerate(addresses)
     ]
@@ -183,8 +186,10 @@
         adopt(1, config)
         stopped.wait()
 
-    outside = sources.Sources(lambda: result.Ok(listed), follow, _Writer())
-    chosen = settings.Settings(
+    entry_sources = sources.Sources(
+        lambda: result.Ok(hosts), follow, _Writer()
+    )
+    entry_settings = settings.Settings(
         role='entry',
         name='entry',
         failure_domain='a',
@@ -195,23 +200,26 @@
         listen='127.0.0.1:0',
         limits=settings.Limits(threads=THREADS),
     )
-    with role.Entry(chosen, outside, lame_duck=0.0) as entry:
+    with role.Entry(entry_settings, entry_sources, lame_duck=0.0) as entry:
         deadline = time.monotonic() + _START_SECONDS
         while len(entry.describe()['fleet']['agents']) < len(addresses):
             if time.monotonic() > deadline:
-                raise TimeoutError('agents were not reached')
+                raise TimeoutError(
+                    f'entry did not reach {len(addresses)} agents within '
+                    f'{_START_SECONDS:.0f} s'
+                )
             time.sleep(0.01)
         yield entry.port
 
 
-def _stream_toy(environ, start_response) -> Iterator[bytes]:
-    """Stream the same events without any router's code."""
+def _stream_baseline(environ, start_response) -> Iterator[bytes]:
+    """Stream the same events without code of the router."""
     size = int(environ['CONTENT_LENGTH'])
-    asked = json.loads(environ['wsgi.input'].read(size))
+    request = json.loads(environ['wsgi.input'].read(size))
     head = json.dumps({'id': 'cmpl-toy', 'object': 'text_completion'})
     start_response('200 OK', [('Content-Type', 'text/event-stream')])
     due = time.monotonic()
-    for index in range(asked['max_tokens']):
+    for index in range(request['max_tokens']):
         due += STEP_SECONDS
         time.sleep(max(0.0, due - time.monotonic()))
         yield f'data: {head[:-1]}, "text": " word{index}"}}\n\n'.encode()
@@ -219,9 +227,9 @@
 
 
 @contextlib.contextmanager
-def _serve_toy(addresses: list[str]) -> Iterator[int]:
+def _serve_baseline(addresses: list[str]) -> Iterator[int]:
     server = waitress.create_server(
-        _stream_toy,
+        _stream_baseline,
         listen='127.0.0.1:0',
         threads=THREADS,
         connection_limit=THREADS * 4,
@@ -230,13 +238,13 @@
     yield int(server.effective_port)
 
 
-def _host_server(pipe, serve: Serve, addresses: list[str]) -> None:
+def _run_server(pipe, serve: Serve, addresses: list[str]) -> None:
     with serve(addresses) as port:
         pipe.send(port)
         pipe.recv()
 
 
-def _host_agents(pipe) -> None:
+def _run_agents(pipe) -> None:
     agents = [_Agent(number) for number in range(AGENTS)]
     pipe.send([agent.address for agent in agents])
     pipe.recv()
@@ -259,7 +267,12 @@
 
 
 class _Callers:
-    """Callers that only count what they get."""
+    """Callers that count events without parsing them.
+
+    :ivar events: number of events received
+    :ivar complete: number of streams with an end marker
+    :ivar open: number of streams that have not ended
+    """
 
     def __init__(self, port: int, count: int, tokens: int) -> None:
         self.events = 0
@@ -274,15 +287,16 @@
             self._selector.register(caller, selectors.EVENT_READ)
 
     def read(self, until: float) -> None:
-        """Read until a moment, or until all streams have ended."""
+        """Read until a monotonic time or the end of all streams."""
         while self.open and (left := until - time.monotonic()) > 0:
             for key, _ in self._selector.select(left):
-                self._take(key.fileobj)
+                self._read_caller(key.fileobj)
 
-    def _take(self, caller: socket.socket) -> None:
+    def _read_caller(self, caller: socket.socket) -> None:
         data = caller.recv(1 << 16)
-        # An event may be split, but its mark seldom is; all have one size.
-        self.events += data.count(_EVENT)
+        # A marker that is split between two reads is not counted, which is
+        # rare enough to be ignored.
+        self.events += data.count(_EVENT_MARKER)
         self.complete += data.count(b'[DONE]')
         if not data:
             self._selector.unregister(caller)
@@ -290,14 +304,16 @@
             self.open -= 1
 
 
-def _measure(server: pairs.Started, count: int, seconds: float) -> Usage:
+def _measure(
+    server: childprocesses.ChildProcess, count: int, seconds: float
+) -> Usage:
     tokens = int((WARMUP_SECONDS * 2 + seconds) / STEP_SECONDS)
     process = server.process
-    callers = _Callers(server.first, count, tokens)
+    callers = _Callers(server.first_message, count, tokens)
     callers.read(time.monotonic() + WARMUP_SECONDS)
-    cpu, events = server.read_time(), callers.events
+    cpu, events = server.read_cpu_seconds(), callers.events
     callers.read(time.monotonic() + seconds)
-    cpu, events = server.read_time() - cpu, callers.events - events
+    cpu, events = server.read_cpu_seconds() - cpu, callers.events - events
     resident = process.memory_info().rss / _MB
     threads = process.num_threads()
     callers.read(time.monotonic() + _START_SECONDS)
@@ -305,19 +321,26 @@
 
 
 def run_entry(count: int, seconds: float) -> Usage:
-    """Stream through an entry and measure it.
+    """Measure an entry under concurrent streams.
 
-    :param count: streams at once
-    :param seconds: time that is measured
+    :param count: number of concurrent streams
+    :param seconds: duration of the measurement
     """
     with (
-        pairs.start(_host_agents) as agents,
-        pairs.start(_host_server, _serve_entry, agents.first) as entry,
+        childprocesses.start_process(_run_agents) as agents,
+        childprocesses.start_process(
+            _run_server, _serve_entry, agents.first_message
+        ) as entry,
     ):
         return _measure(entry, count, seconds)
 
 
-def run_toy(count: int, seconds: float) -> Usage:
-    """Stream the same from a program that does nothing else."""
-    with pairs.start(_host_server, _serve_toy, []) as toy:
-        return _measure(toy, count, seconds)
+def run_baseline(count: int, seconds: float) -> Usage:
+    """Measure a minimal WSGI application under the same streams.
+
+    The parameters are those of ``run_entry``.
+    """
+    with childprocesses.start_process(
+        _run_server, _serve_baseline, []
+    ) as baseline:
+        return _measure(baseline, count, seconds)
