--- a/features/edge.feature
+++ b/features/edge.feature
@@ -1,6 +1,7 @@
 Feature: An entry on the platform's store
-  Real entries run against stand-ins of the store, engines and services,
-  whose own records tell what ran.
+  Entry processes run against stand-ins for the store, the engines and the
+  services. The stand-ins record what they executed, so that a lost or
+  repeated execution shows independently of the entry's own report.
 
   Background:
     Given a platform with engines and services in failure domains "a" and "b"
--- a/features/edgesoak.feature
+++ b/features/edgesoak.feature
@@ -1,5 +1,6 @@
 Feature: The edge role under series of faults
-  A short soak with a fixed seed; longer ones run by hand.
+  Guards against lost, repeated or stuck requests when faults overlap. This is
+  a short soak with a fixed seed; longer ones are run by hand.
 
   Scenario Outline: No promise is broken under overlapping faults
     When the edge role is soaked for <seconds> seconds with seed <seed>
--- a/features/endpoints.feature
+++ b/features/endpoints.feature
@@ -1,5 +1,6 @@
 Feature: Calls to an endpoint over new connections
-  An endpoint that is told to close a connection need not say that it will.
+  Guards against calls lost on a reused connection: an endpoint may close a
+  connection after its answer without announcing it in a header.
 
   Scenario Outline: No call is lost on a connection that the endpoint closes
     Given an endpoint that closes each connection at its second request
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of the test run: clean-up, quiet logs and bounded time."""
+"""Behave hooks: clean-up, log level and time limits."""
 
 import contextlib
 import faulthandler
@@ -11,7 +11,8 @@
 import hypothesis
 
 SCENARIO_SECONDS = 300
-# Threads still running this long after the last scenario end the run.
+# Time allowed for threads to end after the last scenario; the process is
+# ended if they take longer.
 EXIT_SECONDS = 20
 
 hypothesis.settings.register_profile(
@@ -21,39 +22,39 @@
 
 
 def _stop_actors() -> None:
-    """Stop actors that a scenario left, when it used any."""
+    """Stop the pykka actors that a scenario left running."""
     pykka = sys.modules.get('pykka')
     if pykka is not None:
         pykka.ActorRegistry.stop_all(timeout=EXIT_SECONDS)
 
 
 def before_all(context):
-    """Keep the logs of the code under test out of the report."""
+    """Set the log level to errors and share the root folder and ports."""
     logging.set_verbosity(logging.ERROR)
     context.root = pathlib.Path(__file__).resolve().parent.parent
     context.pick_ports = ports.pick_ports
 
 
 def before_feature(context, feature):
-    """Give the feature's scenarios ``shared`` and ``feature_stack``.
+    """Set ``context.shared`` and ``context.feature_stack``.
 
-    ``context.shared`` is a dict for what is costly to make, such as a
-    deployment; ``context.feature_stack`` closes it after the feature.
+    ``context.shared`` is a dict for objects that are costly to create, such
+    as a deployment; ``context.feature_stack`` closes them after the feature.
     """
     context.shared = {}
     context.feature_stack = contextlib.ExitStack()
 
 
 def after_feature(context, feature):
-    """Close what the feature's scenarios shared."""
+    """Close the objects that the feature's scenarios shared."""
     context.feature_stack.close()
 
 
 def before_scenario(context, scenario):
-    """Give the scenario ``stack`` and ``make_folder``.
+    """Set ``context.stack`` and ``context.make_folder``.
 
     ``context.stack`` is an exit stack closed after the scenario;
-    ``context.make_folder()`` makes a folder that goes with it.
+    ``context.make_folder()`` creates a folder that is removed with it.
     """
     faulthandler.dump_traceback_later(
         SCENARIO_SECONDS, exit=True, file=sys.__stderr__
@@ -68,7 +69,7 @@
 
 
 def after_scenario(context, scenario):
-    """Close what the scenario opened."""
+    """Close the scenario's exit stack, actors and time limit."""
     try:
         context.stack.close()
     finally:
@@ -77,7 +78,7 @@
 
 
 def after_all(context):
-    """Show the threads that keep the process from ending, and end it."""
+    """Dump the threads and end the process if it does not exit in time."""
     faulthandler.dump_traceback_later(
         EXIT_SECONDS, exit=True, file=sys.__stderr__
     )
--- a/features/fairness.feature
+++ b/features/fairness.feature
@@ -1,5 +1,6 @@
 Feature: No team takes what the others need
-  A team that floods gets its share of what is contended and no more.
+  Guards against starvation: a team that sends more requests than its share
+  gets no more than that share of a contended resource.
 
   Scenario: Requests of one team leave threads of an entry to others
     Given an HTTP server of 10 threads whose requests name their groups
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,6 +1,6 @@
 Feature: State of the fleet
-  Configuration and membership pass from process to process, without a
-  store call from each.
+  Configuration and membership spread by gossip, so that not every process
+  has to call the store.
 
   Scenario: Records merge the same in any order
     Then any records of one process merge alike in any order and number
--- a/features/flows.feature
+++ b/features/flows.feature
@@ -1,6 +1,8 @@
 Feature: Endpoints judged by what flows through them for all entries
-  With dozens of entries each has a few streams, so most of a chain's engines
-  carry no other stream of the same entry.
+  Guards against healthy engines being suspected and dead ones being missed.
+  With dozens of entries each has only a few streams, so most engines of a
+  chain carry no other stream of the same entry, and the entry depends on the
+  progress that other entries report.
 
   Scenario: An engine that no other stream of the entry uses is not suspected
     Given 14 entries with 3 streams each over 25 engines of one failure domain
--- a/features/https.feature
+++ b/features/https.feature
@@ -1,5 +1,6 @@
 Feature: HTTP server with TLS
-  With TLS on its port, an HTTP server bounds and finishes as it does without.
+  Guards against TLS weakening the server's size limits, time limits or
+  graceful stop.
 
   Background:
     Given an HTTPS server for 2 requests at once and bodies of 1000000 bytes
--- a/features/httpserver.feature
+++ b/features/httpserver.feature
@@ -1,5 +1,6 @@
 Feature: HTTP server
-  An HTTP server bounds what it holds and cuts off no request.
+  Guards against unbounded memory and queues under load, and against requests
+  cut off by a stop.
 
   Background:
     Given an HTTP server for 2 requests at once and bodies of 1000 bytes
--- a/features/steps/edge.py
+++ b/features/steps/edge.py
@@ -1,4 +1,4 @@
-"""Steps about entries on the platform's store."""
+"""Steps for streams and calls through entries on the platform's store."""
 
 import behave
 from dunlintide_standins.fleet import callers
--- a/features/steps/edge_faults.py
+++ b/features/steps/edge_faults.py
@@ -1,4 +1,4 @@
-"""Steps about endpoints of an entry that fail or change."""
+"""Steps for failing, restarting and draining endpoints of an entry."""
 
 import time
 
@@ -9,7 +9,7 @@
 
 
 class _NoFaults:
-    """Stands in for a runner's faults; each step overrides what it makes."""
+    """Replaces a runner's faults; a step overrides those it injects."""
 
     full = False
     stall_after = None
@@ -56,7 +56,7 @@
 @behave.given('the entry may send 1 request a second time in {window:f} s')
 def tighten_budget(context, window):
     entry = context.entry
-    # Half of the fixed number is kept for restarts.
+    # Half of the slack is reserved for restarts, so 2 allows 1 retry.
     entry.settings['retries'] = {'ratio': 0.0, 'slack': 2, 'window': window}
     entry.stop()
     entry.write_settings()
@@ -66,7 +66,7 @@
 
 @behave.given('every engine cuts its next stream within an event')
 def cut_next(context):
-    # Only the one that gets it first: the second run must go through.
+    # Only the first stream is cut: the second run must succeed.
     state = {'cut': False}
 
     class Once(_NoFaults):
@@ -85,7 +85,8 @@
     ' full'
 )
 def refuse_streams(context, count):
-    # Once a stream was cut, the sends that follow meet full engines.
+    # Engines report full only after the stream has begun, so that the
+    # refusals hit its retries.
     state = {'left': count}
     engines = context.scene.list_engines()
     cut = engines[0].faults
@@ -270,7 +271,7 @@
 
 @behave.then('it accepted {count:d} order')
 def check_orders(context, count):
-    # Long enough for the late order to have been carried out.
+    # Waits until the late order has been executed.
     time.sleep(2.5)
     assert context.engine.orders == count, context.engine.orders
 
@@ -284,7 +285,7 @@
         lambda: all(engine.layers for engine in scene.list_engines()),
         'all engines hold layers',
     )
-    # The entry has seen what they hold.
+    # The entry has read which layers the spare engines hold.
     time.sleep(0.5)
 
 
--- a/features/steps/edge_lookups.py
+++ b/features/steps/edge_lookups.py
@@ -1,4 +1,4 @@
-"""What steps about entries look up and wait for."""
+"""Lookups and waits shared by the steps for entries."""
 
 
 def find_entry(context, name):
--- a/features/steps/edge_platform.py
+++ b/features/steps/edge_platform.py
@@ -1,4 +1,4 @@
-"""Steps about an entry, its configuration and the platform's store."""
+"""Steps for an entry's configuration, settings and store."""
 
 import json
 import signal
@@ -107,7 +107,7 @@
 
 @behave.given('the store is cut off from entry "{name}"')
 def cut_store(context, name):
-    # Its settings name a port where nobody listens.
+    # The entry's settings name a port on which no process listens.
     entry = edge_lookups.find_entry(context, name)
     scene = context.scene
     scene.wait_until(
--- a/features/steps/edge_settings.py
+++ b/features/steps/edge_settings.py
@@ -1,4 +1,4 @@
-"""What steps about an entry need of its settings and parts."""
+"""Settings and state of an entry for steps that start no process."""
 
 from dunlintide_adapters import decisionlog
 from dunlintide_core.pipeline import settings
@@ -7,7 +7,7 @@
 from prometheus_client import registry
 
 ADDRESS = '127.0.0.1:1'
-# All that settings must name.
+# The required settings.
 NEEDED = {
     'role': 'edge',
     'name': 'one',
@@ -22,7 +22,7 @@
 
 
 def make_state(log=None, **more):
-    """Make the beliefs of an entry that has seen nothing yet."""
+    """Create the state of an entry that has received no reports yet."""
     log = log or decisionlog.DecisionLog('one', output=2)
     metrics = counters.Counters.from_registry(registry.CollectorRegistry())
     given = settings.EdgeSettings(**{**NEEDED, **more})
--- a/features/steps/edgesoak.py
+++ b/features/steps/edgesoak.py
@@ -1,4 +1,4 @@
-"""Steps about soaks of the edge role."""
+"""Steps that run the soak of the edge role and check its report."""
 
 import behave
 from dunlintide_trials.edge import soak
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -1,4 +1,4 @@
-"""Steps about calls to endpoints over new connections."""
+"""Steps for calls to endpoints that close their connections."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
 
 
 class Endpoint:
-    """Answers the first request of a connection and closes it at the next."""
+    """Answer one request per connection and close it on further data."""
 
     def __init__(self):
         self.connections = 0
@@ -51,7 +51,7 @@
 
 
 class Gate:
-    """Starts every call at once and remembers how it ended."""
+    """Admit every call at once and record its failures."""
 
     def __init__(self):
         self.ended = threading.Event()
--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -1,4 +1,4 @@
-"""Steps for the entry."""
+"""Steps for the outcomes that an entry gives its callers' requests."""
 
 from concurrent import futures
 import json
@@ -121,7 +121,7 @@
 
 
 def ask_paused(context, *, is_stream):
-    """Ask, and let the agents go on once the request's thread waits."""
+    """Send requests whose agents resume once the request thread waits."""
     entry = context.entry
     entry.faults.after = 2
     relayed = entry.role.describe()['requests']['relayed']
@@ -174,7 +174,8 @@
 
 @behave.then('the entry relayed tokens of them')
 def check_relayed(context):
-    # The thread may take some itself, when it looks at the time just then.
+    # The waiting thread may fetch some tokens itself, if a time check wakes
+    # it as they arrive, so the bound is one token per answer.
     assert context.relayed >= PAUSED_ANSWERS, context.relayed
 
 
--- a/features/steps/entry_scene.py
+++ b/features/steps/entry_scene.py
@@ -1,4 +1,4 @@
-"""An entry with agents and a store of claims made for its steps."""
+"""An entry with simulated agents and claims in memory for its steps."""
 
 from concurrent import futures
 import hashlib
@@ -71,7 +71,15 @@
 
 @attrs.define
 class Faults:
-    """What agents do wrong; ``first`` applies to one attempt only."""
+    """Faults of the agents.
+
+    :ivar first: fault of the next attempt only
+    :ivar always: fault of every other attempt
+    :ivar after: tokens that an agent sends before the fault or the gate
+    :ivar noisy: whether each token is followed by a duplicate and by one of
+        an older epoch
+    :ivar gate: agents pause at token ``after`` until it is set
+    """
 
     first: str = ''
     always: str = ''
@@ -87,7 +95,7 @@
 
 
 class Agent:
-    """An agent that answers by itself, on a real link."""
+    """An agent without an endpoint that answers over a TCP link."""
 
     def __init__(self, name, endpoint, faults, incarnation=1, port=0):
         self.name = name
@@ -220,7 +228,7 @@
 
 
 class Writer:
-    """Claims in memory, in place of the store."""
+    """Keeps claims in memory instead of in the store."""
 
     def __init__(self):
         self.held = {}
@@ -246,7 +254,7 @@
 
 
 class Entry:
-    """An entry on real sockets, its agents and its callers."""
+    """An entry on TCP sockets with its agents and a client."""
 
     def __init__(self, stack):
         self.stack = stack
--- a/features/steps/examples.py
+++ b/features/steps/examples.py
@@ -1,4 +1,4 @@
-"""Steps about the example deployments."""
+"""Steps for the example deployments and the choice of test ports."""
 
 import contextlib
 import itertools
@@ -98,7 +98,7 @@
     assert f'"{field}"' in context.error, context.error
 
 
-# Picks ports, prints them, and lives until its input ends.
+# Picks ports, prints them and runs until its standard input closes.
 _PICK = """
 import sys
 from dunlintide_trials import ports
--- a/features/steps/experiments.py
+++ b/features/steps/experiments.py
@@ -1,4 +1,4 @@
-"""Steps about mechanisms that experiments switch off."""
+"""Steps for settings with which experiments disable mechanisms."""
 
 import json
 import pathlib
--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -1,4 +1,4 @@
-"""Steps for what teams leave to each other."""
+"""Steps for fair sharing of threads, queues, slots and KV memory."""
 
 import collections
 from concurrent import futures
@@ -22,7 +22,7 @@
 
 
 class Grouped:
-    """Holds the requests that may run, by group, until it is released."""
+    """Hold admitted requests until release; refuse others with 429."""
 
     def __init__(self):
         self.release = threading.Event()
@@ -60,7 +60,7 @@
 
 
 def open_request(context, group):
-    """Send one; true when it runs, false when it was refused."""
+    """Send a request and return whether it runs rather than is refused."""
     running = [one for one in context.held if not one.done()]
     wait_until(lambda: context.grouped_server.in_flight == len(running))
     sent = context.send_grouped(group)
@@ -145,7 +145,7 @@
     assert pick_one(context).team == team
 
 
-# How many wait at a time, their estimated and their real cost.
+# Number of waiting requests, their estimated and their actual cost.
 KINDS = {
     'requests one at a time': (1, 500, 500),
     'requests of four times the cost that was estimated': (50, 125, 500),
@@ -304,7 +304,7 @@
     'two heads and four later stages that take one request at a time'
 )
 def start_crossed(context):
-    # Unequal capacities, so that the plan must cross the later stages.
+    # Capacities are unequal so that the plan must cross the later stages.
     capacities = {0: (400.0, 400.0), 4: (600.0, 200.0), 8: (400.0, 400.0)}
     stages = tuple(
         blueprints.Stage(start, start + 4, 1, '', rate, max_in_flight=1)
@@ -337,7 +337,7 @@
 
 
 def has_planned(crossed, entry, count):
-    # Until its plan knows all stages, an entry takes the first that do.
+    # Until its plan covers all stages, an entry uses the first usable ones.
     plans = crossed.read_state(entry)['plans']
     return any(len(one['shares']) == count for one in plans)
 
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Steps of fleet.feature."""
+"""Steps for gossip of configuration and membership."""
 
 import collections
 import functools
@@ -111,7 +111,7 @@
     'no random run of changes, cuts, restarts and restores lowers one'
 )
 def never_lower(context):
-    # Shrinking a failure would take longer than a scenario may.
+    # Shrinking a failure would exceed the time limit of a scenario.
     @hypothesis.settings(max_examples=40, phases=[hypothesis.Phase.generate])
     @hypothesis.given(_ACTIONS, strategies.integers(0, 1 << 16))
     def check(actions, seed):
@@ -165,7 +165,7 @@
 def replace_process(context):
     host = list(context.net.hosts.values())[4]
     context.new = context.net.restart(host)
-    # The store answers the new process before any peer does.
+    # The new process reads the store before any peer answers it.
     context.net._read(context.new)
     assert context.new.replica.explain_unready()
 
@@ -364,7 +364,8 @@
     net, subject = context.net, context.subject.peer.name
     first, *context.callers = net.up()[: count + 1]
     for host in context.callers:
-        # They have heard that another misses it, and doubt it already.
+        # Each caller knows of one other witness, so it already suspects the
+        # process.
         record = host.replica.members.get(subject)
         doubted = attrs.evolve(record, witnesses=(first.peer.name,))
         host.replica.members.merge(net.now, doubted)
--- a/features/steps/flows.py
+++ b/features/steps/flows.py
@@ -1,4 +1,4 @@
-"""Steps about beliefs that dozens of entries share."""
+"""Steps for endpoint health that dozens of entries share."""
 
 import random
 
@@ -11,15 +11,17 @@
 TARGET = 0.6
 DEATH = 10.0
 TICK = 0.005
-# Between two messages of an entry, in seconds; each begins at another time.
+# Interval between two messages of an entry, in seconds; each entry starts at
+# a random offset.
 MESSAGES = 0.15
 PARTS = 5
-# Between two events of a stream, in seconds: the pass of a slow card.
+# Range of the interval between two events of a stream, in seconds; the upper
+# bound is a forward pass on a slow accelerator.
 PERIODS = (0.04, 0.1)
 
 
 class Stream:
-    """A stream on a chain; its events stop where an engine of it died."""
+    """A stream whose events stop when an engine of its chain dies."""
 
     def __init__(self, names, draw, waits=False):
         self.names = names
@@ -31,7 +33,7 @@
 
 
 class Entry:
-    """An entry's streams and beliefs."""
+    """An entry's streams and its record of endpoint health."""
 
     def __init__(self, streams, draw):
         self.streams = streams
@@ -91,7 +93,7 @@
 
 
 def choose_names(draw, engines):
-    """One engine for each part, as copies of ranges stand side by side."""
+    """Choose a random replica for each part of the model."""
     copies = engines // PARTS
     return [f'e{part}-{draw.randrange(copies)}' for part in range(PARTS)]
 
--- a/features/steps/follower.py
+++ b/features/steps/follower.py
@@ -1,4 +1,4 @@
-"""Steps about the follower of the platform's store."""
+"""Steps for the entry's watch on the platform's store."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 
 class FakeStore:
-    """Answers each watch at once with one change."""
+    """Answer each watch at once with one change."""
 
     def __init__(self):
         self.waits = []
--- a/features/steps/headers.py
+++ b/features/steps/headers.py
@@ -1,4 +1,4 @@
-"""Steps about headers that end at the router."""
+"""Steps for headers that the router does not forward."""
 
 import behave
 from dunlintide_adapters import hopheaders
@@ -31,6 +31,6 @@
     'each header of one connection is dropped on the way to a service'
 )
 def check_connection_headers(context):
-    # The entry's server itself consumes the authentication of proxies.
+    # The entry's own HTTP server consumes the proxy authentication headers.
     for name in hopheaders.HOP_BY_HOP - {'proxy-authenticate'}:
         assert not pass_on(name), name
--- a/features/steps/hostlist.py
+++ b/features/steps/hostlist.py
@@ -1,4 +1,4 @@
-"""Steps for the platform's list of hosts."""
+"""Steps for reading the platform's list of hosts."""
 
 import json
 
--- a/features/steps/https.py
+++ b/features/steps/https.py
@@ -1,4 +1,4 @@
-"""Steps of https.feature: the operators' port and the platform's clients."""
+"""Steps for TLS on the operators' port and the platform's clients."""
 
 import os
 from unittest import mock
--- a/features/steps/httpserver.py
+++ b/features/steps/httpserver.py
@@ -1,4 +1,4 @@
-"""Steps for the HTTP server."""
+"""Steps for limits, backpressure and stops of the HTTP server."""
 
 from concurrent import futures
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class Application:
-    """Answers by path, and keeps count."""
+    """Answer by path and count runs and produced bytes."""
 
     def __init__(self):
         self.runs = 0
@@ -100,7 +100,8 @@
     )
     context.temporary = patch.start()
     context.add_cleanup(patch.stop)
-    # Cleaned up last, as its threads wait for the server.
+    # Registered before the server, so it shuts down after the server, for
+    # which its threads wait.
     context.pool = futures.ThreadPoolExecutor(8)
     context.add_cleanup(context.pool.shutdown)
     serve(context, threads, max_body=size)
@@ -178,7 +179,7 @@
 @behave.then('the connection ends without an answer')
 def check_no_answer(context):
     received = b''
-    # It may be reset, since the server has not read all of it.
+    # The connection may be reset, as the server has not read all data.
     with contextlib.suppress(ConnectionResetError):
         while piece := context.silent.recv(1 << 16):
             received += piece
