--- a/features/steps/edge.py
+++ b/features/steps/edge.py
@@ -54,7 +54,7 @@
 
 
 @behave.when('a caller that soon leaves streams {count:d} events as "{name}"')
-def leave_stream(context, count, name):
+def disconnect_stream(context, count, name):
     start_stream(context, count, name)
     fleet = context.scene.fleet
     context.scene.wait_until(
--- a/features/steps/edge_faults.py
+++ b/features/steps/edge_faults.py
@@ -22,7 +22,7 @@
         return 0
 
 
-def _spoil(runners, **faults):
+def _inject_faults(runners, **faults):
     for runner in runners:
         for name, value in faults.items():
             setattr(runner.faults, name, value)
@@ -30,27 +30,27 @@
 
 @behave.given('every service loses its next answer')
 def lose_next(context):
-    _spoil(context.scene.list_services(), lose=1)
+    _inject_faults(context.scene.list_services(), lose=1)
 
 
 @behave.given('one service loses all its answers')
 def lose_all(context):
-    _spoil(context.scene.list_services()[:1], lose=1000)
+    _inject_faults(context.scene.list_services()[:1], lose=1000)
 
 
 @behave.given('every service is full')
 def fill(context):
-    _spoil(context.scene.list_services(), full=True)
+    _inject_faults(context.scene.list_services(), full=True)
 
 
 @behave.given('every service sends a second answer behind its next one')
 def send_extra(context):
-    _spoil(context.scene.list_services(), extra=1)
+    _inject_faults(context.scene.list_services(), extra=1)
 
 
 @behave.given('every service sends its next answer without a length')
 def send_unframed(context):
-    _spoil(context.scene.list_services(), unframed=1)
+    _inject_faults(context.scene.list_services(), unframed=1)
 
 
 @behave.given('the entry may send 1 request a second time in {window:f} s')
@@ -192,7 +192,7 @@
 
 
 @behave.given('engines that tell when they were born')
-def tell_births(context):
+def report_start_times(context):
     scene = context.scene
     for engine in scene.list_engines():
         scene.run(engine.restart_with_same_id())
@@ -207,7 +207,7 @@
 
 
 @behave.when('one engine of its chain starts again under its id')
-def begin_again(context):
+def restart_engine(context):
     fleet = context.scene.fleet
     context.scene.wait_until(
         lambda: any(run.events > 3 for run in fleet.list_runs('s-1')),
--- a/features/steps/edge_platform.py
+++ b/features/steps/edge_platform.py
@@ -53,7 +53,7 @@
 
 
 @behave.given('the store has turned the entry away for {seconds:f} s')
-def turn_away(context, seconds):
+def refuse_calls_and_wait(context, seconds):
     refuse_calls(context, 503)
     time.sleep(seconds)
 
@@ -82,7 +82,7 @@
 
 
 @behave.then('entry "{name}" is not ready and answers a call with 503')
-def check_unknowing(context, name):
+def check_unconfigured(context, name):
     entry = edge_lookups.find_entry(context, name)
 
     def check():
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -50,7 +50,7 @@
         self._thread.join(WAIT_SECONDS)
 
 
-class Gate:
+class FakeGate:
     """Admit every call at once and record its failures."""
 
     def __init__(self):
@@ -100,7 +100,7 @@
 
 @behave.when('calls of a service are made one after another')
 def call_service(context):
-    gate = Gate()
+    gate = FakeGate()
     calls = services.ServiceCaller(context.endpoint.url, 1, gate)
     context.stack.callback(calls.close)
     for number in range(CALLS):
--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -66,7 +66,7 @@
 
 @behave.given("the entry's store is away")
 def take_store_away(context):
-    context.entry.writer.away = True
+    context.entry.writer.is_unavailable = True
 
 
 @behave.when('a caller streams a completion of 5 tokens from the entry')
@@ -209,7 +209,7 @@
 
 def find_claim(context, key):
     digest = claims.digest_key('diner', key)
-    return context.entry.writer.held.get(digest)
+    return context.entry.writer.claims.get(digest)
 
 
 @behave.then('the key "{key}" is still bound')
@@ -372,8 +372,8 @@
 
 @behave.given('reading the host list breaks unexpectedly {count:d} times')
 def break_hosts(context, count):
-    context.entry.breaks = count
-    wait_until(lambda: not context.entry.breaks)
+    context.entry.host_list_failures = count
+    wait_until(lambda: not context.entry.host_list_failures)
 
 
 @behave.then('the entry counts the errors of its thread "{name}"')
--- a/features/steps/entry_scene.py
+++ b/features/steps/entry_scene.py
@@ -88,7 +88,7 @@
     gate: threading.Event = attrs.field(factory=threading.Event)
     lock: threading.Lock = attrs.field(factory=threading.Lock)
 
-    def take(self):
+    def next_fault(self):
         with self.lock:
             fault, self.first = self.first, ''
             return fault or self.always
@@ -107,7 +107,7 @@
         self.peers_leaving = []
         self.pool = futures.ThreadPoolExecutor(8)
         handlers = links.Handlers(
-            lambda link: None, self.take, lambda link, reason: None
+            lambda link: None, self.handle_frames, lambda link, reason: None
         )
         self.server = linkserver.LinkServer(
             f'127.0.0.1:{port}', self.hello, handlers
@@ -125,7 +125,7 @@
             endpoint=self.endpoint,
         )
 
-    def take(self, link, frames):
+    def handle_frames(self, link, frames):
         for frame in frames:
             body = frame.WhichOneof('body')
             if body == 'open':
@@ -170,7 +170,7 @@
         link.send(link_pb2.Frame(token=token))
 
     def run(self, link, asked):
-        fault = self.faults.take()
+        fault = self.faults.next_fault()
         for index in range(len(asked.resumed_tokens), asked.max_tokens):
             if fault and index >= self.faults.after:
                 self.fail(link, asked, index, fault)
@@ -231,13 +231,13 @@
     """Keeps claims in memory instead of in the store."""
 
     def __init__(self):
-        self.held = {}
-        self.away = False
+        self.claims = {}
+        self.is_unavailable = False
 
     def bind(self, wanted, timeout):
-        if self.away:
+        if self.is_unavailable:
             return result.Err('away')
-        held = self.held.setdefault(wanted.key_digest, wanted)
+        held = self.claims.setdefault(wanted.key_digest, wanted)
         if held.fingerprint != wanted.fingerprint:
             return result.Err(claims.ReusedKey(held))
         return result.Ok(held)
@@ -246,10 +246,10 @@
         pass
 
     def dump(self):
-        return {'claims': len(self.held)}
+        return {'claims': len(self.claims)}
 
     def release(self, binding, timeout):
-        self.held.pop(binding.key_digest, None)
+        self.claims.pop(binding.key_digest, None)
         return result.Ok(binding)
 
 
@@ -273,15 +273,15 @@
             Agent(name, engine, self.faults) for name in ('agent-1', 'agent-2')
         ]
         self.service = Agent('agent-3', service, self.faults)
-        self.breaks = 0
+        self.host_list_failures = 0
         outside = sources.Sources(self.read_hosts, self.follow, self.writer)
         self.role = role.Entry(SETTINGS, outside, lame_duck=0.0)
         self.fleet = self.role._fleet
         self.pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
 
     def read_hosts(self):
-        if self.breaks:
-            self.breaks -= 1
+        if self.host_list_failures:
+            self.host_list_failures -= 1
             raise ZeroDivisionError('made by a test')
         return result.Ok(self.agents())
 
--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -21,7 +21,7 @@
 wait_until = waiting.make_wait(WAIT_SECONDS)
 
 
-class Grouped:
+class BlockingApplication:
     """Hold admitted requests until release; refuse others with 429."""
 
     def __init__(self):
@@ -42,7 +42,7 @@
     'an HTTP server of {threads:d} threads whose requests name their groups'
 )
 def serve_groups(context, threads):
-    context.grouped = Grouped()
+    context.grouped = BlockingApplication()
     pool = context.stack.enter_context(futures.ThreadPoolExecutor(threads))
     server = httpserver.HttpServer.from_config(
         context.grouped, '127.0.0.1:0', threads
@@ -204,7 +204,7 @@
 
 
 @behave.when('teams come and go for {count:d} moments')
-def come_and_go(context, count):
+def simulate_arrivals(context, count):
     rng = random.Random(0)
     team, weight, most = context.steady
     running = collections.Counter()
--- a/features/steps/flows.py
+++ b/features/steps/flows.py
@@ -10,14 +10,14 @@
 
 TARGET = 0.6
 DEATH = 10.0
-TICK = 0.005
+TICK_SECONDS = 0.005
 # Interval between two messages of an entry, in seconds; each entry starts at
 # a random offset.
-MESSAGES = 0.15
+MESSAGE_SECONDS = 0.15
 PARTS = 5
 # Range of the interval between two events of a stream, in seconds; the upper
 # bound is a forward pass on a slow accelerator.
-PERIODS = (0.04, 0.1)
+PERIOD_SECONDS = (0.04, 0.1)
 
 
 class Stream:
@@ -25,11 +25,11 @@
 
     def __init__(self, names, draw, waits=False):
         self.names = names
-        self.period = draw.uniform(*PERIODS)
-        self.next = float('inf') if waits else DEATH - 1.0 + self.period
-        self.moved = DEATH
-        self.flows = False
-        self.left = None
+        self.period = draw.uniform(*PERIOD_SECONDS)
+        self.next_event = float('inf') if waits else DEATH - 1.0 + self.period
+        self.last_event = DEATH
+        self.has_events = False
+        self.moved_at = None
 
 
 class Entry:
@@ -37,59 +37,59 @@
 
     def __init__(self, streams, draw):
         self.streams = streams
-        self.belief = endpointhealth.EndpointHealth()
-        self.next_message = DEATH - 1.0 + draw.uniform(0.0, MESSAGES)
-        self.left_out = set()
+        self.health = endpointhealth.EndpointHealth()
+        self.next_message = DEATH - 1.0 + draw.uniform(0.0, MESSAGE_SECONDS)
+        self.ejected = set()
 
     def step(self, now, dead):
         for stream in self.streams:
-            if stream.left is not None:
+            if stream.moved_at is not None:
                 continue
-            if now >= stream.next and not (
+            if now >= stream.next_event and not (
                 now >= DEATH and dead in stream.names
             ):
-                self.move(stream, now)
+                self.record_event(stream, now)
             limits = failover.choose_limits(TARGET, TARGET)
-            if now - stream.moved >= limits.suspected:
-                self.judge(stream, limits, now)
-
-    def move(self, stream, now):
-        stream.moved, stream.next = now, now + stream.period
-        if not stream.flows:
-            stream.flows = True
-            self.belief.record_accepted(stream.names, now)
-        self.belief.report_progress(stream.names, now)
-
-    def judge(self, stream, limits, now):
-        belief = self.belief
-        since = failover.choose_stall_start(stream.moved, now)
-        suspects = belief.find_ejected(
+            if now - stream.last_event >= limits.suspected:
+                self.check_stall(stream, limits, now)
+
+    def record_event(self, stream, now):
+        stream.last_event, stream.next_event = now, now + stream.period
+        if not stream.has_events:
+            stream.has_events = True
+            self.health.record_accepted(stream.names, now)
+        self.health.report_progress(stream.names, now)
+
+    def check_stall(self, stream, limits, now):
+        health = self.health
+        since = failover.choose_stall_start(stream.last_event, now)
+        suspects = health.find_ejected(
             stream.names, now
-        ) or belief.find_suspects(stream.names, since, now, stream.flows)
-        still = belief.find_stalled(stream.names, since)
+        ) or health.find_suspects(stream.names, since, now, stream.has_events)
+        still = health.find_stalled(stream.names, since)
         evidence = failover.classify_evidence(suspects, still)
         if not failover.decide(
-            now - stream.moved, limits, evidence
+            now - stream.last_event, limits, evidence
         ).should_move:
             return
-        stream.left = now
-        belief.record_finished(stream.names, stream.flows)
+        stream.moved_at = now
+        health.record_finished(stream.names, stream.has_events)
         for name in suspects:
-            belief.eject(name, now)
-            self.left_out.add(name)
+            health.eject(name, now)
+            self.ejected.add(name)
 
-    def tell(self, others, now):
+    def send_message(self, others, now):
         if now < self.next_message:
             return
-        self.next_message += MESSAGES
-        flows = self.belief.list_progress_ages(now)
+        self.next_message += MESSAGE_SECONDS
+        flows = self.health.list_progress_ages(now)
         for other in others:
             if other is self:
                 continue
             for name, age in flows.items():
-                other.belief.receive_progress(name, now - age, now)
-            for name in self.belief.list_ejected(now):
-                other.belief.receive_ejection(name, now)
+                other.health.receive_progress(name, now - age, now)
+            for name in self.health.list_ejected(now):
+                other.health.receive_ejection(name, now)
 
 
 def choose_names(draw, engines):
@@ -137,13 +137,13 @@
 
 
 @behave.when('{seconds:f} s pass')
-def play(context, seconds):
+def simulate(context, seconds):
     now = DEATH - 1.0
     while now < DEATH + seconds:
         for entry in context.entries:
             entry.step(now, context.dead)
-            entry.tell(context.entries, now)
-        now += TICK
+            entry.send_message(context.entries, now)
+        now += TICK_SECONDS
 
 
 def list_streams(context):
@@ -152,14 +152,14 @@
 
 @behave.then('no engine is left out and no stream is moved')
 def check_calm(context):
-    left_out = [entry.left_out for entry in context.entries]
-    assert not any(left_out), left_out
-    assert all(each.left is None for each in list_streams(context))
+    ejected = [entry.ejected for entry in context.entries]
+    assert not any(ejected), ejected
+    assert all(each.moved_at is None for each in list_streams(context))
 
 
 @behave.then('it is left out by an entry, and no other engine by any')
 def check_left_out(context):
-    found = set().union(*(entry.left_out for entry in context.entries))
+    found = set().union(*(entry.ejected for entry in context.entries))
     assert found == {context.dead}, (found, context.dead)
 
 
@@ -174,24 +174,25 @@
     soon = [
         each
         for each in hit
-        if each.left is not None and each.left - each.moved <= seconds + TICK
+        if each.moved_at is not None
+        and each.moved_at - each.last_event <= seconds + TICK_SECONDS
     ]
     assert len(hit) > 3, hit
     assert len(soon) >= part * len(hit), [
-        each.left and each.left - each.moved for each in hit
+        each.moved_at and each.moved_at - each.last_event for each in hit
     ]
 
 
 @behave.then('no other stream is moved')
 def check_others(context):
     for each in list_streams(context):
-        assert each.left is None or context.dead in each.names, each.names
+        assert each.moved_at is None or context.dead in each.names, each.names
 
 
 @behave.given('an entry with one stream that waits through engine "x"')
 def make_one(context):
-    context.belief = endpointhealth.EndpointHealth()
-    context.belief.report_progress('abcd', 9.0)
+    context.health = endpointhealth.EndpointHealth()
+    context.health.report_progress('abcd', 9.0)
 
 
 @behave.when(
@@ -199,8 +200,10 @@
 )
 def flow(context, end):
     for count in range(4):
-        told = end - count * MESSAGES
-        context.belief.receive_progress('x', told - max(PERIODS), told)
+        received_at = end - count * MESSAGE_SECONDS
+        context.health.receive_progress(
+            'x', received_at - max(PERIOD_SECONDS), received_at
+        )
 
 
 @behave.then('nothing is suspected from {start:f} to {end:f}')
@@ -209,9 +212,9 @@
     while now < end:
         for silence in (0.36, 0.5):
             since = failover.choose_stall_start(now - silence, now)
-            found = context.belief.find_suspects('abcdx', since, now, False)
+            found = context.health.find_suspects('abcdx', since, now, False)
             assert not found, (found, now)
-        now += TICK
+        now += TICK_SECONDS
 
 
 @behave.then(
