--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -209,7 +209,7 @@
 
 def find_claim(context, key):
     digest = claims.digest_key('diner', key)
-    return context.entry.writer.claims.get(digest)
+    return context.entry.writer.claims_by_key.get(digest)
 
 
 @behave.then('the key "{key}" is still bound')
--- a/features/steps/entry_scene.py
+++ b/features/steps/entry_scene.py
@@ -231,25 +231,25 @@
     """Keeps claims in memory instead of in the store."""
 
     def __init__(self):
-        self.claims = {}
+        self.claims_by_key = {}
         self.is_unavailable = False
 
     def bind(self, wanted, timeout):
         if self.is_unavailable:
             return result.Err('away')
-        held = self.claims.setdefault(wanted.key_digest, wanted)
+        held = self.claims_by_key.setdefault(wanted.key_digest, wanted)
         if held.fingerprint != wanted.fingerprint:
             return result.Err(claims.ReusedKey(held))
         return result.Ok(held)
 
-    def pace(self, writers):
+    def set_writer_count(self, writers):
         pass
 
     def dump(self):
-        return {'claims': len(self.claims)}
+        return {'claims': len(self.claims_by_key)}
 
     def release(self, binding, timeout):
-        self.claims.pop(binding.key_digest, None)
+        self.claims_by_key.pop(binding.key_digest, None)
         return result.Ok(binding)
 
 
