--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -146,7 +146,7 @@
 
 
 # Number of waiting requests, their estimated and their actual cost.
-KINDS = {
+REQUEST_KINDS = {
     'requests one at a time': (1, 500, 500),
     'requests of four times the cost that was estimated': (50, 125, 500),
     'many tiny requests': (200, 5, 5),
@@ -156,7 +156,7 @@
 
 @behave.when('team "{team}" sends {kind} while {count:d} requests are picked')
 def pick_mixed(context, team, kind, count):
-    waiting, estimate, real = KINDS[kind]
+    waiting, estimate, real = REQUEST_KINDS[kind]
     for _ in range(waiting):
         queue_one(context, team, estimate)
     spent = collections.Counter()
@@ -189,7 +189,7 @@
 
 
 @behave.given('team "{team}" of weight {weight:d} wants as many as it can get')
-def want_all(context, team, weight):
+def queue_flood(context, team, weight):
     context.flood = team
     for _ in range(100):
         context.slots.add_request(team, weight)
@@ -209,8 +209,8 @@
     team, weight, most = context.steady
     running = collections.Counter()
     context.missed = []
-    for moment in range(count):
-        now = moment * 0.01
+    for tick in range(count):
+        now = tick * 0.01
         context.slots.tick(now)
         if running[team] < most and rng.random() < 0.7:
             context.slots.add_request(team, weight)
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -64,10 +64,10 @@
 def merge_any(context):
     @hypothesis.given(strategies.lists(_RECORDS, min_size=1, max_size=5))
     def check(given):
-        forth = functools.reduce(records.join, given)
-        back = functools.reduce(records.join, reversed(given))
-        again = functools.reduce(records.join, given, forth)
-        assert forth == back == again, (forth, back, again)
+        forward = functools.reduce(records.join, given)
+        backward = functools.reduce(records.join, reversed(given))
+        again = functools.reduce(records.join, given, forward)
+        assert forward == backward == again, (forward, backward, again)
 
     check()
 
@@ -87,7 +87,7 @@
     check()
 
 
-def _act(net, action, number, saved):
+def _apply_action(net, action, number, saved):
     host = list(net.hosts.values())[number]
     if action == 'change' and net.store.up:
         net.publish(_write_document(number))
@@ -120,7 +120,7 @@
         hosts = list(net.hosts.values())
         saved = net.store.snapshot
         for action, number, seconds in actions:
-            _act(net, action, number, saved)
+            _apply_action(net, action, number, saved)
             net.run(seconds)
             hosts += [h for h in net.hosts.values() if h not in hosts]
             assert all(host.rollbacks == 0 for host in hosts)
@@ -131,13 +131,13 @@
                 net.resume(host)
         net.run(30)
         revision = net.publish(_write_document(99))
-        done = net.run_until(lambda: _all_have(net, revision), 60)
+        done = net.run_until(lambda: _all_have_revision(net, revision), 60)
         assert done, [h.replica.configuration.revision for h in net.up()]
 
     check()
 
 
-def _all_have(net, revision):
+def _all_have_revision(net, revision):
     return all(h.replica.configuration.revision == revision for h in net.up())
 
 
@@ -153,7 +153,7 @@
     for number in range(1, revision + 1):
         assert net.publish(_write_document(number)) == number
         context.saved[number] = net.store.snapshot
-        assert net.run_until(lambda: _all_have(net, number), 30)
+        assert net.run_until(lambda: _all_have_revision(net, number), 30)
 
 
 @behave.when('the store is restored to revision {revision:d}')
@@ -190,7 +190,9 @@
 @behave.then('the next change becomes revision {revision:d} everywhere')
 def check_next(context, revision):
     assert context.net.publish(_write_document(revision)) == revision
-    assert context.net.run_until(lambda: _all_have(context.net, revision), 30)
+    assert context.net.run_until(
+        lambda: _all_have_revision(context.net, revision), 30
+    )
 
 
 @behave.when('the store goes away')
@@ -199,7 +201,7 @@
 
 
 @behave.then('a process that reaches nobody is not ready and says why')
-def check_alone(context):
+def check_isolated(context):
     peer = attrs.evolve(
         context.new.peer, name='lonely', address='10.9.9.9:1', incarnation=9
     )
@@ -256,7 +258,7 @@
     context.subject.up = False
 
 
-def _states(net, name):
+def _list_states(net, name):
     others = [h for h in net.up() if h.peer.name != name]
     found = [h.replica.members.get(name) for h in others]
     return {record.state if record else None for record in found}
@@ -267,7 +269,7 @@
     name = context.subject.peer.name
     dead = {records.State.DEAD}
     assert context.net.run_until(
-        lambda: _states(context.net, name) == dead, seconds
+        lambda: _list_states(context.net, name) == dead, seconds
     )
 
 
@@ -288,7 +290,7 @@
     assert sum(deaths) == 0, deaths
 
 
-def _agree(net):
+def _has_agreement(net):
     views = [host.replica.members for host in net.up()]
     alive = all(len(view.list_usable()) == len(net.up()) for view in views)
     return alive and len({view.hash for view in views}) == 1
@@ -296,7 +298,7 @@
 
 @behave.then('all views agree within {seconds:d} seconds of its return')
 def check_agreement(context, seconds):
-    assert context.net.run_until(lambda: _agree(context.net), seconds)
+    assert context.net.run_until(lambda: _has_agreement(context.net), seconds)
 
 
 @behave.then('no process cleared itself more than {most:d} times')
--- a/features/steps/httpserver.py
+++ b/features/steps/httpserver.py
@@ -240,11 +240,11 @@
 
 
 @behave.given("an HTTP server that bears {seconds:d} s of a caller's silence")
-def start_impatient(context, seconds):
+def start_stall_limited(context, seconds):
     serve(context, 2, stall_seconds=float(seconds))
 
 
-HALVES = {
+PARTIAL_REQUESTS = {
     'first half of the head': b'POST / HTTP/1.1\r\nHost',
     'head and half the body': (
         b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\nhalf'
@@ -253,11 +253,11 @@
 
 
 @behave.when('a caller sends the {part} of a request and falls silent')
-def fall_silent(context, part):
+def send_partial_request(context, part):
     address = ('127.0.0.1', context.server.port)
     context.silent = socket.create_connection(address, WAIT_SECONDS)
     context.add_cleanup(context.silent.close)
-    context.silent.sendall(HALVES[part])
+    context.silent.sendall(PARTIAL_REQUESTS[part])
 
 
 @behave.then('its HTTP connection is closed')
