--- a/features/steps/edge_faults.py
+++ b/features/steps/edge_faults.py
@@ -1,4 +1,4 @@
-"""Steps about endpoints of an entry that fail or change."""
+"""Steps for failing, restarting and draining endpoints of an entry."""
 
 import time
 
@@ -9,7 +9,7 @@
 
 
 class _NoFaults:
-    """Stands in for a runner's faults; each step overrides what it makes."""
+    """Replaces a runner's faults; a step overrides those it injects."""
 
     full = False
     stall_after = None
@@ -22,7 +22,7 @@
         return 0
 
 
-def _spoil(runners, **faults):
+def _inject_faults(runners, **faults):
     for runner in runners:
         for name, value in faults.items():
             setattr(runner.faults, name, value)
@@ -30,33 +30,33 @@
 
 @behave.given('every service loses its next answer')
 def lose_next(context):
-    _spoil(context.scene.list_services(), lose=1)
+    _inject_faults(context.scene.list_services(), lose=1)
 
 
 @behave.given('one service loses all its answers')
 def lose_all(context):
-    _spoil(context.scene.list_services()[:1], lose=1000)
+    _inject_faults(context.scene.list_services()[:1], lose=1000)
 
 
 @behave.given('every service is full')
 def fill(context):
-    _spoil(context.scene.list_services(), full=True)
+    _inject_faults(context.scene.list_services(), full=True)
 
 
 @behave.given('every service sends a second answer behind its next one')
 def send_extra(context):
-    _spoil(context.scene.list_services(), extra=1)
+    _inject_faults(context.scene.list_services(), extra=1)
 
 
 @behave.given('every service sends its next answer without a length')
 def send_unframed(context):
-    _spoil(context.scene.list_services(), unframed=1)
+    _inject_faults(context.scene.list_services(), unframed=1)
 
 
 @behave.given('the entry may send 1 request a second time in {window:f} s')
 def tighten_budget(context, window):
     entry = context.entry
-    # Half of the fixed number is kept for restarts.
+    # Half of the slack is reserved for restarts, so 2 allows 1 retry.
     entry.settings['retries'] = {'ratio': 0.0, 'slack': 2, 'window': window}
     entry.stop()
     entry.write_settings()
@@ -66,7 +66,7 @@
 
 @behave.given('every engine cuts its next stream within an event')
 def cut_next(context):
-    # Only the one that gets it first: the second run must go through.
+    # Only the first stream is cut: the second run must succeed.
     state = {'cut': False}
 
     class Once(_NoFaults):
@@ -85,7 +85,8 @@
     ' full'
 )
 def refuse_streams(context, count):
-    # Once a stream was cut, the sends that follow meet full engines.
+    # Engines report full only after the stream has begun, so that the
+    # refusals hit its retries.
     state = {'left': count}
     engines = context.scene.list_engines()
     cut = engines[0].faults
@@ -191,7 +192,7 @@
 
 
 @behave.given('engines that tell when they were born')
-def tell_births(context):
+def report_start_times(context):
     scene = context.scene
     for engine in scene.list_engines():
         scene.run(engine.restart_with_same_id())
@@ -206,7 +207,7 @@
 
 
 @behave.when('one engine of its chain starts again under its id')
-def begin_again(context):
+def restart_engine(context):
     fleet = context.scene.fleet
     context.scene.wait_until(
         lambda: any(run.events > 3 for run in fleet.list_runs('s-1')),
@@ -270,7 +271,7 @@
 
 @behave.then('it accepted {count:d} order')
 def check_orders(context, count):
-    # Long enough for the late order to have been carried out.
+    # Waits until the late order has been executed.
     time.sleep(2.5)
     assert context.engine.orders == count, context.engine.orders
 
@@ -284,7 +285,7 @@
         lambda: all(engine.layers for engine in scene.list_engines()),
         'all engines hold layers',
     )
-    # The entry has seen what they hold.
+    # The entry has read which layers the spare engines hold.
     time.sleep(0.5)
 
 
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -1,4 +1,4 @@
-"""Steps about calls to endpoints over new connections."""
+"""Steps for calls to endpoints that close their connections."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
 
 
 class Endpoint:
-    """Answers the first request of a connection and closes it at the next."""
+    """Answer one request per connection and close it on further data."""
 
     def __init__(self):
         self.connections = 0
@@ -50,8 +50,8 @@
         self._thread.join(WAIT_SECONDS)
 
 
-class Gate:
-    """Starts every call at once and remembers how it ended."""
+class FakeGate:
+    """Admit every call at once and record its failures."""
 
     def __init__(self):
         self.ended = threading.Event()
@@ -100,7 +100,7 @@
 
 @behave.when('calls of a service are made one after another')
 def call_service(context):
-    gate = Gate()
+    gate = FakeGate()
     calls = services.ServiceCaller(context.endpoint.url, 1, gate)
     context.stack.callback(calls.close)
     for number in range(CALLS):
--- a/features/steps/entry.py
+++ b/features/steps/entry.py
@@ -1,4 +1,4 @@
-"""Steps for the entry."""
+"""Steps for the outcomes that an entry gives its callers' requests."""
 
 from concurrent import futures
 import json
@@ -66,7 +66,7 @@
 
 @behave.given("the entry's store is away")
 def take_store_away(context):
-    context.entry.writer.away = True
+    context.entry.writer.is_unavailable = True
 
 
 @behave.when('a caller streams a completion of 5 tokens from the entry')
@@ -121,7 +121,7 @@
 
 
 def ask_paused(context, *, is_stream):
-    """Ask, and let the agents go on once the request's thread waits."""
+    """Send requests whose agents resume once the request thread waits."""
     entry = context.entry
     entry.faults.after = 2
     relayed = entry.role.describe()['requests']['relayed']
@@ -174,7 +174,8 @@
 
 @behave.then('the entry relayed tokens of them')
 def check_relayed(context):
-    # The thread may take some itself, when it looks at the time just then.
+    # The waiting thread may fetch some tokens itself, if a time check wakes
+    # it as they arrive, so the bound is one token per answer.
     assert context.relayed >= PAUSED_ANSWERS, context.relayed
 
 
@@ -208,7 +209,7 @@
 
 def find_claim(context, key):
     digest = claims.digest_key('diner', key)
-    return context.entry.writer.held.get(digest)
+    return context.entry.writer.claims_by_key.get(digest)
 
 
 @behave.then('the key "{key}" is still bound')
@@ -371,8 +372,8 @@
 
 @behave.given('reading the host list breaks unexpectedly {count:d} times')
 def break_hosts(context, count):
-    context.entry.breaks = count
-    wait_until(lambda: not context.entry.breaks)
+    context.entry.host_list_failures = count
+    wait_until(lambda: not context.entry.host_list_failures)
 
 
 @behave.then('the entry counts the errors of its thread "{name}"')
--- a/features/steps/entry_scene.py
+++ b/features/steps/entry_scene.py
@@ -1,4 +1,4 @@
-"""An entry with agents and a store of claims made for its steps."""
+"""An entry with simulated agents and claims in memory for its steps."""
 
 from concurrent import futures
 import hashlib
@@ -71,7 +71,15 @@
 
 @attrs.define
 class Faults:
-    """What agents do wrong; ``first`` applies to one attempt only."""
+    """Faults of the agents.
+
+    :ivar first: fault of the next attempt only
+    :ivar always: fault of every other attempt
+    :ivar after: tokens that an agent sends before the fault or the gate
+    :ivar noisy: whether each token is followed by a duplicate and by one of
+        an older epoch
+    :ivar gate: agents pause at token ``after`` until it is set
+    """
 
     first: str = ''
     always: str = ''
@@ -80,14 +88,14 @@
     gate: threading.Event = attrs.field(factory=threading.Event)
     lock: threading.Lock = attrs.field(factory=threading.Lock)
 
-    def take(self):
+    def next_fault(self):
         with self.lock:
             fault, self.first = self.first, ''
             return fault or self.always
 
 
 class Agent:
-    """An agent that answers by itself, on a real link."""
+    """An agent without an endpoint that answers over a TCP link."""
 
     def __init__(self, name, endpoint, faults, incarnation=1, port=0):
         self.name = name
@@ -99,7 +107,7 @@
         self.peers_leaving = []
         self.pool = futures.ThreadPoolExecutor(8)
         handlers = links.Handlers(
-            lambda link: None, self.take, lambda link, reason: None
+            lambda link: None, self.handle_frames, lambda link, reason: None
         )
         self.server = linkserver.LinkServer(
             f'127.0.0.1:{port}', self.hello, handlers
@@ -117,7 +125,7 @@
             endpoint=self.endpoint,
         )
 
-    def take(self, link, frames):
+    def handle_frames(self, link, frames):
         for frame in frames:
             body = frame.WhichOneof('body')
             if body == 'open':
@@ -162,7 +170,7 @@
         link.send(link_pb2.Frame(token=token))
 
     def run(self, link, asked):
-        fault = self.faults.take()
+        fault = self.faults.next_fault()
         for index in range(len(asked.resumed_tokens), asked.max_tokens):
             if fault and index >= self.faults.after:
                 self.fail(link, asked, index, fault)
@@ -220,16 +228,16 @@
 
 
 class Writer:
-    """Claims in memory, in place of the store."""
+    """Keeps claims in memory instead of in the store."""
 
     def __init__(self):
-        self.held = {}
-        self.away = False
+        self.claims_by_key = {}
+        self.is_unavailable = False
 
     def bind(self, wanted, timeout):
-        if self.away:
+        if self.is_unavailable:
             return result.Err('away')
-        held = self.held.setdefault(wanted.key_digest, wanted)
+        held = self.claims_by_key.setdefault(wanted.key_digest, wanted)
         if held.fingerprint != wanted.fingerprint:
             return result.Err(claims.ReusedKey(held))
         return result.Ok(held)
@@ -238,15 +246,15 @@
         pass
 
     def dump(self):
-        return {'claims': len(self.held)}
+        return {'claims': len(self.claims_by_key)}
 
     def release(self, binding, timeout):
-        self.held.pop(binding.key_digest, None)
+        self.claims_by_key.pop(binding.key_digest, None)
         return result.Ok(binding)
 
 
 class Entry:
-    """An entry on real sockets, its agents and its callers."""
+    """An entry on TCP sockets with its agents and a client."""
 
     def __init__(self, stack):
         self.stack = stack
@@ -265,15 +273,15 @@
             Agent(name, engine, self.faults) for name in ('agent-1', 'agent-2')
         ]
         self.service = Agent('agent-3', service, self.faults)
-        self.breaks = 0
+        self.host_list_failures = 0
         outside = sources.Sources(self.read_hosts, self.follow, self.writer)
         self.role = role.Entry(SETTINGS, outside, lame_duck=0.0)
         self.fleet = self.role._fleet
         self.pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
 
     def read_hosts(self):
-        if self.breaks:
-            self.breaks -= 1
+        if self.host_list_failures:
+            self.host_list_failures -= 1
             raise ZeroDivisionError('made by a test')
         return result.Ok(self.agents())
 
--- a/features/steps/fairness.py
+++ b/features/steps/fairness.py
@@ -1,4 +1,4 @@
-"""Steps for what teams leave to each other."""
+"""Steps for fair sharing of threads, queues, slots and KV memory."""
 
 import collections
 from concurrent import futures
@@ -21,8 +21,8 @@
 wait_until = waiting.make_wait(WAIT_SECONDS)
 
 
-class Grouped:
-    """Holds the requests that may run, by group, until it is released."""
+class BlockingApplication:
+    """Hold admitted requests until release; refuse others with 429."""
 
     def __init__(self):
         self.release = threading.Event()
@@ -42,7 +42,7 @@
     'an HTTP server of {threads:d} threads whose requests name their groups'
 )
 def serve_groups(context, threads):
-    context.grouped = Grouped()
+    context.grouped = BlockingApplication()
     pool = context.stack.enter_context(futures.ThreadPoolExecutor(threads))
     server = httpserver.HttpServer.from_config(
         context.grouped, '127.0.0.1:0', threads
@@ -60,7 +60,7 @@
 
 
 def open_request(context, group):
-    """Send one; true when it runs, false when it was refused."""
+    """Send a request and return whether it runs rather than is refused."""
     running = [one for one in context.held if not one.done()]
     wait_until(lambda: context.grouped_server.in_flight == len(running))
     sent = context.send_grouped(group)
@@ -145,8 +145,8 @@
     assert pick_one(context).team == team
 
 
-# How many wait at a time, their estimated and their real cost.
-KINDS = {
+# Number of waiting requests, their estimated and their actual cost.
+REQUEST_KINDS = {
     'requests one at a time': (1, 500, 500),
     'requests of four times the cost that was estimated': (50, 125, 500),
     'many tiny requests': (200, 5, 5),
@@ -156,7 +156,7 @@
 
 @behave.when('team "{team}" sends {kind} while {count:d} requests are picked')
 def pick_mixed(context, team, kind, count):
-    waiting, estimate, real = KINDS[kind]
+    waiting, estimate, real = REQUEST_KINDS[kind]
     for _ in range(waiting):
         queue_one(context, team, estimate)
     spent = collections.Counter()
@@ -189,7 +189,7 @@
 
 
 @behave.given('team "{team}" of weight {weight:d} wants as many as it can get')
-def want_all(context, team, weight):
+def queue_flood(context, team, weight):
     context.flood = team
     for _ in range(100):
         context.slots.add_request(team, weight)
@@ -204,13 +204,13 @@
 
 
 @behave.when('teams come and go for {count:d} moments')
-def come_and_go(context, count):
+def simulate_arrivals(context, count):
     rng = random.Random(0)
     team, weight, most = context.steady
     running = collections.Counter()
     context.missed = []
-    for moment in range(count):
-        now = moment * 0.01
+    for tick in range(count):
+        now = tick * 0.01
         context.slots.tick(now)
         if running[team] < most and rng.random() < 0.7:
             context.slots.add_request(team, weight)
@@ -304,7 +304,7 @@
     'two heads and four later stages that take one request at a time'
 )
 def start_crossed(context):
-    # Unequal capacities, so that the plan must cross the later stages.
+    # Capacities are unequal so that the plan must cross the later stages.
     capacities = {0: (400.0, 400.0), 4: (600.0, 200.0), 8: (400.0, 400.0)}
     stages = tuple(
         blueprints.Stage(start, start + 4, 1, '', rate, max_in_flight=1)
@@ -337,7 +337,7 @@
 
 
 def has_planned(crossed, entry, count):
-    # Until its plan knows all stages, an entry takes the first that do.
+    # Until its plan covers all stages, an entry uses the first usable ones.
     plans = crossed.read_state(entry)['plans']
     return any(len(one['shares']) == count for one in plans)
 
--- a/features/steps/httpserver.py
+++ b/features/steps/httpserver.py
@@ -1,4 +1,4 @@
-"""Steps for the HTTP server."""
+"""Steps for limits, backpressure and stops of the HTTP server."""
 
 from concurrent import futures
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class Application:
-    """Answers by path, and keeps count."""
+    """Answer by path and count runs and produced bytes."""
 
     def __init__(self):
         self.runs = 0
@@ -100,7 +100,8 @@
     )
     context.temporary = patch.start()
     context.add_cleanup(patch.stop)
-    # Cleaned up last, as its threads wait for the server.
+    # Registered before the server, so it shuts down after the server, for
+    # which its threads wait.
     context.pool = futures.ThreadPoolExecutor(8)
     context.add_cleanup(context.pool.shutdown)
     serve(context, threads, max_body=size)
@@ -178,7 +179,7 @@
 @behave.then('the connection ends without an answer')
 def check_no_answer(context):
     received = b''
-    # It may be reset, since the server has not read all of it.
+    # The connection may be reset, as the server has not read all data.
     with contextlib.suppress(ConnectionResetError):
         while piece := context.silent.recv(1 << 16):
             received += piece
@@ -239,11 +240,11 @@
 
 
 @behave.given("an HTTP server that bears {seconds:d} s of a caller's silence")
-def start_impatient(context, seconds):
+def start_stall_limited(context, seconds):
     serve(context, 2, stall_seconds=float(seconds))
 
 
-HALVES = {
+PARTIAL_REQUESTS = {
     'first half of the head': b'POST / HTTP/1.1\r\nHost',
     'head and half the body': (
         b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\nhalf'
@@ -252,11 +253,11 @@
 
 
 @behave.when('a caller sends the {part} of a request and falls silent')
-def fall_silent(context, part):
+def send_partial_request(context, part):
     address = ('127.0.0.1', context.server.port)
     context.silent = socket.create_connection(address, WAIT_SECONDS)
     context.add_cleanup(context.silent.close)
-    context.silent.sendall(HALVES[part])
+    context.silent.sendall(PARTIAL_REQUESTS[part])
 
 
 @behave.then('its HTTP connection is closed')
