--- a/features/steps/layoutload.py
+++ b/features/steps/layoutload.py
@@ -1,4 +1,4 @@
-"""Steps about layouts under the load of several deployments."""
+"""Steps for layer layouts under the load of several deployments."""
 
 import re
 
@@ -51,7 +51,7 @@
 
 
 def place(context, empty, known=None):
-    """Give empty engines their layers beside those that hold some."""
+    """Assign layers to empty engines, given those that already hold some."""
     placed = layout.plan_new(
         context.profile, make_placements(context.engines), empty, known
     )
@@ -80,7 +80,7 @@
 
 
 def count_tokens(context, engines):
-    """Tokens for which the scarcest layer has room."""
+    """Count the cached tokens that the layer with least room can hold."""
 
     def measure(layer):
         return sum(
@@ -195,7 +195,7 @@
 
 
 def find_known(context, now):
-    """Give what is known at a time, looking five times a second."""
+    """Return the demand peak known at a time, observed every 0.2 s."""
     known = demandpeaks.DemandPeaks()
     tokens = 0
     for step in range(int(now * 5) + 1):
--- a/features/steps/layouts.py
+++ b/features/steps/layouts.py
@@ -1,4 +1,4 @@
-"""Steps about which layers engines are to hold."""
+"""Steps for choosing the layers that each engine holds."""
 
 import behave
 from dunlintide_core.pipeline import layout
@@ -46,7 +46,8 @@
             covered = set()
             for each in held:
                 covered.update(range(each.start, each.end))
-            # Windows of unequal cards may overlap by the smaller one.
+            # Layer ranges of unequal accelerators may overlap, by at most
+            # the smaller range.
             if (
                 total
                 >= pipeline_scene.LAYERS
--- a/features/steps/ledger.py
+++ b/features/steps/ledger.py
@@ -1,4 +1,4 @@
-"""Steps for the ledger of attempts."""
+"""Steps for the ledger of idempotency keys and their attempts."""
 
 import attrs
 import behave
@@ -105,8 +105,8 @@
             if kind == 'open':
                 verdict, entry = ledger.open(claim)
                 if verdict is ledgers.Verdict.START:
-                    # The claim's generation is fixed when it is made, so
-                    # each number stands for a claim of its own.
+                    # A claim keeps the generation it was created with, so
+                    # each (key, generation) pair is a separate attempt.
                     assert (key, number) not in ran
                     assert key not in running
                     ran.add((key, number))
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -1,4 +1,4 @@
-"""Steps for the limits of teams over entries."""
+"""Steps for team limits shared by several entries."""
 
 from concurrent import futures
 import contextlib
@@ -38,7 +38,7 @@
 
 @attrs.define
 class Actor:
-    """One entry on a virtual clock; it keeps each slot that it is granted."""
+    """An entry on a virtual clock that keeps every slot it is granted."""
 
     name: str
     lease: core.Lease = attrs.field(factory=core.Lease)
@@ -49,7 +49,7 @@
 
 
 def simulate(seed, count, loss, slowest, limit):
-    """Yield the sum of the shares and of the slots at each moment."""
+    """Yield the total rate share and the total slots after each step."""
     rng = random.Random(seed)
     actors = {f'e{number}': Actor(f'e{number}') for number in range(count)}
     fraction = 1.0 / count
@@ -76,7 +76,7 @@
                 continue
             wanted = rng.choice((0, 1, limit))
             actor.need = core.Need(rng.random(), wanted, 0, limit)
-            # Entries need not agree on who coordinates.
+            # Entries may disagree about which entry is the coordinator.
             chosen = rng.choice(('e0', 'e1'))
             if actor.lease.choose(chosen, now):
                 sequence = actor.lease.send(now)
@@ -117,7 +117,7 @@
 
 
 class Node:
-    """The limits of one entry, on a real port."""
+    """One entry's limiter, listening on a real port."""
 
     def __init__(self, stack, name, grant_wait=0.0):
         self.name = name
@@ -137,7 +137,7 @@
         return link_pb2.Hello(name=self.name, role='entry', incarnation=1)
 
     def ask(self, rule=RULE):
-        """Ask once; the refusal, or None."""
+        """Request admission once and return the refusal, or None."""
         request_id = f'{self.name}-{time.monotonic_ns()}'
         refusal = self.limits.admit(request_id, 'member', rule)
         if refusal is None:
@@ -292,7 +292,8 @@
 def check_quiet(context, early, late):
     assert context.lease.can_defer_demand(early)
     assert not context.lease.can_defer_demand(late)
-    # What it lends is still lent then, so no part of it is in doubt.
+    # The lease outlives this pause, so the share that the entry lends
+    # stays valid.
     assert context.lease.is_live(late + core.SLACK_SECONDS)
 
 
--- a/features/steps/links.py
+++ b/features/steps/links.py
@@ -1,4 +1,4 @@
-"""Steps for links through a relay."""
+"""Steps for links between processes, made through a relay."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class Side:
-    """What one end of a link has seen."""
+    """One end of a link, recording connections, losses and frames."""
 
     def __init__(self, name):
         self.name = name
--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -1,4 +1,4 @@
-"""Steps about what lies in the platform's store."""
+"""Steps for endpoints and configuration read from the store."""
 
 import base64
 import json
@@ -53,7 +53,7 @@
 
 
 class RecordingLog(decisionlog.DecisionLog):
-    """Keeps the lines instead of writing them."""
+    """A decision log that keeps its lines in memory."""
 
     def __init__(self):
         super().__init__('one', output=2)
@@ -70,7 +70,7 @@
 
 
 def write_row(context, name, value):
-    """Let the store tell of a value, spelled as it does."""
+    """Deliver a value to the follower in the store's wire form."""
     context.revision += 1
     row = {
         'key': f'servers/{name}',
@@ -214,7 +214,8 @@
     assert not endpoint.draining
     assert not beliefs.health.expects_refusal(endpoint.name, beliefs.now)
     assert not beliefs.health.get_suspicion_seconds(endpoint.name, beliefs.now)
-    # A break at the new life is another one than that at the old.
+    # The new incarnation counts as a separate endpoint, so the request
+    # has now broken runs at two.
     count = beliefs.poison_requests.record_broken_run(
         'request', endpoint.name, beliefs.now
     )
@@ -251,7 +252,7 @@
 
 
 def spoil_rows(sound):
-    """Rows like a sound one, with some fields dropped or replaced."""
+    """Generate rows from a valid one, with fields dropped or replaced."""
     fields = strategies.sampled_from(sorted(sound) + ['born'])
     changes = strategies.dictionaries(fields, JSON, max_size=3)
     drops = strategies.sets(fields, max_size=2)
--- a/features/steps/logs.py
+++ b/features/steps/logs.py
@@ -1,4 +1,4 @@
-"""Steps for logs."""
+"""Steps for log formatting and for the redaction of API keys."""
 
 import io
 import json
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -1,4 +1,4 @@
-"""Steps about the command that reads the entries' logs."""
+"""Steps for the command that finds causes of losses in entry logs."""
 
 import contextlib
 import io
--- a/features/steps/lostengines.py
+++ b/features/steps/lostengines.py
@@ -1,4 +1,4 @@
-"""Steps about streams whose engine dies."""
+"""Steps for the failover of streams when an engine dies."""
 
 import behave
 from dunlintide_core.pipeline import durations
@@ -11,7 +11,7 @@
 
 
 class Run:
-    """A stream on a chain; its events stop where an engine of it died."""
+    """A stream on a chain of engines; it stalls when one of them dies."""
 
     def __init__(self, names, first, period):
         self.names = names
@@ -55,7 +55,7 @@
 
 
 def play(context, dies, end):
-    """Play until a time; ``dies`` tells whether a run stands still then."""
+    """Simulate until a time; ``dies(run, now)`` says if a run is stalled."""
     limits = failover.choose_limits(TARGET, context.usual)
     now = 9.0
     while now < end:
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -1,4 +1,4 @@
-"""Steps about the datagrams of one entry among many."""
+"""Steps for the gossip datagrams of one entry among many."""
 
 from unittest import mock
 
@@ -15,7 +15,7 @@
 
 
 class Transport:
-    """Keeps the addresses to which datagrams go."""
+    """A datagram transport that records destination hosts."""
 
     def __init__(self):
         self.hosts = []
--- a/features/steps/outcomes.py
+++ b/features/steps/outcomes.py
@@ -1,4 +1,4 @@
-"""Steps about outcomes under failures of real processes."""
+"""Steps for request outcomes while real processes fail."""
 
 import copy
 import time
--- a/features/steps/outcomes_callers.py
+++ b/features/steps/outcomes_callers.py
@@ -1,4 +1,4 @@
-"""Steps about callers that fall silent."""
+"""Steps for callers that stop reading or sending."""
 
 import copy
 
@@ -14,7 +14,7 @@
 
 
 def connect(context):
-    """Connect to an entry and have a request answered."""
+    """Connect to an entry and complete one request."""
     connection = context.scene.connect()
     context.stack.callback(connection.close)
     context.scene.ask(connection, 1, stream=False)
--- a/features/steps/outcomes_faults.py
+++ b/features/steps/outcomes_faults.py
@@ -1,4 +1,4 @@
-"""Steps about dead, stopped and paused processes and the store."""
+"""Steps for killed, stopped and paused processes and store faults."""
 
 import time
 
@@ -11,7 +11,7 @@
 import outcomes_scene
 
 HONEST = {outcomes.Outcome.UNKNOWN, outcomes.Outcome.NOT_RUN}
-# What a caller also sees: its connection broke.
+# Outcomes that a caller reports when its connection breaks.
 BROKEN = {client.LOST, client.TRUNCATED}
 
 
@@ -27,9 +27,9 @@
 def check_once(scene, key):
     """Check that a key has one run, under one request at one executor.
 
-    A run may go on in a higher epoch when a later stage is replaced, and
-    then only the lost layers run again. So what counts is its executor:
-    the head, whose engine must have run each position once, in order.
+    When a later stage is replaced, the run continues in a higher epoch and
+    only the lost layers run again. The check therefore covers the head
+    stage: its engine must have run each position once, in order.
     """
     runs = list_key_runs(scene, key)
     assert len({run['request_id'] for run in runs}) == 1, runs
@@ -113,7 +113,7 @@
 @behave.when('a caller of a long {answer} goes away')
 def leave(context, answer):
     scene = context.scene
-    # Left alone it takes 19 s, which its deadline allows.
+    # Without a cancellation the answer takes 19 s, within its deadline.
     connection = scene.connect()
     scene.ask(connection, 300, stream=answer == 'stream')
     chain = scene.find_chain()
@@ -302,7 +302,7 @@
 def check_last(context):
     for stream in repeat_keyed(context, 2):
         outcome = stream.wait().outcome
-        # Each had run, so that neither may be told that it did not.
+        # Each request has run, so NOT_RUN would be a false outcome.
         allowed = {outcomes.Outcome.COMPLETE, outcomes.Outcome.UNKNOWN}
         assert outcome in allowed, stream.answer
     for key in context.keys:
--- a/features/steps/outcomes_scene.py
+++ b/features/steps/outcomes_scene.py
@@ -1,4 +1,4 @@
-"""A deployment with relays, and requests that are put to it."""
+"""A deployment with relays, and helpers that send it requests."""
 
 import copy
 import http.client
@@ -24,7 +24,7 @@
 WAIT_SECONDS = 40.0
 wait_until = waiting.make_wait(WAIT_SECONDS)
 ORDER_SECONDS = 4
-# Shorter than in production, so that the scenarios are short.
+# Shorter than the defaults, to keep the scenarios short.
 TIMING = {
     'ping': 0.2,
     'silence': 1.0,
@@ -41,13 +41,13 @@
 CURE = {'down': False, 'hang': False, 'slow_seconds': 0.0, 'drop_answers': 0}
 
 
-# What is lost stays lost here: a range that is loaded anew has a feature
-# of its own, and would let a stream end that has to be cut.
+# Disables the reloading of lost layer ranges: placement.feature covers it,
+# and a reloaded range would complete streams that must be cut.
 HELD = settings.Placement(patience=3600.0)
 
 
 class Stream:
-    """A request that is made on a thread of its own."""
+    """A request sent from its own thread."""
 
     def __init__(self, ask, prompt=PROMPT, max_tokens=0, team=''):
         self.prompt = prompt
@@ -68,7 +68,7 @@
 
 
 class Scene:
-    """The deployment that all scenarios of the feature share."""
+    """The deployment shared by all scenarios of the feature."""
 
     def __init__(self, context):
         example = context.root / launcher.EXAMPLE
@@ -76,7 +76,7 @@
         rules = operators.load_rules(example.parent / blueprint.rules)
         rules['rules'][0]['then']['deadline_seconds'] = ORDER_SECONDS
         for rule in rules['rules']:
-            # Limits of teams have a feature of their own.
+            # Removed because other features cover team limits.
             rule['then'].pop('concurrency', None)
         folder = tempfile.TemporaryDirectory(prefix='dunlintide-')
         enter = context.feature_stack.enter_context
@@ -96,7 +96,7 @@
         self.stopping = []
 
     def heal(self):
-        """End all faults and wait until all is well again."""
+        """End all faults and wait until the deployment has recovered."""
         running = self.running
         for one in running.relays.values():
             one.resume()
@@ -156,7 +156,7 @@
             start = agent.endpoint.settings['layer_start']
             if stage is not None and start != 8 * STAGES.index(stage):
                 continue
-            # A step of the stand-ins takes 2 ms.
+            # A stand-in engine takes 2 ms per step at factor 1.
             factor = milliseconds / 2
             name = agent.endpoint.standin.name
             self.running.control(name, slow_factor=factor)
@@ -188,7 +188,7 @@
         )
 
     def connect(self, entry=0):
-        """Connect to an entry, for requests that are sent by hand."""
+        """Open a plain HTTP connection to an entry."""
         url = self.running.plan.find_url(self.running.plan.entries[entry])
         return http.client.HTTPConnection(
             url.removeprefix('http://'), timeout=WAIT_SECONDS
@@ -199,7 +199,7 @@
         connection.request(method, path, body, headers)
 
     def ask(self, connection, tokens, *, stream):
-        """Ask for a completion."""
+        """Send a completion request without reading its answer."""
         body = {
             'model': self.running.model,
             'prompt': self.name_prompt(),
@@ -209,7 +209,7 @@
         self.send(connection, 'POST', '/v1/completions', json.dumps(body))
 
     def find_service(self, name):
-        """Name the agent of a service."""
+        """Return the name of the agent that serves a service."""
         [agent] = [
             agent
             for agent in self.list_services()
@@ -235,7 +235,7 @@
         )
 
     def find_chain(self):
-        """Wait for one request that runs, and name its agents in order."""
+        """Wait for a running request and list its agents in stage order."""
         found = {}
 
         def look():
@@ -260,7 +260,7 @@
         return process
 
     def find_relay(self, hop, chain):
-        """Give the relay on a hop of a running request."""
+        """Return the relay on a hop of a running request."""
         if hop is plans.Hop.ENTRY_AGENT:
             return self.running.relays[hop, chain[0]]
         return self.running.relays[hop, chain[1]]
--- a/features/steps/outcomes_services.py
+++ b/features/steps/outcomes_services.py
@@ -1,4 +1,4 @@
-"""Steps about plain services that go silent."""
+"""Steps for HTTP services that stop answering."""
 
 import time
 
@@ -71,7 +71,8 @@
 def check_unknown(answer):
     found = (answer.outcome, answer.code)
     wanted = {(outcomes.Outcome.UNKNOWN, 'deadline')}
-    # The first answer at the deadline ends it for those behind.
+    # The first caller to reach the deadline ends the attempt, so requests
+    # attached to it find its answer gone.
     wanted.add((outcomes.Outcome.UNKNOWN, 'answer-gone'))
     assert found in wanted, answer
 
@@ -94,7 +95,8 @@
 
 @behave.when('it is well again')
 def mend(context):
-    # Until the agent has given it up, too, it could still be answered.
+    # Until the agent gives up the calls, the service could still answer
+    # them.
     outcomes_scene.wait_until(
         lambda: not context.scene.read_gate(context.agent)['works'],
         'the agent has given up the calls',
--- a/features/steps/outcomes_stops.py
+++ b/features/steps/outcomes_stops.py
@@ -1,4 +1,4 @@
-"""Steps about entries and services that are told to stop."""
+"""Steps for the graceful stop of entries and services."""
 
 import time
 
