--- a/features/steps/outcomes_services.py
+++ b/features/steps/outcomes_services.py
@@ -13,7 +13,7 @@
 
 
 def ask(context, entry=0):
-    """Send the scenario's request, or repeat it."""
+    """Send the scenario's request, with its idempotency key if any."""
     scene = context.scene
     if context.key:
         return scene.order(context.key, entry)
--- a/features/steps/overload.py
+++ b/features/steps/overload.py
@@ -1,4 +1,4 @@
-"""Steps that replay load on decisions about layouts and chains."""
+"""Steps that simulate load on the choice of layouts and chains."""
 
 import behave
 from dunlintide_core.pipeline import bottlenecks
@@ -37,7 +37,7 @@
     accelerators=CARDS,
     delays_ms={('a', 'b'): 0.3},
 )
-# How long a run stands still when it is judged, in seconds.
+# Age of a stall when the suspects are determined, in seconds.
 SILENCE = 0.3
 TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer
 
@@ -223,7 +223,7 @@
     context.belief = endpointhealth.EndpointHealth()
     context.names = [f'e{index}' for index in range(count)]
     context.since = at
-    # The run that is judged and two others flow through each engine.
+    # Three runs use each engine: the stalled one and two others.
     for _ in range(3):
         context.belief.record_accepted(context.names, at)
     context.belief.report_progress(context.names, at)
--- a/features/steps/paces.py
+++ b/features/steps/paces.py
@@ -1,4 +1,4 @@
-"""Steps about engines that turn slow."""
+"""Steps for the detection and avoidance of slow engines."""
 
 import behave
 from dunlintide_core.pipeline import chaintable
--- a/features/steps/packages.py
+++ b/features/steps/packages.py
@@ -1,4 +1,4 @@
-"""Steps about the imports between the packages."""
+"""Steps for the allowed imports between packages."""
 
 import ast
 import re
@@ -6,7 +6,8 @@
 import behave
 
 PREFIX = 'dunlintide_'
-# Headers, calls and fields of the platform's protocol.
+# Headers, calls and fields of the platform's protocol, which only the
+# adapters may name.
 PLATFORM_NAMES = re.compile(
     'Attempt-Id|Hop-Count|Server-Stamp|Token-Count|Prefix-Hash|At-Server'
     '|Not-Executed|Expect-Instance|Deadline-Ms|kv-txn|kv-range|kv-watch'
--- a/features/steps/peers.py
+++ b/features/steps/peers.py
@@ -1,4 +1,4 @@
-"""Steps of peers.feature."""
+"""Steps for the exchange of configuration and membership by gRPC."""
 
 import json
 import queue
@@ -25,7 +25,7 @@
 
 
 class _Configs:
-    """A store's configuration; delivers what is put into it."""
+    """A fake configuration store that delivers queued snapshots."""
 
     def __init__(self):
         self.changes = queue.Queue()
--- a/features/steps/permitload.py
+++ b/features/steps/permitload.py
@@ -1,4 +1,4 @@
-"""Steps that play load on limited endpoints, in virtual time."""
+"""Steps that simulate load on rate-limited endpoints in virtual time."""
 
 import heapq
 import itertools
@@ -10,11 +10,12 @@
 from dunlintide_trials.edge import windows
 
 ENDPOINT = 'runner-1'
-# Load over the limit, and times of the run, in seconds.
+# Offered load as a multiple of the limit.
 OVERLOAD = 3.0
 END_SECONDS = 24.0
-# Delay of a message, in seconds, and how long a request looks for a permit.
+# Range of message delays.
 DELAY_SECONDS = (0.0002, 0.002)
+# Time for which a request tries to get a permit.
 REQUEST_SECONDS = 1.0
 DOWN_SECONDS = 1.0
 
@@ -56,7 +57,7 @@
             self.send(entry.receive(message, self.now))
 
     def arrive(self, name, expires):
-        """Let a request look for a permit until its time is up."""
+        """Let a request try to get a permit until it expires."""
         entry = self.entries.get(name)
         if entry is not None:
             self.advance(name, entry, entry.open(ENDPOINT, self.now), expires)
@@ -69,7 +70,7 @@
         if ticket.is_granted:
             self.sent.append((self.now, name))
         elif ticket.verdict is None:
-            # An answer is seen at the latest when the next try is due.
+            # Polls for the answer every 2 ms, up to the time of the next try.
             at = min(ticket.due, self.now + 0.002)
             self.schedule(at, self.wait, name, entry, ticket, expires)
         elif self.now + ticket.pause < expires:
@@ -83,7 +84,7 @@
             self.advance(name, entry, ticket, expires)
 
     def restart(self, name):
-        """Kill an entry, and start it without knowledge a moment later."""
+        """Kill an entry and start it with empty state after DOWN_SECONDS."""
         del self.entries[name]
         self.schedule(self.now + DOWN_SECONDS, self.start, name)
 
@@ -91,7 +92,7 @@
         self.entries[name] = self.make_entry(name)
 
     def load(self, weights):
-        """Offer load until the end, spread by weights."""
+        """Schedule requests until END_SECONDS over the weighted entries."""
         at = 0.0
         while at < END_SECONDS:
             at += self.draw.expovariate(self.limit * OVERLOAD)
@@ -108,14 +109,14 @@
         return entry.choose_coordinator(ENDPOINT, self.now)
 
     def count_most(self):
-        """Count the requests of the fullest window."""
+        """Count the requests in the busiest window after stabilisation."""
         since = windows.STABLE_SECONDS
         return windows.count_max_requests(
             at for at, _ in self.sent if at >= since
         )
 
     def measure_use(self):
-        """Tell which part of the limit was used, once it was stable."""
+        """Return the used fraction of the limit after stabilisation."""
         since = windows.STABLE_SECONDS
         times = [at for at, _ in self.sent if at >= since]
         return len(times) / (self.limit * (END_SECONDS - since))
--- a/features/steps/pipeline.py
+++ b/features/steps/pipeline.py
@@ -1,4 +1,4 @@
-"""Steps about decisions on chains of engines."""
+"""Steps for the choice, failover and admission of engine chains."""
 
 import copy
 import random
@@ -30,7 +30,7 @@
         assert endpoints.covers_exactly(hops, pipeline_scene.LAYERS), hops
         for hop in hops:
             need = tokens * (hop.end - hop.start)
-            # Rooms are whole numbers: the rest is rounding.
+            # Room is a whole number, so allow for rounding.
             assert need <= rooms[hop.endpoint.name] + 0.5, hop
 
     pipeline_scene.repeat(
@@ -55,7 +55,7 @@
 
 
 def choose_idle(engines, pipes=()):
-    """Choose a chain through engines that do nothing."""
+    """Choose a chain through idle engines."""
     usages = {
         engine.name: pipeline_scene.make_use(engine, 0, float('inf'))
         for engine in engines
@@ -267,7 +267,7 @@
         if any(now - 0.01 < at <= now for at in restarts_at):
             budgets = make_budgets()
         budget = draw.choice(budgets)
-        # A storm from second 20 to 30, and little before and after.
+        # Heavy load from 20 s to 30 s and a tenth of it otherwise.
         if 20 < now < 30 or draw.random() < 0.1:
             budget.record_request(now)
             asked.append(now)
--- a/features/steps/pipeline_scene.py
+++ b/features/steps/pipeline_scene.py
@@ -1,4 +1,4 @@
-"""Made-up fleets of engines, for steps about chains and layouts."""
+"""Generated fleets of engines for the steps of chains and layouts."""
 
 from dunlintide_core.pipeline import chaincosts
 from dunlintide_core.pipeline import chains
@@ -67,7 +67,7 @@
 
 
 def make_use(engine, running, room):
-    """Make a use of an engine that leaves so much memory."""
+    """Build a usage that leaves ``room`` of an engine's cache capacity."""
     held = engine.end - engine.start
     given = (
         PROFILE.get_cache_capacity(engine.kind, held)
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -1,4 +1,4 @@
-"""Steps of placement.feature that need no process."""
+"""Steps for placement decisions that need no processes."""
 
 import itertools
 
@@ -35,7 +35,7 @@
 
 
 def decide(context, until):
-    """Let the leader decide ten times a second, and give the orders."""
+    """Run the placer every 0.1 s until a time and return its orders."""
     orders = []
     while context.step < round(until * STEPS_PER_SECOND):
         context.step += 1
@@ -191,7 +191,7 @@
     for start in (8, 16):
         victim = list_holders(context, start, start + 8)[0]
         del context.engines[victim.agent]
-    # Each range has one holder now, and then one range has none.
+    # Each range now has one holder; removing one leaves a range without.
     del context.engines[list_holders(context, 0, 8)[0].agent]
     assert decide_on(context, 60.0) == []
 
@@ -271,7 +271,7 @@
 
 @behave.then('an answer that comes later than it lapsed makes it lead again')
 def check_revival(context):
-    # The store had the lease still, so nobody led meanwhile.
+    # The lease still exists in the store, so no other leader took over.
     assert context.leadership.needs_renewal(110.0)
     context.leadership.renew(110.0)
     assert context.leadership.get_fence(115.0) == 17
--- a/features/steps/placement_orders.py
+++ b/features/steps/placement_orders.py
@@ -1,4 +1,4 @@
-"""Steps of placement.feature with a store, an agent and an engine."""
+"""Steps for placement orders with a store, an agent and an engine."""
 
 from concurrent import futures
 import threading
@@ -41,7 +41,7 @@
 
 
 class Leader:
-    """A leader's link to the agent, with the term that it believes in."""
+    """A leader's link to the agent, with the term it last acquired."""
 
     def __init__(self, context, name):
         self.name, self.answers = name, []
@@ -58,7 +58,7 @@
         ]
 
     def order(self, held, start, end):
-        """Send an order and give the agent's first answer to it."""
+        """Send an order and return the agent's first answer to it."""
         order = link_pb2.Order(
             order_id=f'{self.name}-{time.monotonic_ns()}',
             fence=self.term.fence,
@@ -169,7 +169,7 @@
     assert answer.accepted, answer
 
     def is_told():
-        # Entries hear of the new layers over the open link.
+        # The agent announces its new layers over the open link.
         told = context.new.dialer.link.peer.endpoint
         return (told.layer_start, told.layer_end) == (start, end)
 
@@ -200,7 +200,7 @@
 
 
 class Candidate:
-    """A leader actor with a clock of its own and a view made up."""
+    """A leader actor with its own clock and a constructed fleet view."""
 
     def __init__(self, context, name):
         self.now, self.sent, self.status = 1000.0, [], None
@@ -255,7 +255,7 @@
 def check_orders(context):
     first, second = context.first, context.second
     assert len(second.sent) == 1
-    # It learns from the store that its lease has ended.
+    # The first candidate reads from the store that its lease expired.
     assert first.tick() == 'candidate'
     assert first.tick(30.0) == 'candidate'
     assert not first.sent
@@ -267,7 +267,7 @@
 def check_lapse(context):
     lose_store(context)
     assert context.second.tick(5.5) == 'lapsed'
-    # Its order is given up, and would be repeated, if it still led.
+    # A leader would time out its order by now and repeat it.
     assert context.second.tick(600.0) == 'lapsed'
     for _ in range(30):
         assert context.second.tick(1.0) == 'lapsed'
@@ -414,6 +414,7 @@
     for prompt, answer in complete:
         tokens = reference.expected_tokens(prompt, 64, 24, MODEL)
         assert answer.text == ''.join(token.text for token in tokens), prompt
-    # The endpoint moves; its requests go on elsewhere.
+    # Requests on the endpoint that changes its layers are rerouted; a few
+    # may fail.
     rest = [answer for _, answer in context.answers if not answer.is_complete]
     assert len(complete) >= 0.9 * len(context.answers), rest
--- a/features/steps/planning.py
+++ b/features/steps/planning.py
@@ -1,4 +1,4 @@
-"""Steps for the planning of chains."""
+"""Steps for chain plans, slow stages and links, and prefix affinity."""
 
 import itertools
 import random
@@ -36,7 +36,7 @@
 
 
 def _least_cut(stops, crossing):
-    """Try each cut of the place graph (boundary x failure domain)."""
+    """Find the minimum cut over boundaries and domains by brute force."""
     edges = []
     places = set()
     for stop in stops:
@@ -214,7 +214,7 @@
 
 
 def _planned(context):
-    """List for each entry the planned share of each capacity."""
+    """List per entry the fraction of each stage's capacity it plans."""
     found = []
     for router in context.routers:
         shares = dict.fromkeys((stop.agent for stop in context.stops), 0.0)
@@ -243,7 +243,7 @@
 
 @then("no other stage's share of its capacity is cut to half")
 def then_others_keep_theirs(context):
-    # The other ranges still have 900 tokens/s for a bound of 540.
+    # The remaining ranges have 900 tokens/s, against a bound of 540.
     for router in context.routers:
         factors = router.replanner.capacities.list_factors()
         factors.pop(context.watched)
@@ -293,7 +293,7 @@
 
 @then('no link stays suspected')
 def then_none_suspected(context):
-    # Until half of the recent intervals are long, some may be blamed.
+    # Links may be suspected until half of the recent intervals are long.
     factors = context.delays.list_factors()
     assert not factors, factors
 
@@ -334,7 +334,7 @@
 
 
 def _returns(context):
-    """Count how often 100 choices take the chain that holds the prompt."""
+    """Count the choices out of 100 that take the prompt's chain."""
     chosen = [
         context.chooser.choose(1.0, context.rng, holders=_find(context))
         for _ in range(100)
--- a/features/steps/poison.py
+++ b/features/steps/poison.py
@@ -1,4 +1,4 @@
-"""Steps about requests that crash endpoints."""
+"""Steps for the quarantine of requests that crash endpoints."""
 
 import pathlib
 import random
@@ -36,7 +36,7 @@
 
 
 class Model:
-    """Endpoints that share their evidence after each batch."""
+    """Endpoints that exchange crash evidence after each batch."""
 
     def __init__(self, rng, endpoints):
         self.rng = rng
@@ -58,7 +58,7 @@
         return batch
 
     def run(self, pending, culprits):
-        """Run until all are done or refused; return those refused."""
+        """Run until all requests end and return the refused ones."""
         refused = set()
         while pending:
             index = self.rng.randrange(len(self.nodes))
@@ -72,7 +72,7 @@
                 self.crashes += 1
                 crash = make_crash(self.crashes, f'agent-{index}', *batch)
                 node.add(crash, 0.0)
-                # A caller has its answer before it asks again.
+                # Evidence spreads before callers can retry.
                 self.share()
             else:
                 for one in batch:
@@ -173,13 +173,13 @@
     'a deployment whose crashed engines, reached {way}, are started again'
 )
 def start_deployment(context, way):
-    # A forwarder takes connections also while the engine is gone.
+    # A forwarder accepts connections even while the engine is down.
     hops = () if way == 'directly' else (plans.Hop.AGENT_ENGINE,)
     example = context.root / launcher.EXAMPLE
     blueprint = blueprints.load_blueprint(example)
     rules = operators.load_rules(example.parent / blueprint.rules)
     for rule in rules['rules']:
-        # A limit would refuse the repeats before the quarantine does.
+        # Limits would refuse the repeats before the quarantine does.
         rule['then'].pop('rate', None)
         rule['then'].pop('concurrency', None)
     folder = pathlib.Path(
@@ -213,7 +213,7 @@
 
 
 def show_begun(context):
-    """Say what became of the streams that should have begun."""
+    """Return outcomes and engine runs for the assertion message."""
     runs = context.running.read_runs(deployment.ENGINE)
     found = [
         (one.answer.outcome, one.answer.code, one.answer.error)
@@ -275,7 +275,7 @@
         ask(context, number % entries, team, prompt, 4)
         for number in range(count)
     ]
-    # Looked at now: the streams may last longer than the quarantine.
+    # Counted before the streams end, as the quarantine may expire first.
     context.quarantines = count_quarantines(running)
     for thread in threads:
         thread.join(WAIT_SECONDS)
--- a/features/steps/positions.py
+++ b/features/steps/positions.py
@@ -1,4 +1,4 @@
-"""Steps for the order of steps at a stage."""
+"""Steps for the order in which a stage runs positions."""
 
 import behave
 from dunlintide_core import positions
--- a/features/steps/product.py
+++ b/features/steps/product.py
@@ -1,4 +1,4 @@
-"""Steps about a small deployment of real processes."""
+"""Steps for a small deployment of real processes."""
 
 import json
 import time
@@ -71,7 +71,7 @@
     ]
     stages = context.running.plan.blueprint.pipelines[0].stages
     assert len(runs) == len(stages), runs
-    # The last token is the end of the answer and is not run itself.
+    # The last token ends the answer and is not fed back to the engines.
     positions = len(reference.tokenize(PROMPT)) + context.count - 1
     for run in runs:
         assert run['positions'] == positions, run
@@ -138,7 +138,7 @@
 
 
 def _build_fault(context, fault):
-    """Build path, body and headers of a malformed request."""
+    """Build the path, body and headers of a malformed request."""
     model = context.running.model
     good = _encode(model=model, prompt=PROMPT, max_tokens=2)
     return {
@@ -195,7 +195,7 @@
 def _is_away(context, entry, engine):
     state = context.running.read_state(f'entry-{entry}')
     agents = {one['name']: one for one in state['fleet']['agents']}
-    # The entry lists no agent while it replaces the link to it.
+    # The entry does not list an agent while it replaces the link to it.
     found = agents.get(f'agent-{engine}')
     return found is not None and found['away']
 
@@ -204,7 +204,7 @@
 def kill_engine(context, engine, entry):
     running = context.running
     running.started[engine].kill()
-    # The feature's other scenarios go on with the same deployment.
+    # Other scenarios of the feature share this deployment.
     context.stack.callback(
         lambda: running.started[engine].is_running or running.restart(engine)
     )
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -1,4 +1,4 @@
-"""Steps about the checks of a soak and the count of a test run."""
+"""Steps for a soak's checks and for the tally of a test run."""
 
 import contextlib
 import io
@@ -58,7 +58,7 @@
 
 
 def _add_order_without_key(context, name, ran):
-    # The router makes a key of its own for it.
+    # The router generates a key for a request that has none.
     key = f'server-{ran}'
     echo = {'member': 'diner', 'idempotency_key': key, 'request_id': ran}
     answer = _answer(name, body=json.dumps(echo).encode())
