--- a/features/layouts.feature
+++ b/features/layouts.feature
@@ -1,6 +1,7 @@
-Feature: Layouts that outlast the loss of engines
-  Which layers engines hold, with cards of several deployments and the
-  streams that their failure domains carry.
+Feature: Layer layouts that survive the loss of an engine
+  Simulates which layers each engine holds, on the accelerators of several
+  deployments. Guards against layers with a single holder, needless moves and
+  layouts that leave too little memory for requests.
 
   Scenario Outline: No layer hangs on one engine where memory has three copies
     Given a model of 80 layers of 1750 MB, whose tokens take <token> bytes
@@ -54,7 +55,8 @@
     Then no engine moves that alone holds a layer of its domain
 
   Scenario Outline: A layout takes little time
-    A line takes some 80 ns on an idle machine, so 1250000 of them are 100 ms.
+    A line of code takes about 80 ns on an idle machine, so 1250000 lines
+    take 100 ms.
     Given <engines> engines without layers in 5 failure domains
     Then their layout runs no more than <lines> lines of code
 
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,5 +1,6 @@
 Feature: Ledger of non-idempotent attempts
-  A key runs at most once, also when its answer is no longer kept.
+  Guards against running an idempotency key twice, also after its answer
+  has been evicted.
 
   Background:
     Given a ledger with 2 entries, 100 answer bytes and a window of 3
--- a/features/limits.feature
+++ b/features/limits.feature
@@ -1,4 +1,6 @@
-Feature: Limits of a team hold over all entries
+Feature: Team limits shared by all entries
+  Guards against entries that together admit more than a team's limit, and
+  against refusals while other entries do not use their shares.
 
   Scenario: Shares never pass the limit, whatever is lost or cut
     Then at any moment shares and slots of all entries stay within the limit
--- a/features/links.feature
+++ b/features/links.feature
@@ -1,5 +1,6 @@
 Feature: Links between processes
-  A link that is silent is lost; one that is slow is not.
+  Guards against a slow link that is taken for a lost one, and against a
+  silent link that stays in use.
 
   Scenario Outline: A large frame passes a slow link
     Given a link of 1 s silence through a relay
--- a/features/listings.feature
+++ b/features/listings.feature
@@ -1,5 +1,7 @@
-Feature: What an entry believes of what lies in the store
-  Anyone may write there, and an endpoint may begin a new life under its id.
+Feature: Endpoints and configuration read from the store
+  The store may hold malformed values, and a restarted endpoint keeps its id.
+  Guards against one bad value that affects other endpoints, and against
+  state of an old incarnation that is applied to the new one.
 
   Scenario Outline: An entry that makes no sense names no endpoint
     Given a follower of a store with a sound endpoint "i-1"
--- a/features/logs.feature
+++ b/features/logs.feature
@@ -1,5 +1,6 @@
 Feature: Logs
-  Log lines say who wrote them and hold no key.
+  Guards against API keys in logs, lines without a process name and lines
+  that are torn when many are written at once.
 
   Scenario Outline: A key does not reach the log
     Given logs in the format "<format>"
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,4 +1,5 @@
-Feature: Why requests fell short, from the entries' logs
+Feature: Causes of failed and late requests, found in entry logs
+  Guards against requests with a wrong cause or several causes.
 
   Scenario Outline: Each request has one cause
     Given the log of an entry with a request that <happens>
--- a/features/lostengines.feature
+++ b/features/lostengines.feature
@@ -1,5 +1,7 @@
-Feature: Streams of an engine that dies
-  Pure decisions, replayed over many streams whose events come in turn.
+Feature: Failover of streams when an engine dies
+  Simulates the failover decisions for many streams whose events alternate.
+  Guards against streams that stay on a dead engine and against the ejection
+  of sound engines.
 
   Scenario: The only chain of a failure domain loses an engine
     Given 26 streams on one chain of 11 engines, with an event each 0.032 s
--- a/features/outcomes.feature
+++ b/features/outcomes.feature
@@ -1,5 +1,7 @@
-Feature: Callers get whole answers or an honest outcome under failure
-  Real processes, with relays on every hop between them.
+Feature: Callers get complete answers or a true outcome under failure
+  Runs real processes with a relay on every hop. Guards against lost tokens,
+  work that runs twice and requests that are never released when a
+  connection, process or store fails.
 
   Background:
     Given the deployment with relays is whole
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -1,5 +1,6 @@
-Feature: Places for streams when load is at its worst
-  Replays of load on decisions alone, with cards of a real deployment.
+Feature: Room for streams under overload
+  Simulates load on the routing decisions, with the accelerators of a real
+  deployment. Guards against requests refused while memory is free.
 
   Scenario Outline: Memory bounds what a failure domain serves, not its first endpoints
     Given a failure domain with <cards>
--- a/features/paces.feature
+++ b/features/paces.feature
@@ -1,6 +1,6 @@
-Feature: Engines that turn slow
-  A slow engine holds up each stream whose chain goes through it, and neither
-  fails nor stands still.
+Feature: Detection and avoidance of slow engines
+  A slow engine delays every stream whose chain includes it, but neither
+  fails nor stalls, so failure detection does not find it.
 
   Scenario: Streams avoid slow engines while others have room
     Given a failure domain with 3 a100, 6 v100 and 7 l4
--- a/features/packages.feature
+++ b/features/packages.feature
@@ -1,4 +1,4 @@
-Feature: Imports between the packages point one way
+Feature: Allowed imports between packages
 
   Scenario Outline: A package imports only what it may
     When the imports of package "<package>" are read
--- a/features/peers.feature
+++ b/features/peers.feature
@@ -1,5 +1,6 @@
-Feature: State of the fleet over real connections
-  Processes exchange configuration and membership by gRPC.
+Feature: Exchange of fleet state over real connections
+  Processes exchange configuration and membership by gRPC. Guards against
+  processes that stay without a configuration while the store is down.
 
   Scenario: A configuration reaches processes that have no store
     Given a process "one" that holds revision 3 from its store
--- a/features/pipeline.feature
+++ b/features/pipeline.feature
@@ -1,5 +1,5 @@
-Feature: Decisions about chains of engines
-  Pure decisions, over many made-up fleets.
+Feature: Choice, failover and admission of engine chains
+  Tests the decisions without I/O, over many generated fleets.
 
   Scenario: A chain covers each layer once, whatever the fleet
     Then any chain that is found covers all layers in order with room for its request
--- a/features/placement.feature
+++ b/features/placement.feature
@@ -1,4 +1,6 @@
-Feature: Placement of layer ranges by a leader for each model
+Feature: Placement of layer ranges by a leader per model
+  Guards against layer ranges without a holder, against needless moves and
+  against orders of a deposed leader.
 
   Background:
     Given a model of 24 layers in ranges of 8, each held twice
--- a/features/planning.feature
+++ b/features/planning.feature
@@ -1,4 +1,6 @@
 Feature: Planning of chains over layer ranges
+  Guards against plans below the possible throughput and against choices of
+  dead, slow or overloaded stages.
 
   Scenario: The plan reaches what a brute-force bound allows
     Given small random fleets of layer ranges
--- a/features/poison.feature
+++ b/features/poison.feature
@@ -1,4 +1,6 @@
-Feature: A request that crashes endpoints is stopped and harms no other
+Feature: Quarantine of requests that crash endpoints
+  Guards against a request that crashes one endpoint after another, and
+  against the refusal of other requests that ran beside it.
 
   Scenario: The culprits are found and nobody else is
     Given requests of three teams, a few of which crash what runs them
--- a/features/positions.feature
+++ b/features/positions.feature
@@ -1,5 +1,6 @@
 Feature: Order of the steps at a stage
-  Each position runs once, in order, whatever the links do to the steps.
+  Guards against positions that run twice, out of order or not at all when
+  links reorder, repeat or lose steps.
 
   Scenario Outline: One step against a stage that stands at epoch 2, position 4
     When a step of epoch <epoch> with positions <start> to <end> comes to the stage
--- a/features/product.feature
+++ b/features/product.feature
@@ -1,4 +1,6 @@
 Feature: A small deployment of real processes
+  Guards against wrong tokens, repeated orders and malformed requests that
+  reach an endpoint.
 
   Background:
     Given the small deployment runs
--- a/features/promises.feature
+++ b/features/promises.feature
@@ -1,4 +1,6 @@
-Feature: A soak notices broken promises
+Feature: A soak detects violated guarantees
+  Guards against checks of a soak that miss a violation or report a false
+  one, and against a tally that hides failures.
 
   Scenario Outline: One broken promise is found among good requests
     Given records of good requests and <fault>
