--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -53,13 +53,13 @@
     rng = random.Random(seed)
     actors = {f'e{number}': Actor(f'e{number}') for number in range(count)}
     fraction = 1.0 / count
-    mail, cut = [], {}
+    messages, cut = [], {}
     for step in range(400):
         now = step * 0.25
         if step % 40 == 0:
             cut = {name: rng.random() < 0.3 for name in actors}
-        for one in [one for one in mail if one[0] <= now]:
-            mail.remove(one)
+        for one in [one for one in messages if one[0] <= now]:
+            messages.remove(one)
             _, source, target, sequence, acknowledged, needs, grants = one
             if cut[source] != cut[target] or rng.random() < loss:
                 continue
@@ -70,7 +70,7 @@
                 source, fraction, sequence, acknowledged, needs, now
             )
             due = now + rng.uniform(0, slowest)
-            mail.append((due, target, source, sequence, 0, None, granted))
+            messages.append((due, target, source, sequence, 0, None, granted))
         for actor in actors.values():
             if rng.random() > 0.4:
                 continue
@@ -81,9 +81,11 @@
             if actor.lease.choose(chosen, now):
                 sequence = actor.lease.send(now)
                 due = now + rng.uniform(0, slowest)
-                letter = (due, actor.name, actor.lease.coordinator, sequence)
+                message = (due, actor.name, actor.lease.coordinator, sequence)
                 needs = {KEY: actor.need} if rng.random() < 0.7 else {}
-                mail.append((*letter, actor.lease.acknowledged, needs, None))
+                messages.append(
+                    (*message, actor.lease.acknowledged, needs, None)
+                )
         found = [
             actor.lease.find_grant(KEY, fraction, limit, now)
             for actor in actors.values()
@@ -300,7 +302,7 @@
 @behave.when(
     'it is granted a share at {first:f} s and nothing more at {second:f} s'
 )
-def give_and_take(context, first, second):
+def grant_and_withdraw(context, first, second):
     _exchange(context, first, {KEY: core.Grant(0.5, 1)})
     assert not context.lease.can_defer_demand(first)
     _exchange(context, second, {})
--- a/features/steps/links.py
+++ b/features/steps/links.py
@@ -13,7 +13,7 @@
 
 WAIT_SECONDS = 30.0
 wait_until = waiting.make_wait(WAIT_SECONDS)
-FEW = 3
+FRAME_COUNT = 3
 
 
 class Side:
@@ -66,7 +66,7 @@
     context.relay.shape(rate=rate)
     context.receiver = next(s for n, s in context.sides.items() if n != side)
     body = random.Random(1).randbytes(size)
-    context.sent = [link_pb2.Call(path=str(n)) for n in range(FEW)]
+    context.sent = [link_pb2.Call(path=str(n)) for n in range(FRAME_COUNT)]
     context.sent.insert(1, link_pb2.Call(body=body))
     link = context.sides[side].up[0]
     for call in context.sent:
--- a/features/steps/listings.py
+++ b/features/steps/listings.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies
 import msgspec
 
-SOUND = {
+VALID_ROW = {
     'service': 'llm',
     'address': '10.0.0.1:80',
     'zone': 'a',
@@ -86,7 +86,7 @@
 
 
 def write_entry(context, name, **more):
-    write(context, name, json.dumps({**SOUND, **more}).encode())
+    write(context, name, json.dumps({**VALID_ROW, **more}).encode())
 
 
 @behave.given('a follower of a store with a sound endpoint "{name}"')
@@ -108,8 +108,8 @@
 
 
 @behave.when('an entry of "{name}" comes whose {field} is {value}')
-def spoil(context, name, field, value):
-    row = dict(SOUND)
+def write_malformed(context, name, field, value):
+    row = dict(VALID_ROW)
     if value == 'missing':
         del row[field]
     else:
@@ -189,35 +189,35 @@
 
 
 @behave.given('it is accused, refuses, broke runs and leaves')
-def blame(context):
-    beliefs = context.state
-    (endpoint,) = beliefs.list_endpoints('llm')
+def record_faults(context):
+    state = context.state
+    (endpoint,) = state.list_endpoints('llm')
     context.life = endpoint.name
-    beliefs.eject([endpoint.name], 'still', 's-1')
-    beliefs.health.record_refusal(endpoint.name, beliefs.now)
-    beliefs.poison_requests.record_broken_run(
-        'request', endpoint.name, beliefs.now
+    state.eject([endpoint.name], 'still', 's-1')
+    state.health.record_refusal(endpoint.name, state.now)
+    state.poison_requests.record_broken_run(
+        'request', endpoint.name, state.now
     )
-    beliefs.mark_leaving(endpoint.name, 'two')
+    state.mark_leaving(endpoint.name, 'two')
     context.ended = []
-    beliefs.incarnation_listeners.append(context.ended.append)
+    state.incarnation_listeners.append(context.ended.append)
 
 
 @behave.then(
     '"{name}" is in use, holds no layers and nothing is held against it'
 )
-def check_anew(context, name):
-    beliefs = context.state
-    (endpoint,) = beliefs.list_endpoints('llm')
+def check_new_incarnation(context, name):
+    state = context.state
+    (endpoint,) = state.list_endpoints('llm')
     assert endpoint.identity == name
     assert endpoint.start == endpoint.end == 0
     assert not endpoint.draining
-    assert not beliefs.health.expects_refusal(endpoint.name, beliefs.now)
-    assert not beliefs.health.get_suspicion_seconds(endpoint.name, beliefs.now)
+    assert not state.health.expects_refusal(endpoint.name, state.now)
+    assert not state.health.get_suspicion_seconds(endpoint.name, state.now)
     # The new incarnation counts as a separate endpoint, so the request
     # has now broken runs at two.
-    count = beliefs.poison_requests.record_broken_run(
-        'request', endpoint.name, beliefs.now
+    count = state.poison_requests.record_broken_run(
+        'request', endpoint.name, state.now
     )
     assert count == 2, count
 
@@ -251,7 +251,7 @@
 )
 
 
-def spoil_rows(sound):
+def generate_rows(sound):
     """Generate rows from a valid one, with fields dropped or replaced."""
     fields = strategies.sampled_from(sorted(sound) + ['born'])
     changes = strategies.dictionaries(fields, JSON, max_size=3)
@@ -289,7 +289,7 @@
         assert isinstance(found.kind, str)
         assert found.name == endpoints.name_incarnation('i-1', found.born)
 
-    values = strategies.binary(max_size=64) | spoil_rows(SOUND)
+    values = strategies.binary(max_size=64) | generate_rows(VALID_ROW)
     check_all(values | JSON.map(lambda row: json.dumps(row).encode()), check)
 
 
@@ -317,12 +317,12 @@
         if decoded.is_ok():
             assert make_state().apply_configuration(decoded.ok_value, value)
 
-    routes = spoil_rows(ROUTE).map(
+    routes = generate_rows(ROUTE).map(
         lambda row: json.dumps(
             {**CONFIGURATION, 'route_list': [json.loads(row)]}
         ).encode()
     )
-    values = strategies.binary(max_size=64) | spoil_rows(CONFIGURATION)
+    values = strategies.binary(max_size=64) | generate_rows(CONFIGURATION)
     check_all(values | routes, check)
 
 
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -20,24 +20,24 @@
 MOVED = {'event': 'run ended early', 'reason': 'still for 0.120 s'}
 
 
-def refuse(reason):
+def refuse_request(reason):
     return [
         {'event': 'request refused', 'reason': reason},
         {**ENDED, 'outcome': 'not-run'},
     ]
 
 
-def deny(reason):
+def deny_request(reason):
     return [{'event': 'request denied', 'status': 503, 'reason': reason}]
 
 
 LINES = {
     'is served': [SENT, ENDED],
     'is cut when the process ends': [SENT],
-    'is refused for "no room"': refuse('no room'),
-    'is refused for "no budget"': refuse('no budget'),
-    'is denied for "stopping"': deny('stopping'),
-    'is denied for "no configuration"': deny('no configuration'),
+    'is refused for "no room"': refuse_request('no room'),
+    'is refused for "no budget"': refuse_request('no budget'),
+    'is denied for "stopping"': deny_request('stopping'),
+    'is denied for "no configuration"': deny_request('no configuration'),
     'is told that it may have run': [SENT, {**ENDED, 'outcome': 'unknown'}],
     'begins late after a move': [SENT, MOVED, {**ENDED, 'first_event': 0.7}],
     'begins late': [SENT, {**ENDED, 'first_event': 0.7}],
@@ -68,7 +68,7 @@
 
 
 @behave.when('the operator asks for losses')
-def ask(context):
+def run_losses(context):
     context.printed, context.told = io.StringIO(), io.StringIO()
     with (
         contextlib.redirect_stdout(context.printed),
--- a/features/steps/lostengines.py
+++ b/features/steps/lostengines.py
@@ -33,7 +33,7 @@
         Run(names, 9.0 + period * index / count, period)
         for index in range(count)
     ]
-    context.belief = endpointhealth.EndpointHealth()
+    context.health = endpointhealth.EndpointHealth()
 
 
 @behave.given('{count:d} streams that share all of them but engine {dead:d}')
@@ -65,9 +65,9 @@
             if now >= run.next and not dies(run, now):
                 run.moved, run.next = now, now + run.period
                 if not run.flows:
-                    context.belief.record_accepted(run.names, now)
+                    context.health.record_accepted(run.names, now)
                     run.flows = True
-                context.belief.report_progress(run.names, now)
+                context.health.report_progress(run.names, now)
             silence = now - run.moved
             if silence >= limits.suspected:
                 judge(context, run, silence, limits, now)
@@ -76,16 +76,16 @@
 
 def judge(context, run, silence, limits, now):
     since = failover.choose_stall_start(run.moved, now)
-    suspects = context.belief.find_ejected(
+    suspects = context.health.find_ejected(
         run.names, now
-    ) or context.belief.find_suspects(run.names, since, now, run.flows)
-    still = context.belief.find_stalled(run.names, since)
+    ) or context.health.find_suspects(run.names, since, now, run.flows)
+    still = context.health.find_stalled(run.names, since)
     evidence = failover.classify_evidence(suspects, still)
     if failover.decide(silence, limits, evidence).should_move:
         run.left = now
-        context.belief.record_finished(run.names, run.flows)
+        context.health.record_finished(run.names, run.flows)
         for name in suspects:
-            context.belief.eject(name, now)
+            context.health.eject(name, now)
 
 
 @behave.when('the engine {dead:d} dies')
@@ -131,12 +131,12 @@
 
 @behave.then('no sound engine is left out')
 def check_none(context):
-    assert set(context.belief.list_ejected(DEATH + 0.5)) <= {'e4'}
+    assert set(context.health.list_ejected(DEATH + 0.5)) <= {'e4'}
 
 
 @behave.then('engine {dead:d} alone is left out')
 def check_dead(context, dead):
-    assert context.belief.list_ejected(DEATH + 0.5) == [f'e{dead}']
+    assert context.health.list_ejected(DEATH + 0.5) == [f'e{dead}']
 
 
 @behave.then(
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -57,7 +57,7 @@
 def leave_out(context, domain):
     name = find_name(context, domain)
     context.state.health.eject(name, context.state.now)
-    tell_alarm(context)
+    report_outage(context)
 
 
 def find_name(context, domain):
@@ -68,7 +68,7 @@
     )
 
 
-def tell_alarm(context):
+def report_outage(context):
     context.transport.hosts.clear()
     message, domains = context.gossip._build_alert()
     context.gossip._broadcast(message, domains)
@@ -97,7 +97,7 @@
         context.state.health.forget(endpoint.name)
     name = find_name(context, domain)
     context.state.health.record_refusal(name, context.state.now)
-    tell_alarm(context)
+    report_outage(context)
 
 
 def receive(context, count):
@@ -144,7 +144,7 @@
     context.add_cleanup(patched.stop)
 
 
-def tell(context, sender, tokens):
+def receive_use(context, sender, tokens):
     names = list(context.state.endpoints)[:10]
     uses = [(gossipmessages.digest(name), 3, 1, tokens) for name in names]
     message = gossipmessages.Message(sender, 1, uses, [], [], [], [])
@@ -153,19 +153,19 @@
 
 
 @behave.when('{count:d} entries tell that they use more than before')
-def tell_more(context, count):
+def report_higher_use(context, count):
     for tokens in (40, 50):
         for index in range(count):
-            tell(context, f'e{index}', tokens)
+            receive_use(context, f'e{index}', tokens)
 
 
 @behave.when('one of them tells that it uses less')
-def tell_less(context):
-    tell(context, 'e0', 30)
+def report_lower_use(context):
+    receive_use(context, 'e0', 30)
 
 
 @behave.when('one of them falls silent for {seconds:d} s')
-def fall_silent(context, seconds):
+def expire_uses(context, seconds):
     context.woken.reset_mock()
     later = context.state.now + seconds
     if context.state.occupancy.expire(later):
--- a/features/steps/outcomes_callers.py
+++ b/features/steps/outcomes_callers.py
@@ -8,7 +8,7 @@
 import outcomes_scene
 
 ENTRY = 'entry-0'
-HALF = (
+PARTIAL_REQUEST = (
     b'POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n{'
 )
 
@@ -50,7 +50,7 @@
 
 
 @behave.when('a caller whose connection has worked falls silent in a stream')
-def fall_silent(context):
+def stop_reading(context):
     connection = connect(context)
     context.settled = count_outcomes(context, 'deadline')
     context.scene.ask(connection, 300, stream=True)
@@ -72,7 +72,7 @@
 @behave.when('a caller whose connection has worked sends half a request')
 def send_half(context):
     context.connection = connect(context)
-    context.connection.sock.sendall(HALF)
+    context.connection.sock.sendall(PARTIAL_REQUEST)
 
 
 @behave.then('the entry closes that connection and holds no request')
--- a/features/steps/outcomes_faults.py
+++ b/features/steps/outcomes_faults.py
@@ -10,7 +10,7 @@
 from dunlintide_trials import records
 import outcomes_scene
 
-HONEST = {outcomes.Outcome.UNKNOWN, outcomes.Outcome.NOT_RUN}
+UNFINISHED = {outcomes.Outcome.UNKNOWN, outcomes.Outcome.NOT_RUN}
 # Outcomes that a caller reports when its connection breaks.
 BROKEN = {client.LOST, client.TRUNCATED}
 
@@ -111,7 +111,7 @@
 
 
 @behave.when('a caller of a long {answer} goes away')
-def leave(context, answer):
+def close_caller(context, answer):
     scene = context.scene
     # Without a cancellation the answer takes 19 s, within its deadline.
     connection = scene.connect()
@@ -135,7 +135,7 @@
 
 
 @behave.when('a caller of a service goes away')
-def leave_service(context):
+def close_service_caller(context):
     scene = context.scene
     service = scene.running.plan.blueprint.services[1]
     path = f'/services/{service.name}{service.path}'
@@ -224,7 +224,7 @@
 
 
 @behave.when('the store is down and the host list shows no change')
-def take_store(context):
+def stop_store(context):
     name = context.scene.running.plan.store.name
     context.scene.running.control(name, down=True)
 
@@ -288,7 +288,7 @@
                 asked, model=scene.running.model, layers=scene.running.layers
             )
             assert not wrong, wrong
-        allowed = {outcomes.Outcome.COMPLETE, *HONEST, *BROKEN}
+        allowed = {outcomes.Outcome.COMPLETE, *UNFINISHED, *BROKEN}
         assert answer.outcome in allowed, answer
         if answer.outcome == outcomes.Outcome.NOT_RUN:
             runs = scene.list_runs(
@@ -327,7 +327,7 @@
 
 
 @behave.when('the store is back')
-def give_store(context):
+def restore_store(context):
     name = context.scene.running.plan.store.name
     context.scene.running.control(name, down=False)
 
@@ -342,7 +342,7 @@
 
 
 @behave.when('the store is told to {fault}')
-def harm_store(context, fault):
+def inject_store_fault(context, fault):
     harm = {
         'answer late': {'slow_seconds': 0.4},
         'lose 3 answers': {'drop_answers': 3},
--- a/features/steps/outcomes_scene.py
+++ b/features/steps/outcomes_scene.py
@@ -38,12 +38,17 @@
     'caller_silence': 2.0,
 }
 STAGES = ('head', 'middle', 'last')
-CURE = {'down': False, 'hang': False, 'slow_seconds': 0.0, 'drop_answers': 0}
+NO_FAULT = {
+    'down': False,
+    'hang': False,
+    'slow_seconds': 0.0,
+    'drop_answers': 0,
+}
 
 
 # Disables the reloading of lost layer ranges: placement.feature covers it,
 # and a reloaded range would complete streams that must be cut.
-HELD = settings.Placement(patience=3600.0)
+NO_REPLACEMENT = settings.Placement(patience=3600.0)
 
 
 class Stream:
@@ -82,7 +87,9 @@
         enter = context.feature_stack.enter_context
         self.running = enter(
             launcher.run(
-                attrs.evolve(blueprints.shrink(blueprint), placement=HELD),
+                attrs.evolve(
+                    blueprints.shrink(blueprint), placement=NO_REPLACEMENT
+                ),
                 rules,
                 pathlib.Path(enter(folder)),
                 hops=plans.Hop,
@@ -109,7 +116,7 @@
             if not process.is_running:
                 running.restart(process.name)
         for name in self.list_standins():
-            running.control(name, **CURE)
+            running.control(name, **NO_FAULT)
         for agent in self.list_engines():
             running.control(agent.endpoint.standin.name, slow_factor=1.0)
         for agent in self.list_services():
--- a/features/steps/outcomes_services.py
+++ b/features/steps/outcomes_services.py
@@ -94,7 +94,7 @@
 
 
 @behave.when('it is well again')
-def mend(context):
+def end_fault(context):
     # Until the agent gives up the calls, the service could still answer
     # them.
     outcomes_scene.wait_until(
--- a/features/steps/overload.py
+++ b/features/steps/overload.py
@@ -203,7 +203,7 @@
 
 
 @behave.when('the other half of "{domain}" is lost')
-def lose_half(context, domain):
+def remove_half(context, domain):
     context.engines = [
         each
         for each in context.engines
@@ -220,31 +220,31 @@
 
 @behave.given('a chain of {count:d} engines that stands still since {at:f}')
 def make_still(context, count, at):
-    context.belief = endpointhealth.EndpointHealth()
+    context.health = endpointhealth.EndpointHealth()
     context.names = [f'e{index}' for index in range(count)]
     context.since = at
     # Three runs use each engine: the stalled one and two others.
     for _ in range(3):
-        context.belief.record_accepted(context.names, at)
-    context.belief.report_progress(context.names, at)
+        context.health.record_accepted(context.names, at)
+    context.health.report_progress(context.names, at)
 
 
 @behave.when('other streams moved through {count:d} of them at {at:f}')
 def move_some(context, count, at):
-    context.belief.report_progress(context.names[:count], at)
+    context.health.report_progress(context.names[:count], at)
 
 
 @behave.then('the run accuses nobody')
 def check_nobody(context):
     now = context.since + SILENCE
-    belief = context.belief
-    assert not belief.find_suspects(context.names, context.since, now, True)
+    health = context.health
+    assert not health.find_suspects(context.names, context.since, now, True)
 
 
 @behave.then('the run accuses the one without progress')
 def check_last(context):
     now = context.since + SILENCE
-    found = context.belief.find_suspects(
+    found = context.health.find_suspects(
         context.names, context.since, now, True
     )
     assert found == context.names[-1:], found
--- a/features/steps/paces.py
+++ b/features/steps/paces.py
@@ -88,13 +88,13 @@
 
 
 @behave.when('they tell it paces of {x:f}, {y:f} and {z:f} at {now:f}')
-def tell_first(context, x, y, z, now):
+def report_paces(context, x, y, z, now):
     for name, pace in zip(context.names, (x, y, z)):
         context.first.record(name, pace, now)
 
 
 @behave.when('the second entry hears of them at {now:f}')
-def tell_second(context, now):
+def share_paces(context, now):
     for name, pace in context.first.list_own(now).items():
         context.second.receive(name, pace, now)
 
@@ -129,7 +129,7 @@
 
 
 @behave.when('"{name}" tells a pace of {pace:f} at {now:f}')
-def tell_pace(context, name, pace, now):
+def report_pace(context, name, pace, now):
     context.entry.record(name, pace, now)
 
 
--- a/features/steps/pipeline.py
+++ b/features/steps/pipeline.py
@@ -193,23 +193,23 @@
     'a chain through "x", "y" and "z" that stands still since {since:f}'
 )
 def make_still(context, since):
-    context.belief = endpointhealth.EndpointHealth()
-    context.belief.report_progress('xyz', since)
+    context.health = endpointhealth.EndpointHealth()
+    context.health.report_progress('xyz', since)
     context.since = since
 
 
 @behave.when('another request moved through "x" and "z" at {now:f}')
 def move(context, now):
-    context.belief.report_progress('xz', now)
+    context.health.report_progress('xz', now)
 
 
 @behave.then('only "y" is accused at {now:f}')
 def check_accused(context, now):
-    assert context.belief.find_stalled('xyz', context.since) == ['y']
-    assert context.belief.eject('y', now)
-    assert not context.belief.eject('y', now)
-    assert not context.belief.is_usable('y', now)
-    assert context.belief.is_usable('x', now)
+    assert context.health.find_stalled('xyz', context.since) == ['y']
+    assert context.health.eject('y', now)
+    assert not context.health.eject('y', now)
+    assert not context.health.is_usable('y', now)
+    assert context.health.is_usable('x', now)
     context.accused = now
 
 
@@ -217,22 +217,22 @@
     '"y" gets one trial after 1 second and is in use again once it moves'
 )
 def check_trial(context):
-    belief, now = context.belief, context.accused
-    assert not belief.is_usable('y', now + 0.9)
-    assert belief.is_usable('y', now + 1.1)
-    belief.record_sent('y')
-    assert not belief.is_usable('y', now + 1.2)
-    belief.report_progress('y', now + 1.3)
-    assert belief.is_usable('y', now + 1.4)
+    health, now = context.health, context.accused
+    assert not health.is_usable('y', now + 0.9)
+    assert health.is_usable('y', now + 1.1)
+    health.record_sent('y')
+    assert not health.is_usable('y', now + 1.2)
+    health.report_progress('y', now + 1.3)
+    assert health.is_usable('y', now + 1.4)
 
 
 @behave.then('a second failure leaves "y" out for 2 seconds')
 def check_second(context):
-    belief, now = context.belief, context.accused + 1.5
-    belief.eject('y', now)
-    belief.eject('y', now + 1.1)
-    assert not belief.is_usable('y', now + 1.1 + 1.9)
-    assert belief.is_usable('y', now + 1.1 + 2.1)
+    health, now = context.health, context.accused + 1.5
+    health.eject('y', now)
+    health.eject('y', now + 1.1)
+    assert not health.is_usable('y', now + 1.1 + 1.9)
+    assert health.is_usable('y', now + 1.1 + 2.1)
 
 
 @behave.then(
@@ -325,7 +325,7 @@
 
 
 @behave.when('two entries tell each other every 0.15 s for 64 s')
-def tell_each_other(context):
+def exchange_broken_runs(context):
     one, other = context.entries
     for turn in range(int(64 / 0.15)):
         now = turn * 0.15
--- a/features/steps/poison.py
+++ b/features/steps/poison.py
@@ -212,7 +212,7 @@
     )
 
 
-def show_begun(context):
+def describe_streams(context):
     """Return outcomes and engine runs for the assertion message."""
     runs = context.running.read_runs(deployment.ENGINE)
     found = [
@@ -270,7 +270,7 @@
     assert processes.wait_for(
         lambda: len(running.read_runs(deployment.ENGINE)) >= 3 * STREAMS,
         WAIT_SECONDS,
-    ), show_begun(context)
+    ), describe_streams(context)
     context.answers = [
         ask(context, number % entries, team, prompt, 4)
         for number in range(count)
