--- a/features/steps/outcomes_faults.py
+++ b/features/steps/outcomes_faults.py
@@ -1,4 +1,4 @@
-"""Steps about dead, stopped and paused processes and the store."""
+"""Steps for killed, stopped and paused processes and store faults."""
 
 import time
 
@@ -10,8 +10,8 @@
 from dunlintide_trials import records
 import outcomes_scene
 
-HONEST = {outcomes.Outcome.UNKNOWN, outcomes.Outcome.NOT_RUN}
-# What a caller also sees: its connection broke.
+UNFINISHED = {outcomes.Outcome.UNKNOWN, outcomes.Outcome.NOT_RUN}
+# Outcomes that a caller reports when its connection breaks.
 BROKEN = {client.LOST, client.TRUNCATED}
 
 
@@ -27,9 +27,9 @@
 def check_once(scene, key):
     """Check that a key has one run, under one request at one executor.
 
-    A run may go on in a higher epoch when a later stage is replaced, and
-    then only the lost layers run again. So what counts is its executor:
-    the head, whose engine must have run each position once, in order.
+    When a later stage is replaced, the run continues in a higher epoch and
+    only the lost layers run again. The check therefore covers the head
+    stage: its engine must have run each position once, in order.
     """
     runs = list_key_runs(scene, key)
     assert len({run['request_id'] for run in runs}) == 1, runs
@@ -111,9 +111,9 @@
 
 
 @behave.when('a caller of a long {answer} goes away')
-def leave(context, answer):
+def close_caller(context, answer):
     scene = context.scene
-    # Left alone it takes 19 s, which its deadline allows.
+    # Without a cancellation the answer takes 19 s, within its deadline.
     connection = scene.connect()
     scene.ask(connection, 300, stream=answer == 'stream')
     chain = scene.find_chain()
@@ -135,7 +135,7 @@
 
 
 @behave.when('a caller of a service goes away')
-def leave_service(context):
+def close_service_caller(context):
     scene = context.scene
     service = scene.running.plan.blueprint.services[1]
     path = f'/services/{service.name}{service.path}'
@@ -224,7 +224,7 @@
 
 
 @behave.when('the store is down and the host list shows no change')
-def take_store(context):
+def stop_store(context):
     name = context.scene.running.plan.store.name
     context.scene.running.control(name, down=True)
 
@@ -288,7 +288,7 @@
                 asked, model=scene.running.model, layers=scene.running.layers
             )
             assert not wrong, wrong
-        allowed = {outcomes.Outcome.COMPLETE, *HONEST, *BROKEN}
+        allowed = {outcomes.Outcome.COMPLETE, *UNFINISHED, *BROKEN}
         assert answer.outcome in allowed, answer
         if answer.outcome == outcomes.Outcome.NOT_RUN:
             runs = scene.list_runs(
@@ -302,7 +302,7 @@
 def check_last(context):
     for stream in repeat_keyed(context, 2):
         outcome = stream.wait().outcome
-        # Each had run, so that neither may be told that it did not.
+        # Each request has run, so NOT_RUN would be a false outcome.
         allowed = {outcomes.Outcome.COMPLETE, outcomes.Outcome.UNKNOWN}
         assert outcome in allowed, stream.answer
     for key in context.keys:
@@ -327,7 +327,7 @@
 
 
 @behave.when('the store is back')
-def give_store(context):
+def restore_store(context):
     name = context.scene.running.plan.store.name
     context.scene.running.control(name, down=False)
 
@@ -342,7 +342,7 @@
 
 
 @behave.when('the store is told to {fault}')
-def harm_store(context, fault):
+def inject_store_fault(context, fault):
     harm = {
         'answer late': {'slow_seconds': 0.4},
         'lose 3 answers': {'drop_answers': 3},
