--- a/features/admin.feature
+++ b/features/admin.feature
@@ -1,5 +1,6 @@
 Feature: The operators' port
-  Operators and the platform ask a process how it fares.
+  Fails if the admin server reports a wrong state, health, readiness or
+  metric, or does not start a drain on request.
 
   Scenario: State, health, metrics and drain
     Given an operators' port whose process is not ready for "no configuration"
--- a/features/affinity.feature
+++ b/features/affinity.feature
@@ -1,4 +1,7 @@
 Feature: Prefix caches weighed against load
+  Fails if prefixes match across teams, if a view of an engine's cache
+  claims more than the engine holds, if views or updates outgrow their
+  bounds, or if a cached prefix outweighs load beyond its limit.
 
   Scenario: A team's prefix never matches another's
     Then in 300 drawn pairs of teams and prompts no hash is shared
--- a/features/answers.feature
+++ b/features/answers.feature
@@ -1,4 +1,6 @@
 Feature: An answer ends its run
+  A run that is closed only by the garbage collector keeps its resources
+  after the answer was sent.
 
   Scenario Outline: A run has ended when its answer is given
     Given a run of a completion that ends with <ending>
--- a/features/callerhttp.feature
+++ b/features/callerhttp.feature
@@ -1,6 +1,6 @@
 Feature: HTTP towards callers on an event loop
-  What is read of a request does not depend on how its bytes arrive, and
-  what could be read in two ways is refused.
+  A parser that depends on how bytes are split, or accepts a request whose
+  length is ambiguous, lets a caller smuggle a second request past a proxy.
 
   Background:
     Given a server for callers that notes each request
--- a/features/chaintable.feature
+++ b/features/chaintable.feature
@@ -1,6 +1,7 @@
 Feature: Chains that are found fast among hundreds of engines
-  The choice is made for each request, and again for each that waits, on
-  hosts with a third of a core.
+  A chain is chosen for each request, and again for each waiting request, on
+  hosts with a third of a core. Fails if a chosen chain is not the cheapest
+  or if the choice takes too long with hundreds of engines.
 
   Scenario: The chain is as cheap as any that trying all of them finds
     Then no chain of any fleet is cheaper than the one that is chosen
@@ -12,7 +13,8 @@
     Then a choice without some engines is the one of the fleet without them
 
   Scenario: A choice among 123 engines is quick
-    A line takes some 80 ns on an idle machine, so 3750 of them are 0.3 ms.
+    Counting lines gives the same result under load. A line takes about
+    80 ns on an idle machine, so 3750 lines take 0.3 ms.
     Given 123 engines in 5 failure domains
     Then a choice runs no more than 3750 lines of code
 
--- a/features/commands.feature
+++ b/features/commands.feature
@@ -1,6 +1,7 @@
 Feature: The operators' command line
-  Operators check, apply and roll back documents; a mistake, a race and a
-  failure each have an exit code of their own.
+  Fails if a command applies a document that is invalid or based on an old
+  revision, or if its exit code does not tell a mistake (2), a conflict (3)
+  and a failure (1) apart.
 
   Background:
     Given a store for the command line
--- a/features/configstore.feature
+++ b/features/configstore.feature
@@ -1,5 +1,6 @@
 Feature: Configuration in the store
-  A change is accepted once, in order, and is not lost again.
+  Fails if a change is lost, applied twice or applied out of order after a
+  race, a lost answer, a garbage collection or a restored store.
 
   Background:
     Given a configuration store with 300 teams in force
--- a/features/doubts.feature
+++ b/features/doubts.feature
@@ -1,5 +1,6 @@
 Feature: What an entry concludes from silence and refusals
-  Pure decisions, with made-up times in seconds.
+  Fails if an entry fails over too early or too late, or ejects an engine
+  that is only full. Times are simulated, in seconds.
 
   Scenario: A run that stands still is judged until something shows why
     Given a run that may be silent for 1.0 s
--- a/features/driver.feature
+++ b/features/driver.feature
@@ -1,4 +1,6 @@
 Feature: The driver keeps an engine's batches short
+  Long prompt spans that run together, or back to back, delay the short
+  steps of other teams' streams.
 
   Scenario: Long spans run one at a time, and short ones go beside them
     Given a driver whose engine holds its calls
--- a/features/steps/admin.py
+++ b/features/steps/admin.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' port."""
+"""Steps for the admin server's HTTP endpoints."""
 
 import threading
 
--- a/features/steps/affinity.py
+++ b/features/steps/affinity.py
@@ -1,4 +1,4 @@
-"""Steps of affinity.feature: views, news and choice."""
+"""Steps for prefix cache views, their updates and the choice of chains."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 class _Engine:
-    """A stand-in's cache with a clock of its own, and its view."""
+    """A stand-in engine's cache, with a simulated clock, and a view of it."""
 
     def __init__(self, tokens=65_536, lag=0.0, loss=0.0, limit=20_000):
         self.now = 0.0
@@ -49,7 +49,7 @@
         self.news.append(self.teller.publish(self.view))
 
     def tell_held(self, team, words):
-        """Whole prompt blocks at the start that the engine holds."""
+        """Count the leading prompt blocks that the engine holds in full."""
         tokens = self.cache.count_cached(team, words)
         return tokens * _WORD // affinity.BLOCK_CHARACTERS
 
@@ -71,7 +71,8 @@
     for _ in range(count):
         one, other = (f'salt-{rng.getrandbits(40)}' for _ in range(2))
         text = ''.join(rng.choices('ab/0', k=rng.randrange(256, 2000)))
-        # Neither a longer salt nor a moved boundary may help a rival.
+        # Neither another salt nor moving the boundary between salt and text
+        # may produce the hash of another team's prompt.
         cut = rng.randrange(1, len(one))
         pairs = [(other, text), (one[:cut], one[cut:] + text)]
         mine = set(affinity.hash_blocks(one, text))
@@ -266,7 +267,7 @@
         by_load = chooser.choose(0.0, rng)
         rng.setstate(state)
         chosen = chooser.choose(0.0, rng, holders=shares)
-        # One more request than the bound is let through.
+        # The bound is checked before a request is added, so one more fits.
         fits = count <= (1 + gain * saved) * 20 + 1
         wanted = held if fits else by_load
         assert chosen.agents == wanted.agents, (count, saved)
--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -1,4 +1,4 @@
-"""Steps about answers and the runs behind them."""
+"""Steps for answers and the closing of the runs that produce them."""
 
 import gc
 from unittest import mock
--- a/features/steps/callerhttp.py
+++ b/features/steps/callerhttp.py
@@ -1,4 +1,4 @@
-"""Steps about HTTP towards callers on an event loop."""
+"""Steps for the HTTP server that callers connect to."""
 
 import asyncio
 import threading
@@ -14,7 +14,7 @@
 
 
 class Scene:
-    """A server in a loop of its own thread, and what it was asked."""
+    """A server on an event loop in its own thread; records its requests."""
 
     def __init__(self):
         self.requests = []
@@ -35,7 +35,7 @@
         return future.result(WAIT_SECONDS)
 
     async def handle(self, request, reply):
-        """Note a request and echo its body."""
+        """Record a request and answer with its target."""
         self.requests.append(request)
         if request.target == '/wait':
             self.begun.set()
@@ -47,7 +47,7 @@
         reply.send(callermessages.Head(200), request.target.encode())
 
     async def exchange(self, pieces, until=None):
-        """Send pieces and read until the end or a number of answers."""
+        """Send pieces, then read to the end or up to ``until`` answers."""
         reader, writer = await asyncio.open_connection('127.0.0.1', self.port)
         got = b''
         try:
@@ -71,11 +71,11 @@
         return got
 
     def ask(self, *pieces, until=1):
-        """Send pieces and read answers."""
+        """Run ``exchange`` on the loop and return the bytes received."""
         return self.run(self.exchange(pieces, until))
 
     def close(self):
-        """End the server and its loop."""
+        """Close the server and stop its loop."""
         self.loop.call_soon_threadsafe(self.server.close)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join()
--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -1,4 +1,4 @@
-"""Steps about the choice of chains against trying all of them."""
+"""Steps that compare the chosen chain with an exhaustive search."""
 
 import math
 import sys
@@ -16,7 +16,7 @@
 
 LAYERS = pipeline_scene.LAYERS
 PROFILE = pipeline_scene.PROFILE
-# Few enough for all chains to be tried.
+# An exhaustive search must stay fast.
 FEW = 6
 EXAMPLES = 2000
 TOKENS = 1000
@@ -45,7 +45,7 @@
 
 
 class Reference:
-    """All chains of a fleet, tried one after the other."""
+    """An exhaustive search over all chains of a fleet."""
 
     def __init__(self, engines, usages, demand, avoids_pipes=True):
         self.engines = [each for each in engines if each.end > each.start]
@@ -83,7 +83,7 @@
         )
 
     def count_free(self, engine):
-        """Part of an engine's memory that is free; all if it has none."""
+        """Return the free fraction of cache memory, 1.0 without any memory."""
         given = self.count_given(engine)
         if given <= 0.0:
             return 1.0
@@ -112,7 +112,7 @@
         return cost
 
     def find(self, begin=0, cost=0.0, used=()):
-        """Give the least cost of any chain, infinite if there is none."""
+        """Return the least cost of any chain, infinite if there is none."""
         if cost >= self.best:
             return self.best
         if begin == LAYERS:
@@ -134,9 +134,10 @@
 
 
 def list_fleets(engines, avoids_pipes):
-    """List the engines to try together; the later ones if all before fail.
+    """List groups of fleets to search, in the order of preference.
 
-    Parts end where some range among them does.
+    A later group is searched only if no fleet of the group before has a
+    chain. Chains are cut only where the range of some engine ends.
     """
     domains = sorted({each.domain for each in engines})
     within = [
@@ -147,9 +148,9 @@
 
 
 def weigh_domain(engines, demand, within):
-    """What a chain within another failure domain than the caller's weighs.
+    """Return the cost factor of a chain within one failure domain.
 
-    :param within: whether each domain was tried by itself
+    :param within: whether each failure domain was searched alone
     """
     if within and demand.domain not in {each.domain for each in engines}:
         return chaincosts.OTHER_DOMAIN_FACTOR
@@ -157,7 +158,7 @@
 
 
 def find_least(engines, usages, demand, avoids_pipes):
-    """Give the least weighed cost, and whether a domain by itself has it."""
+    """Return the least weighted cost and whether one domain alone has it."""
     tries = list_fleets(engines, avoids_pipes)
     for fleets in tries:
         within = avoids_pipes and fleets is not tries[-1]
--- a/features/steps/commands.py
+++ b/features/steps/commands.py
@@ -1,4 +1,4 @@
-"""Steps of commands.feature."""
+"""Steps for the operators' command line."""
 
 import contextlib
 import io
@@ -65,7 +65,7 @@
 
 @behave.given('a daemon at revision {revision:d} for the command line')
 def start_daemon(context, revision):
-    # It holds the next revision when it is asked for the third time.
+    # Reports the next revision from the third request on.
     first = itertools.repeat({'revision': revision}, 2)
     later = itertools.repeat({'revision': revision + 1})
     _start_daemon(context, itertools.chain(first, later))
--- a/features/steps/configstore.py
+++ b/features/steps/configstore.py
@@ -1,4 +1,4 @@
-"""Steps for the configuration in the store."""
+"""Steps for the configuration that is kept in the store."""
 
 import threading
 from unittest import mock
@@ -40,7 +40,7 @@
 
 
 def add(context, name, base=None, change_id=None):
-    """Add a team to the configuration in force, or to a base."""
+    """Add a team to ``base``, by default the configuration in force."""
     base = base or context.configs.read().unwrap()
     return context.configs.apply(
         encode(list_names(base) | {name}),
@@ -154,7 +154,7 @@
 
     def send_late(state):
         settled = rule_out(state)
-        # The worst moment: settled, and not yet tried again.
+        # The delayed write arrives after it was fenced, before the retry.
         context.late = context.client.transact(*context.delayed)
         return settled
 
@@ -248,11 +248,11 @@
     for name in ('lost-1', 'lost-2'):
         add(context, name).unwrap()
     wait_until(lambda: context.seen[-1].head.revision == 3)
-    # The follower looks away, as it would during an outage.
+    # The watching process cannot read the store, as in an outage.
     follower_read = context.configs.read_mod_revision
     context.configs.read_mod_revision = lambda: result.Err(None)
     control(context, '/restore')
-    # A process that holds nothing else, as a command line.
+    # Like a new command-line process, it knows no earlier revision.
     operator = configstore.ConfigStore.from_store(context.client)
     base = operator.read().unwrap()
     operator.apply(
--- a/features/steps/decisionlogs.py
+++ b/features/steps/decisionlogs.py
@@ -1,4 +1,4 @@
-"""Steps for the log of decisions."""
+"""Steps for the decision log."""
 
 import json
 import os
--- a/features/steps/domains.py
+++ b/features/steps/domains.py
@@ -1,4 +1,4 @@
-"""Steps about entries that know other domains' use late."""
+"""Steps for entries that learn the usage of other domains late."""
 
 import random
 
@@ -9,10 +9,10 @@
 
 PROFILE = engineload.PROFILE
 TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer
-# Between two messages of an entry, in seconds: in its domain, to others.
+# Seconds between an entry's usage messages, within its failure domain and
+# to other domains.
 NEAR = 0.15
 FAR = 5.0
-# How long a stream is under way, in seconds.
 STREAM_SECONDS = 1.5
 
 
@@ -21,7 +21,7 @@
 
 
 class Entry:
-    """An entry with its own view of what engines carry."""
+    """An entry with its own view of the usage of engines."""
 
     def __init__(self, name, domain, draw):
         self.name = name
@@ -48,7 +48,7 @@
 
 
 class Engines:
-    """What engines really hold; they refuse what does not fit."""
+    """The actual memory of engines; refuses chains that do not fit."""
 
     def __init__(self, engines):
         self.rooms = {each.name: count_room(each) for each in engines}
@@ -85,7 +85,7 @@
         for domain in context.domains
         for index in range(entries)
     ]
-    # Streams that a domain holds by the memory of its scarcest layer.
+    # The layer with the least memory bounds the streams of a domain.
     context.held = {
         domain: min(
             sum(
@@ -101,7 +101,7 @@
 
 
 def play(context, seconds, rates):
-    """Let streams arrive; rates are a second, by domain."""
+    """Simulate arriving streams at ``rates`` per second, by domain."""
     context.stays = context.leaves = context.refused = context.lost = 0
     engines = Engines(context.engines)
     ends = []
--- a/features/steps/doubts.py
+++ b/features/steps/doubts.py
@@ -1,4 +1,4 @@
-"""Steps about what silence and refusals of endpoints show."""
+"""Steps for failover, outlier ejection and the retry budget."""
 
 import behave
 from dunlintide_core.pipeline import endpointhealth
@@ -155,7 +155,8 @@
 
 @behave.then('what is said to be left is what is given, for either')
 def check_said(context):
-    # A wait that ends while nothing can be spent would spin for ever.
+    # If can_spend() allowed what spend() denies, a waiting request would
+    # wake up at once and retry in a busy loop.
     for under_way in (True, False):
         budget = retrybudget.RetryBudget(
             0.0, 10 / retrybudget.SLACK_FRACTION, 10.0
--- a/features/steps/driver.py
+++ b/features/steps/driver.py
@@ -1,4 +1,4 @@
-"""Steps of driver.feature."""
+"""Steps for the agent's driver, which batches calls to an engine."""
 
 import threading
 import time
@@ -14,7 +14,7 @@
 
 
 class Engine:
-    """An engine that answers when it is told to."""
+    """An engine that answers its calls only when ``answer`` is called."""
 
     def __init__(self):
         self.lock = threading.Lock()
@@ -63,7 +63,7 @@
         lambda jobs, error: None,
         find_team=lambda job: job.owner,
     )
-    # Past the scenario's time no call looks silent.
+    # Longer than the scenario, so that no call times out.
     context.driver = drivers.Driver(context.engine, handlers, 600.0)
     context.driver.start()
     context.stack.callback(context.driver.stop)
@@ -138,5 +138,5 @@
 
 @behave.then('the second long span begins as soon as it can')
 def check_no_pause(context):
-    # A pause would have been at least three times the 0.1 s.
+    # A delay would be at least three times the 0.1 s of the first span.
     assert context.driver._spans.find_delay('flood', context.ended) == 0.0
