--- a/features/agent.feature
+++ b/features/agent.feature
@@ -1,5 +1,7 @@
 Feature: The agent beside an endpoint
-  Agents run a request's stages in order, once, and say honestly what ran.
+  Fails if frames that are repeated, reordered or stale change an answer, if
+  a step or a claimed request runs twice, if a failure is reported with the
+  wrong outcome, or if an ended request keeps its slots and sessions.
 
   Scenario: Three stages answer what the whole model would
     Given 3 agents of 4 layers each
--- a/features/claims.feature
+++ b/features/claims.feature
@@ -1,4 +1,7 @@
 Feature: A claim binds a key to one executor for good
+  Two executors for one idempotency key would run the request twice: after
+  a race between writers, a lost answer of the store, a late release or the
+  failure of a bucket's owner.
 
   Scenario: Writers that race for the same keys agree on every executor
     Given 3 claim writers on one store
--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -1,4 +1,4 @@
-"""Steps of affinity.feature: agents, entries and real processes."""
+"""Steps for prefix caches in agents, in entries and in a deployment."""
 
 import time
 
@@ -34,7 +34,7 @@
 
 
 def _read_told(context):
-    """Number of prefixes that each agent which ran the prompt told."""
+    """Return how many prefixes each agent that ran the prompt published."""
     return [
         context.running.read_state(agent.name)['cache']['told']
         for agent in context.running.plan.agents
@@ -43,14 +43,14 @@
 
 
 def _is_idle(context, entry):
-    """Whether an entry knows of no work, which would count against it."""
+    """Return whether an entry knows of no load, which outweighs affinity."""
     plans = _read_plans(context, entry)
     counts = [*plans['in_flight'].values(), *plans['reported'].values()]
     return counts and not any(counts)
 
 
 def _ask(context, entry, team, prompt):
-    """Run a prompt; the names of the engines that ran it."""
+    """Run a prompt and return the names of the engines that ran it."""
     running = context.running
     caller = running.make_caller(entry, team)
     context.stack.callback(caller.close)
@@ -137,7 +137,7 @@
 
 
 class _Session:
-    """What a reader needs of an agent's session."""
+    """The attributes of an agent's session that the cache monitor reads."""
 
     def __init__(self, name, text, tokens):
         blocks = affinity.hash_blocks('salt-diner', text)
@@ -169,7 +169,7 @@
         context.standin, session='one', cache_salt='salt', prompt=_TEXT
     )
     context.reader.poll(0.0)
-    # The length of a prompt is known behind its first step only.
+    # The length of a prompt is known only after its first step.
     context.reader.record_prompt(context.session)
     context.reader.poll(1.0)
 
--- a/features/steps/agent.py
+++ b/features/steps/agent.py
@@ -1,4 +1,4 @@
-"""Steps for agents before engines."""
+"""Steps for agents in front of engines."""
 
 import threading
 from unittest import mock
@@ -161,7 +161,7 @@
         wait_tokens(context, name, 2)
     rogue = agent_scene.Caller(context.agents[0].address)
     context.stack.callback(rogue.dialer.stop)
-    # What the other request got, as if it were this one's.
+    # A frame with another answer's content under this request's id.
     crossed = {'id': 1, 'text': 'wrong', 'request_id': 'r1'}
     for name, epoch, index in (
         ('r1', 3, 0),
--- a/features/steps/agent_scene.py
+++ b/features/steps/agent_scene.py
@@ -1,4 +1,4 @@
-"""Agents over real links, with engines in this process."""
+"""Helpers that run agents, links and stand-in engines in this process."""
 
 import threading
 
@@ -20,7 +20,7 @@
 
 
 class Caller:
-    """An entry's end of one link: sends frames and keeps the answers."""
+    """An entry's end of a link, which records the frames it receives."""
 
     def __init__(self, address):
         self.frames = []
--- a/features/steps/agent_services.py
+++ b/features/steps/agent_services.py
@@ -1,4 +1,4 @@
-"""Steps for agents before a plain service."""
+"""Steps for agents in front of a plain service."""
 
 import agent_scene
 import behave
--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -137,7 +137,8 @@
     """List groups of fleets to search, in the order of preference.
 
     A later group is searched only if no fleet of the group before has a
-    chain. Chains are cut only where the range of some engine ends.
+    chain. Within a fleet, stages start and end only where the range of one
+    of its engines does.
     """
     domains = sorted({each.domain for each in engines})
     within = [
@@ -289,7 +290,7 @@
 
 
 def count_lines(work):
-    """Count the lines of code that run, whatever else the machine does."""
+    """Count the lines of code run, a measure that load does not change."""
     count = 0
 
     def trace(frame, event, argument):
--- a/features/steps/claims.py
+++ b/features/steps/claims.py
@@ -1,4 +1,4 @@
-"""Steps for claims in the store."""
+"""Steps for idempotency claims in the store."""
 
 from concurrent import futures
 import unittest.mock
@@ -274,8 +274,9 @@
 
 @behave.when('the second writer releases the claim that it still knows')
 def release_known(context):
-    # A writer may know a claim that another has released; its executor
-    # refuses the sealed attempt again, and the release is repeated.
+    # A writer's view may still hold a claim that another writer released.
+    # The executor then refuses the sealed attempt again, and the writer
+    # repeats the release.
     (held,) = context.bound.values()
     context.writers[1].release(held, WAIT_SECONDS).unwrap()
 
