--- a/features/affinity.feature
+++ b/features/affinity.feature
@@ -11,7 +11,7 @@
     Given a view of an engine's prefix cache
     When 4 prompts of one team with a common start are run
     Then the view holds each of them as far as the engine does
-    And it tells first where the prompts parted
+    And the block where the prompts part is published first
 
   Scenario: Late events change the view late and no further
     Given a view of an engine's prefix cache whose events are 5 s late
@@ -28,9 +28,9 @@
     Given a view of an engine's prefix cache of 2048 tokens
     And 7 in 10 of its events are lost
     When 40 prompts of one team with a common start are run
-    Then the view is unsure, with gaps counted
+    Then the view is incomplete, with gaps counted
     When what the engine holds is read anew
-    Then the view is sure again
+    Then the view is complete again
     And the view holds nothing that the engine does not hold
 
   Scenario: An engine that was started anew holds nothing
@@ -43,13 +43,13 @@
     Given a view of an engine's prefix cache that keeps 100 blocks
     When 200 prompts of many teams are run
     Then the view keeps no more than 100 blocks
-    And no news has more than 8 prefixes
+    And no update has more than 8 prefixes
     And entries are told of no more than 16 prefixes at a time
-    And all that entries were told is what the news added up to
+    And a full snapshot equals the sum of all updates
 
   Scenario: Load beats affinity beyond the stated point
     Given chains of which one holds drawn parts of a prompt
-    Then it is taken up to 1 + 1.5 times what it saves and then by load alone
+    Then it is chosen up to 1 + 1.5 times its saved share, then by load alone
 
   Scenario: Real engines' events bring a prompt back through another entry
     Given a small deployment with cached prompts
@@ -63,12 +63,12 @@
   Scenario: An agent reads a stand-in's events and notices its restart
     Given an agent's reader of a stand-in engine's cache events
     When a prompt runs on that engine and the reader polls twice
-    Then the reader tells the end of the prompt, and all of it to a new link
+    Then the reader publishes the end of the prompt, and a snapshot to a new link
     When that engine is started anew and the reader polls
-    Then the reader takes back what it told
+    Then the reader withdraws what it published
     And events that cannot be read change nothing
 
   Scenario: An entry drops what it knew of an agent with a new link
-    Given an entry's plan that was told prefixes of an agent
-    When the agent tells all anew without one of them
-    Then the entry finds the others only
+    Given an entry's plan with prefixes that an agent published
+    When the agent sends a snapshot without one of them
+    Then the entry finds the others and not that one
--- a/features/answers.feature
+++ b/features/answers.feature
@@ -9,7 +9,7 @@
 
     Examples:
       | kind     | ending    |
-      | whole    | all       |
-      | whole    | a refusal |
+      | buffered | all       |
+      | buffered | a refusal |
       | streamed | all       |
       | streamed | a refusal |
--- a/features/callerhttp.feature
+++ b/features/callerhttp.feature
@@ -6,7 +6,7 @@
     Given a server for callers that notes each request
 
   Scenario: Any cut of a request into pieces reads the same
-    Then requests with a length or in chunks are read whole, however they are cut
+    Then requests with a length or in chunks are read in full, however they are cut
 
   Scenario Outline: What could be read in two ways is refused
     When a caller sends a request with <head> and a second one within it
--- a/features/chaintable.feature
+++ b/features/chaintable.feature
@@ -22,11 +22,11 @@
     Given 123 engines in 5 failure domains
     When all memory is taken
     Then a choice runs no more than 3750 lines of code
-    When one domain after the other holds what the next one lacks
+    When only chains across failure domains have room
     Then a choice runs no more than 20000 lines of code
 
   Scenario: Engines of which nothing bad is told are not looked at
-    Given the beliefs of an entry that uses 600 engines
+    Given the health view of an entry that uses 600 engines
     When 2 of them are left out and 1 refuses
-    Then these 3 are unusable and no more than them are looked at
-    And none is once their times are over
+    Then exactly these 3 are unusable and are examined
+    And none is after their ejection and refusal times
--- a/features/doubts.feature
+++ b/features/doubts.feature
@@ -31,14 +31,14 @@
     And other entries are told of it at 12.2, and not at 12.4
 
   Scenario: What others tell counts until work moves through the engine
-    When another entry tells of doubts about "x" at 10.0 and at 10.15
+    When another entry reports an ejection of "x" at 10.0 and at 10.15
     Then it is left out at 10.2
     When work moves through it at 10.25
     Then it is in use at 10.26
-    When another entry tells of doubts about "x" at 10.3 and at 10.45
+    When another entry reports an ejection of "x" at 10.3 and at 10.45
     Then it is in use at 10.5
     And other entries are not told of it at 10.5
-    When another entry tells of doubts about "x" at 12.0 and at 12.15
+    When another entry reports an ejection of "x" at 12.0 and at 12.15
     Then it is left out at 12.2
 
   Scenario: An engine that leaves refuses while older work moves through it
@@ -49,7 +49,7 @@
     And work moves through it at 10.65
     Then it is expected to refuse at 10.95
     And other entries are told at 10.95 that it goes on refusing
-    And it has taken nothing for 0.95 s at 10.95
+    And it has accepted nothing for 0.95 s at 10.95
     When a request sent to it at 11.1 runs
     Then it is not expected to refuse at 11.15
     And other entries are not told at 11.15 that it goes on refusing
@@ -60,13 +60,13 @@
     When another entry tells at 10.0 and at 10.15 that "x" goes on refusing
     And work moves through it at 10.2
     Then it is expected to refuse at 10.3
-    And it has taken nothing for 0.3 s at 10.3
+    And it has accepted nothing for 0.3 s at 10.3
     When a request sent to it at 10.1 runs
     Then it is not expected to refuse at 10.35
     And other entries are not told at 10.35 that it goes on refusing
 
   Scenario: Streams under way have the last part of the second sends
-    Given second sends of 10 in a window, all of which may be used
-    Then 7 fresh requests get one and the next does not
-    And 3 streams under way get one still and the next does not
-    And what is said to be left is what is given, for either
+    Given a retry budget of 10 in a window, all of which may be used
+    Then 7 fresh requests get a retry and the next does not
+    And 3 streams under way still get one and the next does not
+    And the budget grants exactly the retries that it reports, to either
--- a/features/steps/affinity.py
+++ b/features/steps/affinity.py
@@ -138,7 +138,7 @@
         assert depth == engine.tell_held(team, words) == len(blocks)
 
 
-@behave.then('it tells first where the prompts parted')
+@behave.then('the block where the prompts part is published first')
 def check_parting(context):
     blocks = context.engine.prompts[0][2]
     common = _START * _WORD // affinity.BLOCK_CHARACTERS
@@ -168,7 +168,7 @@
     assert held
 
 
-@behave.then('the view is unsure, with gaps counted')
+@behave.then('the view is incomplete, with gaps counted')
 def check_unsure(context):
     assert context.engine.view.is_incomplete and context.engine.view.gaps
 
@@ -180,7 +180,7 @@
     context.engine.view.replace(sequence, held)
 
 
-@behave.then('the view is sure again')
+@behave.then('the view is complete again')
 def check_sure(context):
     assert not context.engine.view.is_incomplete
 
@@ -205,7 +205,7 @@
     assert 0 < len(context.engine.view) <= limit
 
 
-@behave.then('no news has more than {limit:d} prefixes')
+@behave.then('no update has more than {limit:d} prefixes')
 def check_news(context, limit):
     sizes = [len(one.held) + len(one.lost) for one in context.engine.news]
     assert 0 < max(sizes) <= limit, sizes
@@ -221,7 +221,7 @@
     context.told = told
 
 
-@behave.then('all that entries were told is what the news added up to')
+@behave.then('a full snapshot equals the sum of all updates')
 def check_all(context):
     news = context.engine.teller.build_snapshot()
     assert news.all and set(news.held) == context.told
@@ -238,8 +238,7 @@
 
 
 @behave.then(
-    'it is taken up to 1 + {gain:g} times what it saves and then by load '
-    'alone'
+    'it is chosen up to 1 + {gain:g} times its saved share, then by load alone'
 )
 def check_bound(context, gain):
     rng = context.rng
--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -175,7 +175,7 @@
 
 
 @behave.then(
-    'the reader tells the end of the prompt, and all of it to a new link'
+    'the reader publishes the end of the prompt, and a snapshot to a new link'
 )
 def check_reader(context):
     load = context.reader.add_update(link_pb2.Load(running=1))
@@ -195,7 +195,7 @@
     context.reader.poll(2.0)
 
 
-@behave.then('the reader takes back what it told')
+@behave.then('the reader withdraws what it published')
 def check_taken_back(context):
     news = context.reader.add_update(link_pb2.Load()).cache
     assert list(news.lost) == context.told and not news.held
@@ -220,19 +220,19 @@
     model_planner.refresh((), moment)
 
 
-@behave.given("an entry's plan that was told prefixes of an agent")
+@behave.given("an entry's plan with prefixes that an agent published")
 def give_told(context):
     context.model_planner = modelplanning.ModelPlanner(1, False)
     _tell(context.model_planner, 11, 12, moment=time.monotonic())
 
 
-@behave.when('the agent tells all anew without one of them')
+@behave.when('the agent sends a snapshot without one of them')
 def tell_anew(context):
     later = time.monotonic() + 0.001
     _tell(context.model_planner, 12, everything=True, moment=later)
 
 
-@behave.then('the entry finds the others only')
+@behave.then('the entry finds the others and not that one')
 def check_dropped(context):
     held = context.model_planner._affinity
     now = time.monotonic() + 1.0
--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -51,7 +51,7 @@
         renderer,
         5.0,
     )
-    if kind == 'whole':
+    if kind == 'buffered':
         answer.gather()
     else:
         assert list(answer.stream().ok_value.body)
--- a/features/steps/callerhttp.py
+++ b/features/steps/callerhttp.py
@@ -99,7 +99,8 @@
 
 
 @behave.then(
-    'requests with a length or in chunks are read whole, however they are cut'
+    'requests with a length or in chunks are read in full, however they are '
+    'cut'
 )
 def check_cuts(context):
     scene = context.caller_scene
--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -284,7 +284,7 @@
     context.load.fill_caches()
 
 
-@behave.when('one domain after the other holds what the next one lacks')
+@behave.when('only chains across failure domains have room')
 def fragment(context):
     context.load.fragment()
 
@@ -313,7 +313,7 @@
     assert spent <= most, spent
 
 
-@behave.given('the beliefs of an entry that uses {count:d} engines')
+@behave.given('the health view of an entry that uses {count:d} engines')
 def make_beliefs(context, count):
     context.belief = endpointhealth.EndpointHealth()
     context.names = [f'e{index}' for index in range(count)]
@@ -329,16 +329,14 @@
         context.belief.record_refusal(name, 1.0)
 
 
-@behave.then(
-    'these {count:d} are unusable and no more than them are looked at'
-)
+@behave.then('exactly these {count:d} are unusable and are examined')
 def check_troubled(context, count):
     found = context.belief.list_unusable(1.1)
     assert found == context.troubled, found
     assert len(context.belief._flagged) == count
 
 
-@behave.then('none is once their times are over')
+@behave.then('none is after their ejection and refusal times')
 def check_recovered(context):
     context.belief.report_progress(context.names, 5.0)
     assert not context.belief.list_unusable(5.0)
--- a/features/steps/doubts.py
+++ b/features/steps/doubts.py
@@ -57,7 +57,7 @@
 
 
 @behave.when(
-    'another entry tells of doubts about "x" at {first:f} and at {second:f}'
+    'another entry reports an ejection of "x" at {first:f} and at {second:f}'
 )
 def tell(context, first, second):
     believe(context).receive_ejection('x', first)
@@ -127,7 +127,7 @@
 
 
 @behave.given(
-    'second sends of {count:d} in a window, all of which may be used'
+    'a retry budget of {count:d} in a window, all of which may be used'
 )
 def make_budget(context, count):
     context.budget = retrybudget.RetryBudget(
@@ -135,25 +135,27 @@
     )
 
 
-@behave.then('{count:d} fresh requests get one and the next does not')
+@behave.then('{count:d} fresh requests get a retry and the next does not')
 def spend_fresh(context, count):
     got = [context.budget.spend(1.0, False) for _ in range(count + 1)]
     assert got == [True] * count + [False], got
 
 
-@behave.then('{count:d} streams under way get one still and the next does not')
+@behave.then('{count:d} streams under way still get one and the next does not')
 def spend_under_way(context, count):
     got = [context.budget.spend(1.0, True) for _ in range(count + 1)]
     assert got == [True] * count + [False], got
 
 
-@behave.then('it has taken nothing for {seconds:f} s at {now:f}')
+@behave.then('it has accepted nothing for {seconds:f} s at {now:f}')
 def check_measured(context, seconds, now):
     measured = context.belief.get_refusing_seconds(context.name, now)
     assert abs(measured - seconds) < 1e-9, measured
 
 
-@behave.then('what is said to be left is what is given, for either')
+@behave.then(
+    'the budget grants exactly the retries that it reports, to either'
+)
 def check_said(context):
     # If can_spend() allowed what spend() denies, a waiting request would
     # wake up at once and retry in a busy loop.
