--- a/features/steps/admin.py
+++ b/features/steps/admin.py
@@ -14,8 +14,8 @@
 @behave.given("an operators' port whose process is not ready for \"{reason}\"")
 def start_port(context, reason):
     registry = prometheus_client.CollectorRegistry()
-    kept = metrics.Metrics.from_registry(registry, 'entry')
-    kept.config_revision.set(7)
+    entry_metrics = metrics.Metrics.from_registry(registry, 'entry')
+    entry_metrics.config_revision.set(7)
     context.drained = threading.Event()
     context.admin = admin.AdminServer.from_config(
         '127.0.0.1:0',
@@ -28,14 +28,14 @@
     context.add_cleanup(context.admin.stop)
 
 
-def ask(context, method, path):
+def request(context, method, path):
     url = f'http://127.0.0.1:{context.admin.port}{path}'
     return urllib3.request(method, url, retries=False)
 
 
 @behave.then('asking it for "{path}" gives {status:d} with "{text}"')
 def check_page(context, path, status, text):
-    answer = ask(context, 'GET', path)
+    answer = request(context, 'GET', path)
     assert answer.status == status, answer.status
     shown = answer.data.decode() + answer.headers['Content-Type']
     assert text in shown, shown
@@ -43,5 +43,5 @@
 
 @behave.then('telling it to drain gives {status:d} and begins the drain')
 def check_drain(context, status):
-    assert ask(context, 'POST', '/drain').status == status
+    assert request(context, 'POST', '/drain').status == status
     assert context.drained.wait(WAIT_SECONDS)
--- a/features/steps/affinity.py
+++ b/features/steps/affinity.py
@@ -10,9 +10,9 @@
 from dunlintide_core import selection
 from dunlintide_standins.engine import cache
 
-_WORD = 4
-_START = 512
-_TAIL = 320
+_WORD_CHARACTERS = 4
+_COMMON_WORDS = 512
+_OWN_WORDS = 320
 
 
 class _Engine:
@@ -22,8 +22,8 @@
         self.now = 0.0
         self.rng = random.Random(5)
         self.view = prefixes.View(limit)
-        self.teller = cacheupdates.Publisher(8, 16)
-        self.news = []
+        self.publisher = cacheupdates.Publisher(8, 16)
+        self.updates = []
         self.prompts = []
         self._tokens, self._lag, self._loss = tokens, lag, loss
         self.start()
@@ -45,23 +45,23 @@
 
     def read(self):
         found = self.cache.read_events(0)
-        self.view.apply_events([_convert(event) for event in found])
-        self.news.append(self.teller.publish(self.view))
+        self.view.apply_events([_convert_event(event) for event in found])
+        self.updates.append(self.publisher.publish(self.view))
 
-    def tell_held(self, team, words):
+    def count_held(self, team, words):
         """Count the leading prompt blocks that the engine holds in full."""
         tokens = self.cache.count_cached(team, words)
-        return tokens * _WORD // affinity.BLOCK_CHARACTERS
+        return tokens * _WORD_CHARACTERS // affinity.BLOCK_CHARACTERS
 
 
-def _convert(event):
+def _convert_event(event):
     stored = event.kind == cache.STORED
     return prefixes.Event(
         event.sequence, stored, event.session, event.block, event.tokens
     )
 
 
-def _draw(rng, count):
+def _draw_words(rng, count):
     return [rng.getrandbits(16) for _ in range(count)]
 
 
@@ -118,16 +118,16 @@
 @behave.when('{count:d} prompts of one team with a common start are run')
 def run_prompts(context, count):
     rng = random.Random(2)
-    start = _draw(rng, _START)
+    start = _draw_words(rng, _COMMON_WORDS)
     for _ in range(count):
-        context.engine.run('salt-diner', start + _draw(rng, _TAIL))
+        context.engine.run('salt-diner', start + _draw_words(rng, _OWN_WORDS))
 
 
 @behave.when('{count:d} prompts of many teams are run')
 def run_teams(context, count):
     rng = random.Random(3)
     for index in range(count):
-        context.engine.run(f'salt-{index}', _draw(rng, _START))
+        context.engine.run(f'salt-{index}', _draw_words(rng, _COMMON_WORDS))
 
 
 @behave.then('the view holds each of them as far as the engine does')
@@ -135,16 +135,18 @@
     engine = context.engine
     for team, words, blocks in engine.prompts:
         depth = engine.view.count_cached(blocks)
-        assert depth == engine.tell_held(team, words) == len(blocks)
+        assert depth == engine.count_held(team, words) == len(blocks)
 
 
 @behave.then('the block where the prompts part is published first')
 def check_parting(context):
     blocks = context.engine.prompts[0][2]
-    common = _START * _WORD // affinity.BLOCK_CHARACTERS
-    told = [block for news in context.engine.news for block in news.held]
+    common = _COMMON_WORDS * _WORD_CHARACTERS // affinity.BLOCK_CHARACTERS
+    published = [
+        block for update in context.engine.updates for block in update.held
+    ]
     assert next(context.engine.view.rank_blocks()) == blocks[common - 1]
-    assert blocks[common - 1] in told, told
+    assert blocks[common - 1] in published, published
 
 
 @behave.then('the view holds nothing of them before {lag:d} s have passed')
@@ -164,7 +166,7 @@
     for team, words, blocks in engine.prompts:
         depth = engine.view.count_cached(blocks)
         held += depth
-        assert depth <= engine.tell_held(team, words), depth
+        assert depth <= engine.count_held(team, words), depth
     assert held
 
 
@@ -176,7 +178,7 @@
 @behave.when('what the engine holds is read anew')
 def read_anew(context):
     sequence, blocks = context.engine.cache.list_blocks()
-    held = [_convert(block) for block in blocks]
+    held = [_convert_event(block) for block in blocks]
     context.engine.view.replace(sequence, held)
 
 
@@ -189,7 +191,9 @@
 def start_anew(context):
     context.engine.start()
     context.engine.view.reset()
-    context.engine.run('salt-feed', _draw(random.Random(4), _START))
+    context.engine.run(
+        'salt-feed', _draw_words(random.Random(4), _COMMON_WORDS)
+    )
 
 
 @behave.then('the view holds that prompt and no other')
@@ -207,29 +211,29 @@
 
 @behave.then('no update has more than {limit:d} prefixes')
 def check_news(context, limit):
-    sizes = [len(one.held) + len(one.lost) for one in context.engine.news]
+    sizes = [len(one.held) + len(one.lost) for one in context.engine.updates]
     assert 0 < max(sizes) <= limit, sizes
 
 
 @behave.then('entries are told of no more than {limit:d} prefixes at a time')
 def check_told(context, limit):
-    told = set()
-    for news in context.engine.news:
-        told -= set(news.lost)
-        told |= set(news.held)
-        assert len(told) <= limit, len(told)
-    context.told = told
+    published = set()
+    for update in context.engine.updates:
+        published -= set(update.lost)
+        published |= set(update.held)
+        assert len(published) <= limit, len(published)
+    context.published = published
 
 
 @behave.then('a full snapshot equals the sum of all updates')
 def check_all(context):
-    news = context.engine.teller.build_snapshot()
-    assert news.all and set(news.held) == context.told
+    update = context.engine.publisher.build_snapshot()
+    assert update.all and set(update.held) == context.published
 
 
 @behave.given('chains of which one holds drawn parts of a prompt')
 def give_chains(context):
-    context.stops = [
+    context.stages = [
         plan.Stage(f'{layer}-{side}', layer, layer + 1, 100.0, 'domain')
         for layer in range(3)
         for side in ('held', 'other')
@@ -246,7 +250,7 @@
     for _ in range(300):
         chooser = selection.Chooser()
         chooser.adopt(
-            plan.make_plan(context.stops, 3, plan.Links()), context.stops, 3
+            plan.make_plan(context.stages, 3, plan.Links()), context.stages, 3
         )
         pairs = {
             chain.agents: chain
--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -33,7 +33,7 @@
     return context.running.read_state(name)['plans'][0]
 
 
-def _read_told(context):
+def _read_published_counts(context):
     """Return how many prefixes each agent that ran the prompt published."""
     return [
         context.running.read_state(agent.name)['cache']['told']
@@ -86,12 +86,12 @@
 
 @behave.when('entry {entry:d} was told of it')
 def wait_told(context, entry):
-    def is_told():
-        told = _read_told(context)
-        heard = _read_plans(context, entry)['prefixes_told']
-        return min(told) > 0 and heard >= sum(told)
+    def is_published():
+        published = _read_published_counts(context)
+        received = _read_plans(context, entry)['prefixes_told']
+        return min(published) > 0 and received >= sum(published)
 
-    _wait_until(is_told, lambda: _read_told(context))
+    _wait_until(is_published, lambda: _read_published_counts(context))
 
 
 @behave.then(
@@ -179,13 +179,13 @@
 )
 def check_reader(context):
     load = context.reader.add_update(link_pb2.Load(running=1))
-    context.told = list(load.cache.held)
+    context.published = list(load.cache.held)
     blocks = list(context.session.prefixes.blocks)
-    assert load.running == 1 and len(context.told) == 1
+    assert load.running == 1 and len(context.published) == 1
     # The engine's last block ends a little before the prompt does.
-    assert context.told[0] in blocks[-2:], (context.told, blocks)
+    assert context.published[0] in blocks[-2:], (context.published, blocks)
     again = context.reader.add_snapshot(link_pb2.Load()).cache
-    assert again.all and list(again.held) == context.told
+    assert again.all and list(again.held) == context.published
 
 
 @behave.when('that engine is started anew and the reader polls')
@@ -197,8 +197,8 @@
 
 @behave.then('the reader withdraws what it published')
 def check_taken_back(context):
-    news = context.reader.add_update(link_pb2.Load()).cache
-    assert list(news.lost) == context.told and not news.held
+    update = context.reader.add_update(link_pb2.Load()).cache
+    assert list(update.lost) == context.published and not update.held
     assert context.reader.describe()['sequence'] == 0
 
 
@@ -212,10 +212,10 @@
     assert context.reader.describe() == before
 
 
-def _tell(model_planner, *held, everything=False, moment=1.0):
-    news = cacheupdates.Update(held, all=everything)
+def _apply_update(model_planner, *held, is_snapshot=False, moment=1.0):
+    update = cacheupdates.Update(held, all=is_snapshot)
     model_planner.enqueue(
-        modelplanning.TimedCacheUpdate('agent', news, moment)
+        modelplanning.TimedCacheUpdate('agent', update, moment)
     )
     model_planner.refresh((), moment)
 
@@ -223,13 +223,13 @@
 @behave.given("an entry's plan with prefixes that an agent published")
 def give_told(context):
     context.model_planner = modelplanning.ModelPlanner(1, False)
-    _tell(context.model_planner, 11, 12, moment=time.monotonic())
+    _apply_update(context.model_planner, 11, 12, moment=time.monotonic())
 
 
 @behave.when('the agent sends a snapshot without one of them')
 def tell_anew(context):
     later = time.monotonic() + 0.001
-    _tell(context.model_planner, 12, everything=True, moment=later)
+    _apply_update(context.model_planner, 12, is_snapshot=True, moment=later)
 
 
 @behave.then('the entry finds the others and not that one')
--- a/features/steps/chaintables.py
+++ b/features/steps/chaintables.py
@@ -17,7 +17,7 @@
 LAYERS = pipeline_scene.LAYERS
 PROFILE = pipeline_scene.PROFILE
 # An exhaustive search must stay fast.
-FEW = 6
+MAX_ENGINES = 6
 EXAMPLES = 2000
 TOKENS = 1000
 
@@ -37,14 +37,14 @@
         strategies.integers(0, 40),
         rooms,
     )
-    return strategies.lists(row, min_size=3, max_size=FEW)
+    return strategies.lists(row, min_size=3, max_size=MAX_ENGINES)
 
 
 AMPLE = strategies.sampled_from([0, 100_000])
 SCARCE = strategies.integers(1, LAYERS).map(lambda count: count * TOKENS)
 
 
-class Reference:
+class ExhaustiveSearch:
     """An exhaustive search over all chains of a fleet."""
 
     def __init__(self, engines, usages, demand, avoids_pipes=True):
@@ -60,58 +60,58 @@
         self.cuts = sorted(cuts)
         self.best = math.inf
 
-    def get_use(self, engine):
+    def get_usage(self, engine):
         return self.usages.get(engine.name) or occupancy.Usage()
 
-    def time(self, engine, begin, end):
+    def compute_stage_cost(self, engine, begin, end):
         card = PROFILE.accelerators[engine.kind]
-        running = self.get_use(engine).sequences
+        running = self.get_usage(engine).sequences
         step = PROFILE.step_ms + PROFILE.sequence_ms * running
         steps = self.demand.answer * step * card.step_factor
         read = self.demand.prompt / PROFILE.read_per_second * 1000.0
         busy = 1.0 + running / chaincosts.SEQUENCES_TO_DOUBLE
-        free = max(regions.MIN_FREE, self.count_free(engine))
+        free = max(regions.MIN_FREE, self.compute_free_fraction(engine))
         scarce = max(1.0, regions.AMPLE_FREE / free)
         whole = (steps + read * card.read_factor) * busy * scarce
         return whole / LAYERS * (end - begin)
 
-    def count_given(self, engine):
+    def compute_capacity(self, engine):
         held = engine.end - engine.start
         return (
             PROFILE.get_cache_capacity(engine.kind, held)
             * chaincosts.MEMORY_FRACTION
         )
 
-    def count_free(self, engine):
+    def compute_free_fraction(self, engine):
         """Return the free fraction of cache memory, 1.0 without any memory."""
-        given = self.count_given(engine)
-        if given <= 0.0:
+        capacity = self.compute_capacity(engine)
+        if capacity <= 0.0:
             return 1.0
-        free = given - self.get_use(engine).cache
-        return min(1.0, max(0.0, free / given))
+        free = capacity - self.get_usage(engine).cache
+        return min(1.0, max(0.0, free / capacity))
 
-    def count_room(self, engine):
-        given = self.count_given(engine)
-        return (given - self.get_use(engine).cache) / self.demand.tokens
+    def compute_layer_room(self, engine):
+        capacity = self.compute_capacity(engine)
+        return (capacity - self.get_usage(engine).cache) / self.demand.tokens
 
-    def enter(self, engine, before):
+    def compute_entry_cost(self, engine, before):
         if before is not None:
             return self.crossing(before.domain, engine.domain)
         slots = PROFILE.slots * chaincosts.SLOT_FRACTION
-        if self.get_use(engine).started >= slots:
+        if self.get_usage(engine).started >= slots:
             return math.inf
         same = engine.domain == self.demand.domain
         return 0.0 if same else chaincosts.REMOTE_ENTRY_PENALTY_MS
 
-    def measure(self, hops):
+    def compute_cost(self, hops):
         cost, before = 0.0, None
         for hop in hops:
-            cost += self.enter(hop.endpoint, before)
-            cost += self.time(hop.endpoint, hop.start, hop.end)
+            cost += self.compute_entry_cost(hop.endpoint, before)
+            cost += self.compute_stage_cost(hop.endpoint, hop.start, hop.end)
             before = hop.endpoint
         return cost
 
-    def find(self, begin=0, cost=0.0, used=()):
+    def find_least_cost(self, begin=0, cost=0.0, used=()):
         """Return the least cost of any chain, infinite if there is none."""
         if cost >= self.best:
             return self.best
@@ -122,18 +122,18 @@
         for engine in self.engines:
             if engine in used or not engine.start <= begin < engine.end:
                 continue
-            entered = cost + self.enter(engine, before)
+            entered = cost + self.compute_entry_cost(engine, before)
             if entered == math.inf:
                 continue
-            room = self.count_room(engine)
+            room = self.compute_layer_room(engine)
             for end in self.cuts:
                 if begin < end <= engine.end and end - begin <= room:
-                    work = self.time(engine, begin, end)
-                    self.find(end, entered + work, (*used, engine))
+                    work = self.compute_stage_cost(engine, begin, end)
+                    self.find_least_cost(end, entered + work, (*used, engine))
         return self.best
 
 
-def list_fleets(engines, avoids_pipes):
+def list_search_groups(engines, avoids_pipes):
     """List groups of fleets to search, in the order of preference.
 
     A later group is searched only if no fleet of the group before has a
@@ -148,7 +148,7 @@
     return [within, [engines]] if avoids_pipes else [[engines]]
 
 
-def weigh_domain(engines, demand, within):
+def get_domain_factor(engines, demand, within):
     """Return the cost factor of a chain within one failure domain.
 
     :param within: whether each failure domain was searched alone
@@ -158,15 +158,17 @@
     return 1.0
 
 
-def find_least(engines, usages, demand, avoids_pipes):
+def find_least_cost(engines, usages, demand, avoids_pipes):
     """Return the least weighted cost and whether one domain alone has it."""
-    tries = list_fleets(engines, avoids_pipes)
-    for fleets in tries:
-        within = avoids_pipes and fleets is not tries[-1]
+    groups = list_search_groups(engines, avoids_pipes)
+    for fleets in groups:
+        within = avoids_pipes and fleets is not groups[-1]
         least = min(
             (
-                Reference(fleet, usages, demand, avoids_pipes).find()
-                * weigh_domain(fleet, demand, within)
+                ExhaustiveSearch(
+                    fleet, usages, demand, avoids_pipes
+                ).find_least_cost()
+                * get_domain_factor(fleet, demand, within)
                 for fleet in fleets
             ),
             default=math.inf,
@@ -181,22 +183,22 @@
     demand = pipeline_scene.make_demand(tokens=TOKENS)
     table = chaintable.ChainTable.from_engines(PROFILE, engines)
     hops = table.choose(demand, usages, avoids_pipes=avoids_pipes)
-    least, within = find_least(engines, usages, demand, avoids_pipes)
+    least, within = find_least_cost(engines, usages, demand, avoids_pipes)
     if hops is None:
         assert least == math.inf, (least, rows)
         return
     assert endpoints.covers_exactly(hops, LAYERS), hops
-    reference = Reference(engines, usages, demand, avoids_pipes)
+    search = ExhaustiveSearch(engines, usages, demand, avoids_pipes)
     chosen = [hop.endpoint for hop in hops]
-    cost = reference.measure(hops)
-    cost *= weigh_domain(chosen, demand, within)
+    cost = search.compute_cost(hops)
+    cost *= get_domain_factor(chosen, demand, within)
     assert math.isclose(cost, least, rel_tol=1e-9), (
         hops,
         least,
     )
 
 
-def repeat(rows, avoids_pipes=True):
+def check_fleets(rows, avoids_pipes=True):
     def check(rows):
         compare(rows, avoids_pipes)
 
@@ -205,12 +207,12 @@
 
 @behave.then('no chain of any fleet is cheaper than the one that is chosen')
 def check_any(context):
-    repeat(make_rows(AMPLE))
+    check_fleets(make_rows(AMPLE))
 
 
 @behave.then('none is where engines have room for a few layers only')
 def check_scarce(context):
-    repeat(make_rows(SCARCE))
+    check_fleets(make_rows(SCARCE))
 
 
 @behave.then(
@@ -242,7 +244,7 @@
 
 @behave.then('none is where chains may cross pipes freely')
 def check_free(context):
-    repeat(make_rows(AMPLE, 'abc'), avoids_pipes=False)
+    check_fleets(make_rows(AMPLE, 'abc'), avoids_pipes=False)
 
 
 @behave.then(
@@ -261,9 +263,9 @@
         assert (found is None) == (expected is None), (found, expected)
         if found is None:
             return
-        reference = Reference(engines, usages, demand)
+        search = ExhaustiveSearch(engines, usages, demand)
         assert math.isclose(
-            reference.measure(found), reference.measure(expected)
+            search.compute_cost(found), search.compute_cost(expected)
         )
         assert not names & {hop.endpoint.name for hop in found}
 
@@ -314,30 +316,30 @@
 
 
 @behave.given('the health view of an entry that uses {count:d} engines')
-def make_beliefs(context, count):
-    context.belief = endpointhealth.EndpointHealth()
+def make_health_view(context, count):
+    context.health = endpointhealth.EndpointHealth()
     context.names = [f'e{index}' for index in range(count)]
-    context.belief.report_progress(context.names, 0.0)
+    context.health.report_progress(context.names, 0.0)
 
 
 @behave.when('{out:d} of them are left out and {full:d} refuses')
 def trouble(context, out, full):
     context.troubled = set(context.names[: out + full])
     for name in context.names[:out]:
-        context.belief.eject(name, 1.0)
+        context.health.eject(name, 1.0)
     for name in context.names[out : out + full]:
-        context.belief.record_refusal(name, 1.0)
+        context.health.record_refusal(name, 1.0)
 
 
 @behave.then('exactly these {count:d} are unusable and are examined')
 def check_troubled(context, count):
-    found = context.belief.list_unusable(1.1)
+    found = context.health.list_unusable(1.1)
     assert found == context.troubled, found
-    assert len(context.belief._flagged) == count
+    assert len(context.health._flagged) == count
 
 
 @behave.then('none is after their ejection and refusal times')
 def check_recovered(context):
-    context.belief.report_progress(context.names, 5.0)
-    assert not context.belief.list_unusable(5.0)
-    assert not context.belief._flagged
+    context.health.report_progress(context.names, 5.0)
+    assert not context.health.list_unusable(5.0)
+    assert not context.health._flagged
--- a/features/steps/claims.py
+++ b/features/steps/claims.py
@@ -18,7 +18,7 @@
 WAIT_SECONDS = 30.0
 
 
-def _build(key, executor, attempt='1', body=b'body'):
+def _build_binding(key, executor, attempt='1', body=b'body'):
     return claims.Binding(
         key_digest=claims.digest_key('diner', key),
         fingerprint=claims.fingerprint_request(body),
@@ -86,21 +86,23 @@
 )
 def start_routed(context, count):
     start_writers(context, count)
-    context.plain = context.writers
-    context.servers = [_serve(context, writer) for writer in context.plain]
+    context.local_writers = context.writers
+    context.servers = [
+        _serve(context, writer) for writer in context.local_writers
+    ]
     addresses = [address for _, address in context.servers]
 
     def build(writer, own):
-        def find(bucket):
+        def find_owner(bucket):
             address = claims.choose_owner(bucket, addresses)
             return None if address == own else address
 
         timing = claimroutes.RouteTiming(timeout=WAIT_SECONDS)
-        routed = claimroutes.RoutedWriter(writer, find, timing)
+        routed = claimroutes.RoutedWriter(writer, find_owner, timing)
         context.stack.callback(routed.close)
         return routed
 
-    context.writers = list(map(build, context.plain, addresses))
+    context.writers = list(map(build, context.local_writers, addresses))
 
 
 def _serve(context, writer):
@@ -114,7 +116,7 @@
 
 @behave.then('no claim writer has met a conflict')
 def check_conflicts(context):
-    assert [writer.conflicts for writer in context.plain] == [0, 0, 0]
+    assert [writer.conflicts for writer in context.local_writers] == [0, 0, 0]
 
 
 @behave.when('every writer is told of the other owners')
@@ -154,7 +156,9 @@
 @behave.when('each writer binds the same {count:d} keys at once')
 def bind_same(context, count, first=0):
     def bind(number, key):
-        wanted = _build(f'k{key}', f'agent-{number}', f'{number}-{key}')
+        wanted = _build_binding(
+            f'k{key}', f'agent-{number}', f'{number}-{key}'
+        )
         return key, context.writers[number].bind(wanted, WAIT_SECONDS)
 
     with futures.ThreadPoolExecutor(32) as pool:
@@ -177,7 +181,9 @@
 
 @behave.when('the first writer binds key "{key}" to "{executor}"')
 def bind_first(context, key, executor):
-    answer = context.writers[0].bind(_build(key, executor), WAIT_SECONDS)
+    answer = context.writers[0].bind(
+        _build_binding(key, executor), WAIT_SECONDS
+    )
     context.bound[key] = answer.unwrap()
 
 
@@ -186,7 +192,7 @@
     for number in range(count):
         # One bucket, so that its segments fill several pages.
         wanted = msgspec.structs.replace(
-            _build(f'k{number}', 'agent-1'),
+            _build_binding(f'k{number}', 'agent-1'),
             key_digest=bytes(4) + number.to_bytes(12, 'big'),
         )
         context.bound[number] = (
@@ -212,7 +218,7 @@
         jobs = [
             pool.submit(
                 context.writers[0].bind,
-                _build(f'k{number}', 'agent-1'),
+                _build_binding(f'k{number}', 'agent-1'),
                 WAIT_SECONDS,
             )
             for number in range(count)
@@ -230,7 +236,7 @@
 @behave.then('the {which} writer finds key "{key}" bound to "{executor}"')
 def find_bound(context, which, key, executor):
     writer = context.writers[('first', 'second').index(which)]
-    wanted = _build(key, 'agent-9', attempt='2')
+    wanted = _build_binding(key, 'agent-9', attempt='2')
     held = writer.bind(wanted, WAIT_SECONDS).unwrap()
     assert held.executor == executor, held
 
@@ -256,7 +262,7 @@
 
 @behave.then('the second writer is refused key "{key}" for other content')
 def refuse_other(context, key):
-    wanted = _build(key, 'agent-2', attempt='2', body=b'other')
+    wanted = _build_binding(key, 'agent-2', attempt='2', body=b'other')
     answer = context.writers[1].bind(wanted, WAIT_SECONDS)
     assert isinstance(answer.unwrap_err(), claims.ReusedKey)
 
@@ -283,19 +289,23 @@
 
 @behave.then('the second writer can bind key "{key}" to "{executor}"')
 def bind_second(context, key, executor):
-    answer = context.writers[1].bind(_build(key, executor, '3'), WAIT_SECONDS)
+    answer = context.writers[1].bind(
+        _build_binding(key, executor, '3'), WAIT_SECONDS
+    )
     assert answer.unwrap().executor == executor
 
 
 @behave.then('the first writer can bind key "{key}" to "{executor}"')
 def bind_again(context, key, executor):
-    answer = context.writers[0].bind(_build(key, executor, '3'), WAIT_SECONDS)
+    answer = context.writers[0].bind(
+        _build_binding(key, executor, '3'), WAIT_SECONDS
+    )
     assert answer.unwrap().executor == executor
 
 
 @behave.then('binding key "{key}" within {seconds:f} seconds fails')
 def fail_binding(context, key, seconds):
-    answer = context.writers[0].bind(_build(key, 'agent-1'), seconds)
+    answer = context.writers[0].bind(_build_binding(key, 'agent-1'), seconds)
     assert isinstance(answer, result.Err), answer
     assert isinstance(answer.err_value, writers.Unbound), answer
 
@@ -305,7 +315,7 @@
     context.bucket = claims.Bucket()
     context.kept = {
         seconds: msgspec.structs.replace(
-            _build(str(seconds), 'agent-1'), retention=seconds
+            _build_binding(str(seconds), 'agent-1'), retention=seconds
         )
         for seconds in (60, 600, 6000)
     }
--- a/features/steps/configstore.py
+++ b/features/steps/configstore.py
@@ -150,10 +150,10 @@
         return result.Err(failure)
 
     intercept(context, act)
-    rule_out = context.configs._fence_write
+    fence_write = context.configs._fence_write
 
     def send_late(state):
-        settled = rule_out(state)
+        settled = fence_write(state)
         # The delayed write arrives after it was fenced, before the retry.
         context.late = context.client.transact(*context.delayed)
         return settled
--- a/features/steps/domains.py
+++ b/features/steps/domains.py
@@ -11,12 +11,12 @@
 TOKENS = PROFILE.usual_prompt + PROFILE.usual_answer
 # Seconds between an entry's usage messages, within its failure domain and
 # to other domains.
-NEAR = 0.15
-FAR = 5.0
+LOCAL_INTERVAL = 0.15
+REMOTE_INTERVAL = 5.0
 STREAM_SECONDS = 1.5
 
 
-def count_room(engine):
+def get_cache_capacity(engine):
     return PROFILE.get_cache_capacity(engine.kind, engine.end - engine.start)
 
 
@@ -26,32 +26,32 @@
     def __init__(self, name, domain, draw):
         self.name = name
         self.domain = domain
-        self.use = occupancy.Occupancy()
+        self.occupancy = occupancy.Occupancy()
         self.due = {
-            True: draw.uniform(0.0, NEAR),
-            False: draw.uniform(0.0, FAR),
+            True: draw.uniform(0.0, LOCAL_INTERVAL),
+            False: draw.uniform(0.0, REMOTE_INTERVAL),
         }
 
-    def tell(self, entries, now):
-        for near, pause in ((True, NEAR), (False, FAR)):
+    def publish_usage(self, entries, now):
+        for near, pause in ((True, LOCAL_INTERVAL), (False, REMOTE_INTERVAL)):
             if now < self.due[near]:
                 continue
             self.due[near] += pause
             usages = {
                 name: occupancy.Usage(use.sequences, use.started, use.cache)
-                for name, use in self.use.list_own().items()
+                for name, use in self.occupancy.list_own().items()
             }
             for other in entries:
                 same = other.domain == self.domain
                 if other is not self and same == near:
-                    other.use.set_remote(self.name, usages, now)
+                    other.occupancy.set_remote(self.name, usages, now)
 
 
-class Engines:
+class EngineMemory:
     """The actual memory of engines; refuses chains that do not fit."""
 
     def __init__(self, engines):
-        self.rooms = {each.name: count_room(each) for each in engines}
+        self.rooms = {each.name: get_cache_capacity(each) for each in engines}
 
     def admit(self, hops):
         needs = {
@@ -86,10 +86,10 @@
         for index in range(entries)
     ]
     # The layer with the least memory bounds the streams of a domain.
-    context.held = {
+    context.stream_capacities = {
         domain: min(
             sum(
-                count_room(each) / (each.end - each.start)
+                get_cache_capacity(each) / (each.end - each.start)
                 for each in context.engines
                 if each.domain == domain and each.start <= layer < each.end
             )
@@ -100,10 +100,11 @@
     }
 
 
-def play(context, seconds, rates):
+def simulate(context, seconds, rates):
     """Simulate arriving streams at ``rates`` per second, by domain."""
-    context.stays = context.leaves = context.refused = context.lost = 0
-    engines = Engines(context.engines)
+    context.served_locally = context.served_remotely = 0
+    context.refused = context.lost = 0
+    engines = EngineMemory(context.engines)
     ends = []
     now = 0.0
     step = 0.01
@@ -111,10 +112,10 @@
         while ends and ends[0][0] <= now:
             _, entry, hops, held = ends.pop(0)
             engines.release(hops)
-            entry.use.release(held)
+            entry.occupancy.release(held)
         for entry in context.entries:
-            entry.tell(context.entries, now)
-            entry.use.expire(now)
+            entry.publish_usage(context.entries, now)
+            entry.occupancy.expire(now)
             local = [e for e in context.entries if e.domain == entry.domain]
             rate = rates[entry.domain] / len(local)
             if context.draw.random() < rate * step:
@@ -128,17 +129,19 @@
     )
     unusable = set()
     for _ in range(3):
-        hops = context.choices.choose(demand, entry.use.usages, unusable)
+        hops = context.choices.choose(demand, entry.occupancy.usages, unusable)
         if hops is None:
             break
         if engines.admit(hops):
-            held = entry.use.reserve(hops, TOKENS, chains.list_pipes(hops))
+            held = entry.occupancy.reserve(
+                hops, TOKENS, chains.list_pipes(hops)
+            )
             ends.append((now + STREAM_SECONDS, entry, hops, held))
             domains = {hop.endpoint.domain for hop in hops}
             if domains == {entry.domain}:
-                context.stays += 1
+                context.served_locally += 1
             else:
-                context.leaves += 1
+                context.served_remotely += 1
             return
         context.refused += 1
         unusable.update(hop.endpoint.name for hop in hops)
@@ -151,37 +154,40 @@
 def arrive_evenly(context, seconds, part):
     rates = {
         domain: part * held / STREAM_SECONDS
-        for domain, held in context.held.items()
+        for domain, held in context.stream_capacities.items()
     }
-    play(context, seconds, rates)
+    simulate(context, seconds, rates)
 
 
 @behave.when('streams of one domain come at {part:f} of what it holds')
 def arrive_at_one(context, part):
     rates = {
         domain: 0.2 * held / STREAM_SECONDS
-        for domain, held in context.held.items()
+        for domain, held in context.stream_capacities.items()
     }
     first = context.domains[0]
-    rates[first] = part * context.held[first] / STREAM_SECONDS
-    play(context, 8, rates)
+    rates[first] = part * context.stream_capacities[first] / STREAM_SECONDS
+    simulate(context, 8, rates)
 
 
 @behave.then("at least {part:f} of the chains stay in their caller's domain")
 def check_stays(context, part):
-    served = context.stays + context.leaves
-    assert context.stays >= part * served, (context.stays, served)
+    served = context.served_locally + context.served_remotely
+    assert context.served_locally >= part * served, (
+        context.served_locally,
+        served,
+    )
 
 
 @behave.then('engines refuse less than {part:f} of the sends')
 def check_refused(context, part):
-    sends = context.stays + context.leaves + context.refused
+    sends = context.served_locally + context.served_remotely + context.refused
     assert context.refused < part * sends, (context.refused, sends)
 
 
 @behave.then('at least {part:f} of them are served, some in other domains')
 def check_served(context, part):
-    served = context.stays + context.leaves
+    served = context.served_locally + context.served_remotely
     total = served + context.lost
     assert served >= part * total, (served, total)
-    assert context.leaves, served
+    assert context.served_remotely, served
--- a/features/steps/doubts.py
+++ b/features/steps/doubts.py
@@ -40,90 +40,90 @@
         assert failover.decide(silence, context.limits, evidence).should_move
 
 
-def believe(context):
-    if not hasattr(context, 'belief'):
-        context.belief = endpointhealth.EndpointHealth()
-    return context.belief
+def get_health(context):
+    if not hasattr(context, 'health'):
+        context.health = endpointhealth.EndpointHealth()
+    return context.health
 
 
 @behave.when('engine "x" refuses a request at {at:f}')
 def refuse(context, at):
-    believe(context).record_refusal('x', at)
+    get_health(context).record_refusal('x', at)
 
 
 @behave.when('work moves through it at {at:f}')
-def move(context, at):
-    believe(context).report_progress('x', at)
+def report_progress(context, at):
+    get_health(context).report_progress('x', at)
 
 
 @behave.when(
     'another entry reports an ejection of "x" at {first:f} and at {second:f}'
 )
-def tell(context, first, second):
-    believe(context).receive_ejection('x', first)
-    believe(context).receive_ejection('x', second)
+def receive_ejections(context, first, second):
+    get_health(context).receive_ejection('x', first)
+    get_health(context).receive_ejection('x', second)
 
 
 @behave.then('it is expected to refuse at {at:f}')
 def check_refusing(context, at):
-    assert context.belief.expects_refusal('x', at)
+    assert context.health.expects_refusal('x', at)
 
 
 @behave.then('it is not expected to refuse at {at:f}')
 def check_accepting(context, at):
-    assert not context.belief.expects_refusal('x', at)
+    assert not context.health.expects_refusal('x', at)
 
 
 @behave.then('it is left out at {at:f}')
 def check_left_out(context, at):
-    assert not context.belief.is_usable('x', at)
+    assert not context.health.is_usable('x', at)
 
 
 @behave.then('it is in use at {at:f}')
 def check_in_use(context, at):
-    assert context.belief.is_usable('x', at)
+    assert context.health.is_usable('x', at)
 
 
 @behave.then('other entries are told of it at {first:f}, and not at {then:f}')
 def check_told(context, first, then):
-    assert context.belief.list_ejected(first) == ['x']
-    assert context.belief.list_ejected(then) == []
+    assert context.health.list_ejected(first) == ['x']
+    assert context.health.list_ejected(then) == []
 
 
 @behave.then('other entries are not told of it at {at:f}')
 def check_not_told(context, at):
-    assert context.belief.list_ejected(at) == []
+    assert context.health.list_ejected(at) == []
 
 
 @behave.when('engine "{name}", far from full, refuses a request at {now:f}')
 def refuse_roomy(context, name, now):
     context.name = name
-    believe(context).record_refusal(name, now, True)
+    get_health(context).record_refusal(name, now, True)
 
 
 @behave.when('a request sent to it at {sent:f} runs')
 def accept(context, sent):
-    context.belief.record_accepted([context.name], sent)
+    context.health.record_accepted([context.name], sent)
 
 
 @behave.when(
     'another entry tells at {first:f} and at {second:f} that "{name}" goes on'
     ' refusing'
 )
-def hear_refusals(context, first, second, name):
+def receive_refusals(context, first, second, name):
     context.name = name
     for now in (first, second):
-        believe(context).receive_refusing(name, now)
+        get_health(context).receive_refusing(name, now)
 
 
 @behave.then('other entries are told at {now:f} that it goes on refusing')
 def check_refusing_told(context, now):
-    assert context.belief.list_refusing(now) == [context.name]
+    assert context.health.list_refusing(now) == [context.name]
 
 
 @behave.then('other entries are not told at {now:f} that it goes on refusing')
 def check_refusing_untold(context, now):
-    assert not context.belief.list_refusing(now)
+    assert not context.health.list_refusing(now)
 
 
 @behave.given(
@@ -149,7 +149,7 @@
 
 @behave.then('it has accepted nothing for {seconds:f} s at {now:f}')
 def check_measured(context, seconds, now):
-    measured = context.belief.get_refusing_seconds(context.name, now)
+    measured = context.health.get_refusing_seconds(context.name, now)
     assert abs(measured - seconds) < 1e-9, measured
 
 
