--- a/features/steps/agent.py
+++ b/features/steps/agent.py
@@ -142,7 +142,7 @@
     'a request for {tokens:d} tokens runs while its steps come twice, late '
     'and of old epochs'
 )
-def disturb(context, tokens):
+def send_stale_steps(context, tokens):
     agent_scene.open_request(context, 'r1', tokens, epoch=3)
     wait_tokens(context, 'r1', 2)
     send_steps(
@@ -154,13 +154,13 @@
     "two requests for {tokens:d} tokens run while their answers' frames come "
     'twice, late and crossed'
 )
-def cross(context, tokens):
+def send_crossed_frames(context, tokens):
     context.asked = {}
     for name in ('r1', 'r2'):
         agent_scene.open_request(context, name, tokens, epoch=3)
         wait_tokens(context, name, 2)
-    rogue = agent_scene.Caller(context.agents[0].address)
-    context.stack.callback(rogue.dialer.stop)
+    sender = agent_scene.Caller(context.agents[0].address)
+    context.stack.callback(sender.dialer.stop)
     # A frame with another answer's content under this request's id.
     crossed = {'id': 1, 'text': 'wrong', 'request_id': 'r1'}
     for name, epoch, index in (
@@ -171,11 +171,11 @@
     ):
         fields = crossed | {'request_id': name}
         token = link_pb2.Token(epoch=epoch, index=index, **fields)
-        rogue.send(token=token)
-        rogue.send(token=token)
-    rogue.send(done=link_pb2.Done(request_id='r1', epoch=2, tokens=2))
-    rogue.send(fail=link_pb2.Fail(request_id='r2', epoch=2, code='gap'))
-    rogue.send(cancel=link_pb2.Cancel(request_id='r2', epoch=3))
+        sender.send(token=token)
+        sender.send(token=token)
+    sender.send(done=link_pb2.Done(request_id='r1', epoch=2, tokens=2))
+    sender.send(fail=link_pb2.Fail(request_id='r2', epoch=2, code='gap'))
+    sender.send(cancel=link_pb2.Cancel(request_id='r2', epoch=3))
 
 
 @behave.then('the head has counted "{a}", "{b}" and "{c}"')
@@ -419,13 +419,13 @@
 def check_batch(context, count):
     assert context.agents[0].pipeline.limit_batch() == count
     sizes = []
-    take = context.agents[0].driver._engine.run_steps
+    run_steps = context.agents[0].driver._engine.run_steps
 
-    def note(steps, seconds):
+    def record(steps, seconds):
         sizes.append(len(steps))
-        return take(steps, seconds)
+        return run_steps(steps, seconds)
 
-    context.agents[0].driver._engine.run_steps = note
+    context.agents[0].driver._engine.run_steps = record
     wait_until(lambda: len(sizes) >= 6, 'calls')
     assert max(sizes) <= count, sizes
 
@@ -476,15 +476,15 @@
 @behave.given("the head's engine holds its calls")
 def hold_calls(context):
     driver = context.agents[0].driver
-    take = driver._engine.run_steps
+    run_steps = driver._engine.run_steps
     context.held_calls = threading.Semaphore(0)
-    context.go_on = threading.Event()
-    context.stack.callback(context.go_on.set)
+    context.calls_released = threading.Event()
+    context.stack.callback(context.calls_released.set)
 
     def hold(steps, seconds):
         context.held_calls.release()
-        context.go_on.wait(WAIT_SECONDS)
-        return take(steps, seconds)
+        context.calls_released.wait(WAIT_SECONDS)
+        return run_steps(steps, seconds)
 
     driver._engine.run_steps = hold
 
@@ -513,8 +513,8 @@
 
 
 @behave.when("the head's engine answers its calls")
-def let_calls_go(context):
-    context.go_on.set()
+def release_calls(context):
+    context.calls_released.set()
 
 
 @behave.then('no slot is held')
