--- a/features/steps/affinity_daemons.py
+++ b/features/steps/affinity_daemons.py
@@ -1,4 +1,4 @@
-"""Steps of affinity.feature: agents, entries and real processes."""
+"""Steps for prefix caches in agents, in entries and in a deployment."""
 
 import time
 
@@ -33,8 +33,8 @@
     return context.running.read_state(name)['plans'][0]
 
 
-def _read_told(context):
-    """Number of prefixes that each agent which ran the prompt told."""
+def _read_published_counts(context):
+    """Return how many prefixes each agent that ran the prompt published."""
     return [
         context.running.read_state(agent.name)['cache']['told']
         for agent in context.running.plan.agents
@@ -43,14 +43,14 @@
 
 
 def _is_idle(context, entry):
-    """Whether an entry knows of no work, which would count against it."""
+    """Return whether an entry knows of no load, which outweighs affinity."""
     plans = _read_plans(context, entry)
     counts = [*plans['in_flight'].values(), *plans['reported'].values()]
     return counts and not any(counts)
 
 
 def _ask(context, entry, team, prompt):
-    """Run a prompt; the names of the engines that ran it."""
+    """Run a prompt and return the names of the engines that ran it."""
     running = context.running
     caller = running.make_caller(entry, team)
     context.stack.callback(caller.close)
@@ -86,12 +86,12 @@
 
 @behave.when('entry {entry:d} was told of it')
 def wait_told(context, entry):
-    def is_told():
-        told = _read_told(context)
-        heard = _read_plans(context, entry)['prefixes_told']
-        return min(told) > 0 and heard >= sum(told)
+    def is_published():
+        published = _read_published_counts(context)
+        received = _read_plans(context, entry)['prefixes_told']
+        return min(published) > 0 and received >= sum(published)
 
-    _wait_until(is_told, lambda: _read_told(context))
+    _wait_until(is_published, lambda: _read_published_counts(context))
 
 
 @behave.then(
@@ -137,7 +137,7 @@
 
 
 class _Session:
-    """What a reader needs of an agent's session."""
+    """The attributes of an agent's session that the cache monitor reads."""
 
     def __init__(self, name, text, tokens):
         blocks = affinity.hash_blocks('salt-diner', text)
@@ -169,23 +169,23 @@
         context.standin, session='one', cache_salt='salt', prompt=_TEXT
     )
     context.reader.poll(0.0)
-    # The length of a prompt is known behind its first step only.
+    # The length of a prompt is known only after its first step.
     context.reader.record_prompt(context.session)
     context.reader.poll(1.0)
 
 
 @behave.then(
-    'the reader tells the end of the prompt, and all of it to a new link'
+    'the reader publishes the end of the prompt, and a snapshot to a new link'
 )
 def check_reader(context):
     load = context.reader.add_update(link_pb2.Load(running=1))
-    context.told = list(load.cache.held)
+    context.published = list(load.cache.held)
     blocks = list(context.session.prefixes.blocks)
-    assert load.running == 1 and len(context.told) == 1
+    assert load.running == 1 and len(context.published) == 1
     # The engine's last block ends a little before the prompt does.
-    assert context.told[0] in blocks[-2:], (context.told, blocks)
+    assert context.published[0] in blocks[-2:], (context.published, blocks)
     again = context.reader.add_snapshot(link_pb2.Load()).cache
-    assert again.all and list(again.held) == context.told
+    assert again.all and list(again.held) == context.published
 
 
 @behave.when('that engine is started anew and the reader polls')
@@ -195,10 +195,10 @@
     context.reader.poll(2.0)
 
 
-@behave.then('the reader takes back what it told')
+@behave.then('the reader withdraws what it published')
 def check_taken_back(context):
-    news = context.reader.add_update(link_pb2.Load()).cache
-    assert list(news.lost) == context.told and not news.held
+    update = context.reader.add_update(link_pb2.Load()).cache
+    assert list(update.lost) == context.published and not update.held
     assert context.reader.describe()['sequence'] == 0
 
 
@@ -212,27 +212,27 @@
     assert context.reader.describe() == before
 
 
-def _tell(model_planner, *held, everything=False, moment=1.0):
-    news = cacheupdates.Update(held, all=everything)
+def _apply_update(model_planner, *held, is_snapshot=False, moment=1.0):
+    update = cacheupdates.Update(held, all=is_snapshot)
     model_planner.enqueue(
-        modelplanning.TimedCacheUpdate('agent', news, moment)
+        modelplanning.TimedCacheUpdate('agent', update, moment)
     )
     model_planner.refresh((), moment)
 
 
-@behave.given("an entry's plan that was told prefixes of an agent")
+@behave.given("an entry's plan with prefixes that an agent published")
 def give_told(context):
     context.model_planner = modelplanning.ModelPlanner(1, False)
-    _tell(context.model_planner, 11, 12, moment=time.monotonic())
+    _apply_update(context.model_planner, 11, 12, moment=time.monotonic())
 
 
-@behave.when('the agent tells all anew without one of them')
+@behave.when('the agent sends a snapshot without one of them')
 def tell_anew(context):
     later = time.monotonic() + 0.001
-    _tell(context.model_planner, 12, everything=True, moment=later)
+    _apply_update(context.model_planner, 12, is_snapshot=True, moment=later)
 
 
-@behave.then('the entry finds the others only')
+@behave.then('the entry finds the others and not that one')
 def check_dropped(context):
     held = context.model_planner._affinity
     now = time.monotonic() + 1.0
--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -1,4 +1,4 @@
-"""Steps about answers and the runs behind them."""
+"""Steps for answers and the closing of the runs that produce them."""
 
 import gc
 from unittest import mock
@@ -51,7 +51,7 @@
         renderer,
         5.0,
     )
-    if kind == 'whole':
+    if kind == 'buffered':
         answer.gather()
     else:
         assert list(answer.stream().ok_value.body)
