--- a/features/queueing.feature
+++ b/features/queueing.feature
@@ -1,5 +1,6 @@
 Feature: Fair queue at an endpoint
-  Teams share an endpoint by weight, whatever each of them sends.
+  Teams share an endpoint by weight, whatever load each of them sends, so
+  that a flood from one team cannot starve another.
 
   Scenario: Two teams share by weight
     Given a fair queue
--- a/features/ratelimits.feature
+++ b/features/ratelimits.feature
@@ -1,6 +1,7 @@
 Feature: Rate limits that endpoints name
-  An endpoint in need names the requests a second that it takes from all
-  entries together. They share that rate, whoever of them is asked.
+  An overloaded endpoint reports the requests a second that it accepts from
+  all entries together. Entries share that rate, however callers spread over
+  them; a limit kept by each entry alone would admit several times the rate.
 
   Scenario Outline: Entries together keep the rate limit of an endpoint
     Given a platform with engines and services in failure domains "a" and "b"
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -1,5 +1,6 @@
 Feature: Streams survive the death of a stage
-  Only what was lost runs again, and no token is lost or repeated.
+  After a stage fails, only the lost positions run again, and the caller
+  gets each token exactly once.
 
   Scenario Outline: A stage dies in the midst of streams
     Given 3 agents of 4 layers each
--- a/features/relay.feature
+++ b/features/relay.feature
@@ -1,5 +1,6 @@
 Feature: Relay that harms connections
-  A connection can go silent for good while new ones work.
+  The relay injects connection faults: an open connection can stay silent
+  for good, as after a lost route, while new connections work.
 
   Background:
     Given a relay before a stand-in service, with one connection in use
--- a/features/revisions.feature
+++ b/features/revisions.feature
@@ -1,6 +1,6 @@
 Feature: Revisions of the configuration in the store
-  A document is kept as chunks under one head, and an edit costs its own
-  size.
+  A document is stored as chunks under one head, so that an edit writes
+  only the chunks that it changes.
 
   Scenario: Any document comes back from its chunks
     Then any document of named items joins from its chunks unchanged
--- a/features/rules.feature
+++ b/features/rules.feature
@@ -1,6 +1,6 @@
 Feature: Rules that decide requests
-  The first rule whose conditions all hold decides; mistakes in the
-  document are told with their place before it is applied.
+  The first rule whose conditions all hold decides. Errors in the document
+  are reported with their position before it is applied.
 
   Scenario: The index finds the rule that the plain scan finds
     Then the index agrees with the scan for any rules and requests
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,6 +1,6 @@
 Feature: Settings of a daemon
-  A mistake is told with its place, the field, the bad value and what was
-  expected, before anything starts.
+  An error is reported with its position, the field, the bad value and the
+  expected one, before anything starts.
 
   Scenario: Good settings of both roles are read, comments and all
     Given the settings of an entry
--- a/features/slots.feature
+++ b/features/slots.feature
@@ -1,5 +1,6 @@
 Feature: A team at its share finds a slot beside a flood
-  An event model of the queue and the slots of one endpoint.
+  An event simulation of the queue and the slots of one endpoint. It guards
+  against a team within its share waiting behind the flood of another.
 
   Scenario Outline: A team of weight <weight> at <part> of its share waits for no flood
     Given an endpoint whose queue team "flood" fills
--- a/features/standins.feature
+++ b/features/standins.feature
@@ -1,5 +1,6 @@
 Feature: Stand-ins for the outside systems
-  They must show the faults that they are for, or tests prove nothing.
+  Stand-ins must produce the faults they simulate; otherwise the tests that
+  rely on them would pass without exercising any fault.
 
   Scenario: Tokens don't depend on how layers and spans are split
     Then stand-in models give the same tokens however they are split
--- a/features/starting.feature
+++ b/features/starting.feature
@@ -1,5 +1,5 @@
 Feature: How an entry and a platform start
-  Real entries run against stand-ins of the store, engines and services.
+  Real entries run against stand-ins for the store, engines and services.
 
   Scenario: A caller that meets a host whose process just started is served
     Given a platform with engines and services in failure domains "a" and "b"
--- a/features/steps/queueing.py
+++ b/features/steps/queueing.py
@@ -1,4 +1,4 @@
-"""Steps for the fair queue and the in-flight caps."""
+"""Steps for the fair queue, the in-flight caps and the token budget."""
 
 import behave
 from dunlintide_core import caps
--- a/features/steps/ratelimits.py
+++ b/features/steps/ratelimits.py
@@ -1,4 +1,4 @@
-"""Steps about rate limits, on real entries."""
+"""Steps for rate limits that entries share, with real entries."""
 
 import contextlib
 import threading
@@ -10,7 +10,7 @@
 
 CALLERS = 12
 WORK = {'service': '/lists/x', 'engine': None}
-# Longest pause of a caller that was told to return, in seconds.
+# Longest pause of a caller that got a Retry-After, in seconds.
 MOST_PAUSE = 0.5
 
 
--- a/features/steps/rates.py
+++ b/features/steps/rates.py
@@ -1,4 +1,4 @@
-"""Steps about the rate at which an endpoint finishes work."""
+"""Steps for the estimate of the rate at which an endpoint works."""
 
 import behave
 
@@ -6,7 +6,7 @@
 
 
 class Endpoint:
-    """Runs a batch of answers at a time, and is looked at each second.
+    """Run one batch of answers at a time, sampled once a second.
 
     The answers of a batch end one by one, the short ones first; a batch
     takes as long as its longest.
--- a/features/steps/readiness.py
+++ b/features/steps/readiness.py
@@ -1,4 +1,4 @@
-"""Steps about when an entry asks for callers."""
+"""Steps for the condition under which an entry reports ready."""
 
 import re
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Offered:
-    """The part of a snapshot that readiness looks at."""
+    """The fields of a snapshot that the readiness check reads."""
 
     models: dict
     services: dict
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Linked:
-    """An agent, as the view of the fleet has it."""
+    """A linked agent, as the view of the fleet lists it."""
 
     endpoint: fleet.Endpoint
 
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -1,4 +1,4 @@
-"""Steps for the recovery of streams, with an entry that names chains."""
+"""Steps for the recovery of streams, with an entry that picks chains."""
 
 from concurrent import futures
 from unittest import mock
@@ -25,7 +25,7 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """One request of the recovering entry."""
+    """One request of the entry that recovers streams."""
 
     message: link_pb2.Open
     tokens: list = attrs.field(factory=list)
@@ -34,7 +34,7 @@
 
 
 class Entry:
-    """Opens streams and replaces the agents that fail them."""
+    """Open streams and replace agents that fail."""
 
     def __init__(self, context):
         self.context = context
@@ -206,7 +206,7 @@
     name = f'agent-{stage - 1}'
     agent = context.agents[stage - 1]
     assert agent.settings.name == name
-    # Its links go first, so it says nothing more.
+    # Closing its links first keeps it from sending anything more.
     agent._peers.close()
     agent._server.stop()
     agent.__exit__(None, None, None)
@@ -219,7 +219,7 @@
 
 
 def lose_tokens(context, count):
-    """Take away what was on its way from a head that died."""
+    """Discard tokens that a dead first stage had not yet delivered."""
     entry = context.entry
     wait_until(lambda: 'agent-0' in entry.events, 'the loss of the head')
     del entry.events[: entry.events.index('agent-0')]
@@ -400,7 +400,7 @@
 
 
 def find_middle(context):
-    """Return a middle agent whose engine is in the midst of a stream."""
+    """Return a middle agent whose engine is running a stream."""
     for agent in context.running.plan.agents:
         if agent.endpoint.settings.get('layer_start'):
             name = agent.endpoint.standin.name
@@ -443,7 +443,7 @@
 
 
 def read_last_runs(context):
-    """Return what the other engines ran for each stream."""
+    """Return the last runs of the other engines for each stream."""
     name = context.paused.endpoint.standin.name
     return [
         run
--- a/features/steps/relay.py
+++ b/features/steps/relay.py
@@ -1,4 +1,4 @@
-"""Steps for the relay, over plain sockets."""
+"""Steps for the fault-injecting relay, over plain sockets."""
 
 import socket
 import time
@@ -25,7 +25,7 @@
 
 
 def ask(connection, seconds=WAIT_SECONDS):
-    """Ask and return the answer, empty when the connection ended."""
+    """Send a request; return the answer, empty if the connection ended."""
     connection.settimeout(seconds)
     connection.sendall(REQUEST)
     return connection.recv(4096)
--- a/features/steps/replanning.py
+++ b/features/steps/replanning.py
@@ -1,4 +1,4 @@
-"""Steps of replanning.feature; the entry is that of entry.feature."""
+"""Steps of replanning.feature; the entry comes from entry.feature."""
 
 import json
 import threading
@@ -14,7 +14,7 @@
 
 
 class _Reports:
-    """Load reports of fake agents, until the scenario ends."""
+    """Send load reports of fake agents until the scenario ends."""
 
     def __init__(self, agents):
         self.step_seconds = {agent.name: 0.01 for agent in agents}
@@ -46,7 +46,7 @@
 
 
 def _read_part(context):
-    """Part of the plan that the first agent has."""
+    """Return the fraction of the plan that goes to the first agent."""
     shares = _read_plan(context)['shares']
     name = context.entry.engines[0].name
     return shares[name] / sum(shares.values())
@@ -68,7 +68,7 @@
     context.stack.callback(context.reports.stop)
     for agent, milliseconds in zip(engines, (first, second)):
         context.reports.step_seconds[agent.name] = milliseconds / 1000
-    # The usual duration must be known before it can change.
+    # A slowdown shows only against a known usual duration.
     _wait_until(
         lambda: _read_plan(context).get('observations', 0) >= 10,
         context.entry.role.describe,
--- a/features/steps/routes.py
+++ b/features/steps/routes.py
@@ -1,4 +1,4 @@
-"""Steps about versions of a large configuration."""
+"""Steps for decoding a new version of a large configuration."""
 
 import json
 
--- a/features/steps/scarceengine.py
+++ b/features/steps/scarceengine.py
@@ -1,4 +1,4 @@
-"""Steps about an engine that all entries need and none knows the use of."""
+"""Steps for an engine that entries share without knowing its load."""
 
 import random
 
@@ -6,7 +6,7 @@
 from dunlintide_core.pipeline import endpointhealth
 from dunlintide_daemon.gateway import gossip
 
-# How long a stream holds its place, and how long news take, in seconds.
+# How long a stream holds its slot and a message travels, in seconds.
 STREAM_SECONDS = 1.5
 NEWS_SECONDS = 0.03
 TICK = 0.005
@@ -49,7 +49,7 @@
 
 
 def send(context, belief, ends, news, now):
-    """Send a stream unless the engine is believed to be full."""
+    """Send a stream unless the entry counts the engine as full."""
     if 'x' in belief.list_unusable(now):
         return
     context.sends += 1
--- a/features/steps/security.py
+++ b/features/steps/security.py
@@ -23,7 +23,9 @@
 
 
 def wait_until(condition, what):
-    assert processes.wait_for(condition, WAIT_SECONDS), f'not in time: {what}'
+    assert processes.wait_for(
+        condition, WAIT_SECONDS
+    ), f'timed out waiting for: {what}'
 
 
 @behave.given('a small deployment with TLS runs and logs all that it can')
@@ -43,7 +45,7 @@
 
 
 class Stream:
-    """A stream that is read on a thread of its own."""
+    """A stream that a separate thread reads."""
 
     def __init__(self, running, team, entry, tokens):
         self.answer = client.Answer()
@@ -140,7 +142,7 @@
 
 
 def read_all(running):
-    """Read all that daemons show: logs, dumps and metrics."""
+    """Read all output of the daemons: logs, dumps and metrics."""
     http = urllib3.PoolManager()
     for daemon in running.plan.daemons:
         log = running.started[daemon.name].log.read_text(errors='replace')
@@ -201,7 +203,9 @@
     keys = [*context.running.keys.values(), BAD_KEY]
     context.read = list(read_all(context.running))
     assert len(context.read) == 3 * len(context.running.plan.daemons)
-    assert all(text for _, text in context.read), 'nothing to look at'
+    assert all(
+        text for _, text in context.read
+    ), 'no log, dump or metrics page found'
     found = [
         (name, text[max(0, text.index(key) - 200) : text.index(key)])
         for name, text in context.read
--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -1,4 +1,4 @@
-"""Steps of slots.feature: a queue and its slots on one event queue."""
+"""Steps of slots.feature: an event simulation of a queue with slots."""
 
 import heapq
 import itertools
@@ -18,7 +18,7 @@
 
 
 class Endpoint:
-    """Requests of several teams, served as the agent's gate does."""
+    """Serve requests of several teams the way the agent's gate does."""
 
     def __init__(self):
         self.queue = queueing.Queue()
--- a/features/steps/standin_calls.py
+++ b/features/steps/standin_calls.py
@@ -1,4 +1,4 @@
-"""Calls to stand-ins, for the steps that test them."""
+"""HTTP calls to stand-ins, for the steps that test them."""
 
 import json
 
--- a/features/steps/standin_engine.py
+++ b/features/steps/standin_engine.py
@@ -24,7 +24,7 @@
 
 
 def generate(engines, session, count, max_tokens, **first):
-    """Run a session's steps through a chain until enough tokens came."""
+    """Run steps of a session through a chain until it has its tokens."""
     tokens = []
     step = dict(session=session, max_tokens=max_tokens, **first)
     while len(tokens) < count:
@@ -86,7 +86,7 @@
 
 
 def finish(context, name, step):
-    """Generate the tokens that are left."""
+    """Generate the remaining tokens of a session."""
     left = context.max_tokens - len(context.tokens)
     tokens, _ = generate(
         context.engines, name, left, context.max_tokens, **step
--- a/features/steps/standin_reference.py
+++ b/features/steps/standin_reference.py
@@ -10,7 +10,7 @@
 
 
 def run_split(span, cuts, spans):
-    """Run a model over spans of positions, its layers cut in ranges."""
+    """Run a model over spans of positions, split into layer ranges."""
     edges = [0, *sorted(cuts), LAYERS]
     ranges = [
         (
@@ -46,7 +46,7 @@
 
 
 def run_variant(order, words):
-    """Run layers in the given order; gives the id of the token."""
+    """Run layers in the given order and return the token id."""
     right = reference.get_layer_weights(MODEL, '1', 0, LAYERS)
     constants = tuple(right[layer] for layer in order)
     span = reference.embed(reference.tokenize(' '.join(words)))
@@ -55,7 +55,7 @@
 
 
 def vary(items):
-    """Give the list with each item left out, doubled, swapped."""
+    """Return variants of a list: items omitted, repeated or swapped."""
     variants = []
     for index, item in enumerate(items):
         variants.append(items[:index] + items[index + 1 :])
--- a/features/steps/standin_store.py
+++ b/features/steps/standin_store.py
@@ -28,7 +28,7 @@
 
 
 def watch(context):
-    """Open a watch on all keys; gives what it sees and an end mark."""
+    """Watch all keys; return the received events, then an end marker."""
     create = {'create_request': {'key': b64(b'\0'), 'range_end': b64(b'\0')}}
     stream = standin_calls.call(
         context.store, 'POST', '/v3/watch', create, preload_content=False
--- a/features/steps/standins.py
+++ b/features/steps/standins.py
@@ -1,6 +1,6 @@
 """Steps for the stand-ins of service, host list and weight store.
 
-Running any of the stand-ins as a process is tested here, too.
+Also covers running each stand-in as a process.
 """
 
 import base64
@@ -90,7 +90,7 @@
 
 
 class Process:
-    """A stand-in's process and its port."""
+    """The process of a stand-in and the port it listens on."""
 
     def __init__(self, context, name, *flags):
         command = [sys.executable, '-m', f'dunlintide_standins.{name}']
--- a/features/steps/starting.py
+++ b/features/steps/starting.py
@@ -1,4 +1,4 @@
-"""Steps about how an entry and a platform start."""
+"""Steps for the start and stop of entries and of a platform."""
 
 import signal
 import time
@@ -114,6 +114,8 @@
 
 @behave.then('the store does not list the entry')
 def check_unlisted(context):
-    assert context.entry.process.poll() is None, 'it has ended'
+    assert (
+        context.entry.process.poll() is None
+    ), 'the entry process has already exited'
     keys = context.scene.store.list_keys('dunlintide/entries/')
     assert not [key for key in keys if key.endswith('/one')], keys
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -1,4 +1,4 @@
-"""Steps for the client of the store."""
+"""Steps for the store client."""
 
 import threading
 
--- a/features/steps/storeeras.py
+++ b/features/steps/storeeras.py
@@ -1,4 +1,4 @@
-"""Steps about a store that returns from a copy, before real entries."""
+"""Steps for a store restored from a backup while entries run."""
 
 import time
 
--- a/features/steps/storemodel.py
+++ b/features/steps/storemodel.py
@@ -1,4 +1,4 @@
-"""A model test of what entries keep in step with a store that loses time."""
+"""Model test of entries whose store is restored from older backups."""
 
 import asyncio
 import contextlib
@@ -23,15 +23,15 @@
 
 NAMES = ('one', 'two', 'three')
 RUNNERS = ('i-1', 'i-2', 'i-3', 'i-4')
-# Time in which everything is in step again after the last trouble, and the
-# longest that a version may take, in seconds.
+# Time to converge after the last fault, and the longest that a version may
+# take to be in force, in seconds.
 SETTLE_SECONDS = 14.0
 APPLY_SECONDS = 2.0
 MODULES = (state_module, leadership, follower, stores)
 
 
 class _Log:
-    """Keeps what an entry logs."""
+    """Collect the log records of an entry."""
 
     def __init__(self):
         self.rows = []
@@ -43,7 +43,7 @@
 
 
 class _Connection:
-    """A connection to the stand-in store without a network."""
+    """An in-memory connection to the stand-in store."""
 
     def __init__(self, network):
         self._network = network
@@ -78,10 +78,10 @@
 
 
 class _Network:
-    """What lies between one entry and the store; stands in for a pool.
+    """The network between one entry and the store, in place of a pool.
 
-    :ivar cut: whether nothing passes
-    :ivar late: answers that are lost while their calls come late, a count
+    :ivar cut: whether all traffic is dropped
+    :ivar late: number of writes still to be delayed, their answers lost
     """
 
     def __init__(self, store):
@@ -120,7 +120,7 @@
 
 
 class _Entry:
-    """The parts of an entry that follow the store."""
+    """The components of an entry that follow the store."""
 
     def __init__(self, name, store, loop):
         self.log = _Log()
@@ -184,7 +184,7 @@
 
 
 class StoreMachine(stateful.RuleBasedStateMachine):
-    """Operators, runners, drills, cuts and restarts in any order."""
+    """Writes, runners, restores, cuts and restarts in any order."""
 
     def __init__(self):
         super().__init__()
@@ -252,7 +252,7 @@
     @stateful.rule(name=strategies.sampled_from(RUNNERS[1:]))
     def drain(self, name):
         if name not in self.left:
-            # None goes back: it would be another runner with another id.
+            # No runner returns: it would be another runner with another id.
             self.run(self._list(name, 'draining'))
 
     @stateful.rule(name=strategies.sampled_from(RUNNERS[1:]))
@@ -309,7 +309,7 @@
 
     @stateful.invariant()
     def check_leaving(self):
-        """Check that what an entry saw leave gets nothing from it again."""
+        """Check that no entry uses a runner again that it saw leave."""
         for entry in self.entries:
             usable = entry.list_usable()
             assert not usable & entry.leaving, (usable, entry.leaving)
@@ -387,4 +387,4 @@
 
 @behave.then('all entries are in step again after each of them')
 def check_in_step(context):
-    """The machine checks each order itself, and fails the step before."""
+    """Pass: the state machine checks each order in the step before."""
--- a/features/steps/streampieces.py
+++ b/features/steps/streampieces.py
@@ -1,4 +1,4 @@
-"""Steps about the events of a stream that comes in pieces."""
+"""Steps for stream events that arrive split across reads."""
 
 import behave
 from dunlintide_daemon.gateway import events
--- a/features/steps/subset.py
+++ b/features/steps/subset.py
@@ -133,7 +133,7 @@
 
 
 def _take(context):
-    # Far ahead, so that no computation of the subset is put off.
+    # A time far ahead, so that no subset computation is deferred.
     context.now = getattr(context, 'now', 0.0) + 1000.0
     assert context.roster.refresh(context.now)
     context.fleet.update(context.roster.hosts, context.roster.wanted)
@@ -148,7 +148,7 @@
 def _wait_for(condition):
     end = time.monotonic() + _WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < end, 'not in time'
+        assert time.monotonic() < end, 'timed out waiting for the condition'
         time.sleep(0.01)
 
 
@@ -348,7 +348,7 @@
     assert context.view.get(witness).peer.failure_domain == (
         'domain-0' if whose == 'its' else 'domain-1'
     )
-    # The links stay wanted, as the subset is computed but now and then.
+    # The links stay wanted, because the subset is computed only at intervals.
     for name in context.roster.wanted:
         record = context.view.get(name)
         context.view.merge(1.0, attrs.evolve(record, witnesses=(witness,)))
@@ -383,7 +383,7 @@
     )
     context.stack.callback(setattr, entry_fleet, 'MAX_ON_DEMAND_LINKS', before)
     for name in (busy, oldest, *others):
-        # A link counts as used for as long as its opening may take.
+        # A link counts as in use for the time that opening it may take.
         _wait_for(lambda: time.monotonic() > context.later)
         assert context.fleet.connect(name, None) is not None
         context.fleet.add_work([name], int(name == busy))
--- a/features/steps/threads.py
+++ b/features/steps/threads.py
@@ -1,4 +1,4 @@
-"""Steps for threads and actors that meet unexpected errors."""
+"""Steps for unexpected errors in long-lived threads and actors."""
 
 import subprocess
 import sys
@@ -33,7 +33,7 @@
 
 
 class Leaders:
-    """Leaderships that nobody can get; the first look breaks."""
+    """Leaderships that cannot be gained; the first read raises."""
 
     def __init__(self):
         self.reads = 0
@@ -86,7 +86,7 @@
 def check_replaced(context):
     deadline = time.monotonic() + WAIT_SECONDS
     while context.leaders.reads < 2:
-        assert time.monotonic() < deadline, 'no other leader'
+        assert time.monotonic() < deadline, 'no other leader took over'
         time.sleep(0.01)
 
 
--- a/features/steps/tls.py
+++ b/features/steps/tls.py
@@ -1,4 +1,4 @@
-"""Steps of tls.feature: links and calls between certified processes."""
+"""Steps of tls.feature: links and calls with TLS certificates."""
 
 import datetime
 import json
@@ -40,7 +40,7 @@
 
 
 class Lines(logging.Handler):
-    """Keeps what is logged."""
+    """Collect formatted log lines."""
 
     def __init__(self):
         super().__init__()
@@ -51,7 +51,7 @@
 
 
 class Process:
-    """One process with its files, as either end of links."""
+    """A process with its TLS files, at either end of links."""
 
     def __init__(self, context, role, name, transport):
         self.role = role
@@ -106,7 +106,7 @@
 
 
 def find_fleet(context):
-    """Give the scenario's authority and folder, and keep its log."""
+    """Return the scenario's authority and folder; collect its log."""
     if not hasattr(context, 'authority'):
         context.authority = authority.Authority()
         context.other_authority = authority.Authority('another authority')
@@ -122,7 +122,7 @@
 
 
 def certify(context, role, name, fault=''):
-    """Write files and open a transport with them."""
+    """Write certificate files and open a transport that uses them."""
     issuer = find_fleet(context)
     if fault == _NOT_CERTIFIED:
         return transports.PLAIN
@@ -137,7 +137,7 @@
     paths = certificates.Paths(**found)
     files = certificates.Files.open(paths, check, check_seconds=0.0)
     if expired:
-        # A process that keeps on after the end of its certificate.
+        # A process that keeps running after its certificate expires.
         certificate, key = issuer.issue(role, name, EXPIRED)
         files = certificates.Files(
             paths,
@@ -277,7 +277,7 @@
         frame = link_pb2.Frame()
         getattr(frame, body).SetInParent()
         assert link.send(frame)
-    # What comes after them shows that all have been looked at.
+    # The arrival of a later message shows that all have been handled.
     link.send(link_pb2.Frame(hello=context.dialer.hello()))
 
 
@@ -385,7 +385,7 @@
     context.other_authority = old
     for process in (context.server, context.first):
         context.authority.write(context.folder, process.role, process.name)
-    # The names that steps use: the new one is "another" to the first.
+    # Steps name authorities this way: the new one is "another".
     context.authority, context.other_authority = old, context.authority
 
 
@@ -520,5 +520,5 @@
     assert len(found) == 1, found
     path, told = found[0]
     assert field in f'{path}: {told}' and message in told, found
-    # A field that is there is pointed at.
+    # The problem has a position when the field is present.
     assert 'missing' in told or problems[0].line > 1, problems
--- a/features/steps/virtualtime.py
+++ b/features/steps/virtualtime.py
@@ -8,7 +8,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Passes the time that it would wait."""
+    """A selector that advances virtual time instead of waiting."""
 
     elapsed = 1000.0
 
@@ -19,7 +19,7 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop in virtual time, without I/O that waits."""
+    """An event loop in virtual time, without blocking I/O."""
 
     def __init__(self):
         self._virtual = _Selector()
@@ -31,7 +31,7 @@
 
 @contextlib.contextmanager
 def replace_clocks(loop, modules):
-    """Let modules that import time read the clock of a loop."""
+    """Make modules that import time read the clock of a loop."""
     clock = types.SimpleNamespace(
         time=loop.time,
         monotonic=loop.time,
--- a/features/store.feature
+++ b/features/store.feature
@@ -1,5 +1,6 @@
 Feature: Client of the store
-  Calls on the platform's store are bounded and tell what is known.
+  Calls to the platform's store have a time-out, and a failed call reports
+  whether it may have been applied.
 
   Background:
     Given a store and a client with short timeouts
--- a/features/storeeras.feature
+++ b/features/storeeras.feature
@@ -1,6 +1,6 @@
 Feature: A store that returns from a copy
-  The store may come back with a copy that is some seconds old, and gives
-  revisions and leases out again. Entries notice by its era.
+  A store restored from a backup is some seconds behind and issues revisions
+  and lease ids a second time. Entries detect this by its changed era.
 
   Background:
     Given a platform with engines and services in failure domains "a" and "b"
--- a/features/storemodel.feature
+++ b/features/storemodel.feature
@@ -1,7 +1,7 @@
 Feature: Entries in step with a store that loses time
-  Follower, registrar and leadership of three entries run in virtual time,
-  while versions, runners, drills, cuts, late writes and restarts come in any
-  order.
+  The follower, registrar and leadership of three entries run in virtual
+  time. New versions, runner changes, restores from a backup, network cuts,
+  late writes and restarts happen in any order.
 
   Scenario: Entries are in step again whatever the store went through
     When troubles of the store come in 150 orders
--- a/features/subset.feature
+++ b/features/subset.feature
@@ -1,6 +1,6 @@
 Feature: An entry connects to its subset of the agents
-  Beyond a size no entry keeps links to all agents; an agent outside the
-  subset is dialled when a request is bound to it.
+  In a large fleet no entry keeps links to all agents. It dials an agent
+  outside its subset when a request is bound to it.
 
   Scenario: Links to the subset, and to another agent while it is needed
     Given 12 agents of two layer ranges and 6 entries in three failure domains
--- a/features/tls.feature
+++ b/features/tls.feature
@@ -1,6 +1,6 @@
 Feature: TLS between processes
-  Each side shows a certificate of the fleet's authority, and what it says
-  of itself must agree with it.
+  Each side presents a certificate of the fleet's authority, and the name
+  and role in its messages must match that certificate.
 
   Scenario: Two processes with certificates are linked
     Given a process "agent-1" that serves as agent
