--- a/features/steps/ratelimits.py
+++ b/features/steps/ratelimits.py
@@ -28,7 +28,7 @@
         runner.faults.rate_limit = limit
 
 
-def _ask_on(entry, prefix, path, end, answers):
+def _call_until(entry, prefix, path, end, answers):
     number = 0
     while time.monotonic() < end:
         number += 1
@@ -45,13 +45,13 @@
 
 
 @behave.when('callers ask all entries for {kind} work for {seconds:d} seconds')
-def ask_all(context, kind, seconds):
+def call_entries(context, kind, seconds):
     context.answers = []
     end = time.monotonic() + seconds
     entries = context.scene.entries
     threads = [
         threading.Thread(
-            target=_ask_on,
+            target=_call_until,
             args=(
                 entries[index % len(entries)],
                 f'c{index}',
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -39,7 +39,7 @@
     def __init__(self, context):
         self.context = context
         self.streams = {}
-        self.avoid = set()
+        self.failed_agents = set()
         self.links = {}
         self.events = []
 
@@ -60,15 +60,15 @@
             self.links[name] = up
         return self.links[name][-1]
 
-    def _choose(self):
+    def _choose_chain(self):
         pairs = zip(self.context.agents, self.context.spares)
         return [
-            spare if main.settings.name in self.avoid else main
+            spare if main.settings.name in self.failed_agents else main
             for main, spare in pairs
         ]
 
     def open(self, stream):
-        chain = self._choose()
+        chain = self._choose_chain()
         del stream.message.chain[:]
         for agent, span in zip(chain, self.context.ranges):
             stream.message.chain.add(
@@ -86,9 +86,9 @@
         frame = link_pb2.Frame(open=stream.message)
         self._link(chain[0]).send(frame)
 
-    def _take(self, event):
+    def _handle_event(self, event):
         if isinstance(event, str):
-            self.avoid.add(event)
+            self.failed_agents.add(event)
             for stream in self.streams.values():
                 if stream.head == event and not stream.finished:
                     self.open(stream)
@@ -107,12 +107,12 @@
             stream.finished = True
         elif body == 'fail':
             assert part.code in ('link-lost', 'endpoint-failed'), part
-            self.avoid.add(part.agent)
+            self.failed_agents.add(part.agent)
             self.open(stream)
 
     def pump(self):
         while self.events:
-            self._take(self.events.pop(0))
+            self._handle_event(self.events.pop(0))
 
     def wait(self, condition, what):
         def check():
@@ -239,7 +239,7 @@
 def end_outer(context, count):
     end_agent(context, 1)
     end_agent(context, 3)
-    context.entry.avoid.add(context.agents[2].settings.name)
+    context.entry.failed_agents.add(context.agents[2].settings.name)
     lose_tokens(context, count)
 
 
@@ -268,7 +268,7 @@
 
 
 @behave.when('nothing is waited for')
-def go_on(context):
+def continue_at_once(context):
     pass
 
 
@@ -303,9 +303,9 @@
 
 @behave.then('the engines of the other stages ran each position once')
 def check_survivors(context):
-    avoid = context.entry.avoid
+    failed_agents = context.entry.failed_agents
     for agent, engine in zip(context.agents, context.engines):
-        if agent.settings.name not in avoid:
+        if agent.settings.name not in failed_agents:
             found = count_positions(engine)
             assert found == expect_positions(context), found
 
--- a/features/steps/relay.py
+++ b/features/steps/relay.py
@@ -57,7 +57,7 @@
 
 
 @behave.when('the relay lets held connections go on')
-def let_go(context):
+def resume_held(context):
     context.relay.resume()
 
 
--- a/features/steps/replanning.py
+++ b/features/steps/replanning.py
@@ -45,7 +45,7 @@
     return plans[0] if plans else {}
 
 
-def _read_part(context):
+def _read_first_share(context):
     """Return the fraction of the plan that goes to the first agent."""
     shares = _read_plan(context)['shares']
     name = context.entry.engines[0].name
@@ -88,13 +88,15 @@
 @behave.then("the entry's plan gives the first agent under a quarter")
 def check_small(context):
     _wait_until(
-        lambda: _read_part(context) < 0.25, context.entry.role.describe
+        lambda: _read_first_share(context) < 0.25, context.entry.role.describe
     )
 
 
 @behave.then("the entry's plan gives the first agent over two fifths")
 def check_large(context):
-    _wait_until(lambda: _read_part(context) > 0.4, context.entry.role.describe)
+    _wait_until(
+        lambda: _read_first_share(context) > 0.4, context.entry.role.describe
+    )
 
 
 @behave.then(
--- a/features/steps/scarceengine.py
+++ b/features/steps/scarceengine.py
@@ -8,7 +8,7 @@
 
 # How long a stream holds its slot and a message travels, in seconds.
 STREAM_SECONDS = 1.5
-NEWS_SECONDS = 0.03
+NOTICE_SECONDS = 0.03
 TICK = 0.005
 
 
@@ -16,41 +16,41 @@
     '{count:d} entries that all need one engine with room for {room:d} streams'
 )
 def make_entries(context, count, room):
-    context.beliefs = [endpointhealth.EndpointHealth() for _ in range(count)]
+    context.healths = [endpointhealth.EndpointHealth() for _ in range(count)]
     context.room = room
 
 
 @behave.when('{rate:d} streams a second come for it over {seconds:d} s')
-def play_both(context, rate, seconds):
-    context.could = context.room * seconds / STREAM_SECONDS
-    play(context, rate, seconds, tells=False)
-    context.untold = context.refused
-    context.beliefs = [
-        endpointhealth.EndpointHealth() for _ in context.beliefs
+def simulate_both(context, rate, seconds):
+    context.capacity = context.room * seconds / STREAM_SECONDS
+    simulate(context, rate, seconds, shares_refusals=False)
+    context.refused_unshared = context.refused
+    context.healths = [
+        endpointhealth.EndpointHealth() for _ in context.healths
     ]
-    play(context, rate, seconds, tells=True)
+    simulate(context, rate, seconds, shares_refusals=True)
 
 
-def play(context, rate, seconds, tells):
+def simulate(context, rate, seconds, shares_refusals):
     draw = random.Random(3)
-    ends, news = [], []
+    ends, notices = [], []
     context.sends = context.refused = context.served = 0
     now = 0.0
     while now < seconds:
         ends = [end for end in ends if end > now]
-        due = [told for told in news if told <= now]
-        news = [told for told in news if told > now]
-        for belief in context.beliefs if due and tells else ():
-            part = draw.uniform(*gossip.FULL_PAUSE_JITTER)
-            belief.receive_full('x', now, part)
+        due = [notice for notice in notices if notice <= now]
+        notices = [notice for notice in notices if notice > now]
+        for health in context.healths if due and shares_refusals else ():
+            jitter = draw.uniform(*gossip.FULL_PAUSE_JITTER)
+            health.receive_full('x', now, jitter)
         if draw.random() < rate * TICK:
-            send(context, draw.choice(context.beliefs), ends, news, now)
+            send(context, draw.choice(context.healths), ends, notices, now)
         now += TICK
 
 
-def send(context, belief, ends, news, now):
+def send(context, health, ends, notices, now):
     """Send a stream unless the entry counts the engine as full."""
-    if 'x' in belief.list_unusable(now):
+    if 'x' in health.list_unusable(now):
         return
     context.sends += 1
     if len(ends) < context.room:
@@ -58,23 +58,23 @@
         ends.append(now + STREAM_SECONDS)
         return
     context.refused += 1
-    belief.record_refusal('x', now)
-    news.append(now + NEWS_SECONDS)
+    health.record_refusal('x', now)
+    notices.append(now + NOTICE_SECONDS)
 
 
 @behave.then(
     'it refuses a third at most of what it does if entries tell nothing'
 )
 def check_refused(context):
-    assert context.refused * 3 <= context.untold, (
+    assert context.refused * 3 <= context.refused_unshared, (
         context.refused,
-        context.untold,
+        context.refused_unshared,
     )
 
 
 @behave.then('it serves at least {part:f} of what it could')
 def check_served(context, part):
-    assert context.served >= part * context.could, (
+    assert context.served >= part * context.capacity, (
         context.served,
-        context.could,
+        context.capacity,
     )
--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -42,21 +42,21 @@
 
     def tick(self):
         self.slots.tick(self.now)
-        self.pump()
+        self.start_queued()
         self.at(self.now + TICK_SECONDS, self.tick)
 
-    def ask(self, team, weight, again):
-        ticket = queueing.Ticket(team, weight, 1, COST, self.now, again)
+    def send_request(self, team, weight, repeats):
+        ticket = queueing.Ticket(team, weight, 1, COST, self.now, repeats)
         assert self.queue.push(ticket, 1e9, 0.0) is None
         self.slots.add_request(team, weight)
-        self.pump()
+        self.start_queued()
 
-    def ask_steadily(self, team, weight, rate):
-        self.ask(team, weight, False)
+    def send_steadily(self, team, weight, rate):
+        self.send_request(team, weight, False)
         pause = self.rng.uniform(0.8, 1.2) / rate
-        self.at(self.now + pause, self.ask_steadily, team, weight, rate)
+        self.at(self.now + pause, self.send_steadily, team, weight, rate)
 
-    def pump(self):
+    def start_queued(self):
         while ticket := self.queue.pick(
             self.now, lambda ticket: self.running < LIMIT, self.may_start
         ):
@@ -74,30 +74,30 @@
         self.running -= 1
         self.slots.end(ticket.team, True)
         if ticket.item:
-            self.ask(ticket.team, ticket.weight, True)
-        self.pump()
+            self.send_request(ticket.team, ticket.weight, True)
+        self.start_queued()
 
 
 @behave.given('an endpoint whose queue team "{team}" fills')
 def fill(context, team):
     context.endpoint = Endpoint()
     for _ in range(BACKLOG):
-        context.endpoint.ask(team, 1.0, True)
+        context.endpoint.send_request(team, 1.0, True)
 
 
 @behave.given(
     'team "{team}" of {weight:g} times its weight asks for {part:g} of '
     'its share'
 )
-def ask_share(context, team, weight, part):
+def send_share(context, team, weight, part):
     rate = part * LIMIT / SERVICE_SECONDS * weight / (1.0 + weight)
-    context.endpoint.ask_steadily(team, weight, rate)
+    context.endpoint.send_steadily(team, weight, rate)
 
 
 @behave.given('team "{team}" always wants {count:d} slots')
 def want_always(context, team, count):
     for _ in range(count):
-        context.endpoint.ask(team, 1.0, True)
+        context.endpoint.send_request(team, 1.0, True)
 
 
 @behave.when('{seconds:d} s have passed')
--- a/features/steps/standin_engine.py
+++ b/features/steps/standin_engine.py
@@ -85,7 +85,7 @@
     )
 
 
-def finish(context, name, step):
+def generate_remaining(context, name, step):
     """Generate the remaining tokens of a session."""
     left = context.max_tokens - len(context.tokens)
     tokens, _ = generate(
@@ -95,9 +95,9 @@
 
 
 @behave.when('stand-in session "{name}" goes on there to its end')
-def go_on(context, name):
+def finish_moved(context, name):
     keys = ('prompt_tokens', 'position', 'tokens')
-    finish(context, name, {key: context.step[key] for key in keys})
+    generate_remaining(context, name, {key: context.step[key] for key in keys})
 
 
 @behave.when(
@@ -107,7 +107,7 @@
 def resume_kept(context, name):
     keys = ('prompt_tokens', 'position', 'tokens')
     step = {key: context.step[key] for key in keys}
-    finish(context, name, dict(step, epoch=2))
+    generate_remaining(context, name, dict(step, epoch=2))
 
 
 @behave.when(
@@ -123,7 +123,7 @@
         assert result['count'] == 1, result
         wrong.pop('tokens', None)
         wrong['activations'] = result.get('activations')
-    finish(context, name, dict(step, epoch=2, truncate=True))
+    generate_remaining(context, name, dict(step, epoch=2, truncate=True))
 
 
 @behave.when(
@@ -138,7 +138,7 @@
         'tokens': [token['id'] for token in context.tokens],
         'prompt_tokens': context.step['prompt_tokens'],
     }
-    finish(context, name, step)
+    generate_remaining(context, name, step)
 
 
 @behave.then('stand-in session "{name}" has the tokens of the reference')
--- a/features/steps/starting.py
+++ b/features/steps/starting.py
@@ -42,7 +42,7 @@
 
 
 @behave.given('an entry "{name}" in "{domain}" before any engine')
-def make_lone_entry(context, name, domain):
+def make_single_entry(context, name, domain):
     scene = edge_scene.Scene(context.pick_ports, context.make_folder())
     context.scene = scene
     context.stack.callback(scene.close)
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -71,7 +71,7 @@
 
 
 @behave.then('the write fails and may have been applied')
-def check_doubt(context):
+def check_may_be_applied(context):
     failure = context.written.unwrap_err()
     assert isinstance(failure, storefailures.StoreFailure), failure
     assert failure.maybe_applied, failure
@@ -167,7 +167,7 @@
 
 
 @behave.then('the watch tells of "{text}" or of a new connection after it')
-def check_told(context, text):
+def check_watch_event(context, text):
     revision = context.written.unwrap()
     wait_until(lambda: context.events[-1].revision >= revision)
 
--- a/features/steps/storemodel.py
+++ b/features/steps/storemodel.py
@@ -135,7 +135,7 @@
         self.registrar = registrar.Registrar(self.state, self.client, entry)
         self.leadership = leadership.Leadership(self.state, self.client)
         self.follower = follower.Follower(
-            self.state, self.client, self._take_own
+            self.state, self.client, self._handle_item
         )
         self.client.era_listeners += (
             self.registrar.begin_era,
@@ -147,7 +147,7 @@
             for part in (self.follower, self.registrar, self.leadership)
         ]
 
-    def _take_own(self, item):
+    def _handle_item(self, item):
         name = item.key.removeprefix(keys.ENTRY_PREFIX)
         if item.key == keys.LEADER_KEY:
             self.leadership.handle_item(item)
--- a/features/steps/tls.py
+++ b/features/steps/tls.py
@@ -39,7 +39,7 @@
 _NOT_CERTIFIED = ', without TLS'
 
 
-class Lines(logging.Handler):
+class LogCollector(logging.Handler):
     """Collect formatted log lines."""
 
     def __init__(self):
@@ -105,13 +105,13 @@
     return records.Record(peer, 1)
 
 
-def find_fleet(context):
+def get_authority(context):
     """Return the scenario's authority and folder; collect its log."""
     if not hasattr(context, 'authority'):
         context.authority = authority.Authority()
         context.other_authority = authority.Authority('another authority')
         context.folder = context.make_folder()
-        context.lines = Lines()
+        context.lines = LogCollector()
         logger = absl_logging.get_absl_logger()
         level = absl_logging.get_verbosity()
         absl_logging.set_verbosity(absl_logging.INFO)
@@ -121,9 +121,9 @@
     return context.authority
 
 
-def certify(context, role, name, fault=''):
+def open_transport(context, role, name, fault=''):
     """Write certificate files and open a transport that uses them."""
-    issuer = find_fleet(context)
+    issuer = get_authority(context)
     if fault == _NOT_CERTIFIED:
         return transports.PLAIN
     if fault == ', certified by another authority':
@@ -184,22 +184,24 @@
 
 @behave.given('a process "{name}" that serves as {role:w}')
 def serve_certified(context, name, role):
-    serve(context, role, name, certify(context, role, name))
+    serve(context, role, name, open_transport(context, role, name))
 
 
 @behave.given('a process "{name}" that serves as {role:w}, {fault}')
 def serve_faulty(context, name, role, fault):
     if fault.startswith('certified as '):
         shown = fault.removeprefix('certified as ').split()
-        serve(context, role, name, certify(context, *shown))
+        serve(context, role, name, open_transport(context, *shown))
         return
-    serve(context, role, name, certify(context, role, name, f', {fault}'))
+    serve(
+        context, role, name, open_transport(context, role, name, f', {fault}')
+    )
 
 
 @behave.given('"{name}" dials it as {role:w}')
 @behave.when('"{name}" dials it as {role:w}')
 def dial_certified(context, name, role):
-    dial(context, role, name, certify(context, role, name))
+    dial(context, role, name, open_transport(context, role, name))
     context.first = getattr(context, 'first', context.dialer)
 
 
@@ -209,9 +211,11 @@
         fault = 'certified by another authority'
     if fault.startswith('certified as '):
         shown = fault.removeprefix('certified as ').split()
-        dial(context, role, name, certify(context, *shown))
+        dial(context, role, name, open_transport(context, *shown))
         return
-    dial(context, role, name, certify(context, role, name, f', {fault}'))
+    dial(
+        context, role, name, open_transport(context, role, name, f', {fault}')
+    )
 
 
 @behave.then('the link is up on both sides')
@@ -291,7 +295,7 @@
 
 @behave.when('"{name}" sends an open frame over a stream without a hello')
 def send_unannounced(context, name):
-    transport = certify(context, 'entry', name)
+    transport = open_transport(context, 'entry', name)
     channel = context.stack.enter_context(transport.dial(context.address, ()))
     envelope = link_pb2.Envelope(frames=[link_pb2.Frame(open={})])
     stub = link_pb2_grpc.LinkStub(channel)
@@ -316,7 +320,7 @@
     '"{name}" calls for anti-entropy as agent "{own}" and as "{other}"'
 )
 def exchange(context, name, own, other):
-    client = peers.Client(WAIT_SECONDS, certify(context, 'agent', name))
+    client = peers.Client(WAIT_SECONDS, open_transport(context, 'agent', name))
     context.stack.callback(client.close)
     context.replies = [
         client.exchange(
@@ -346,7 +350,7 @@
 def ask_claims(context, entry, agent):
     context.outcomes = []
     for role, name in (('entry', entry), ('agent', agent)):
-        transport = certify(context, role, name)
+        transport = open_transport(context, role, name)
         channel = transport.dial(context.address, ())
         context.stack.enter_context(channel)
         request = link_pb2.BindRequest(
@@ -438,7 +442,7 @@
 
 
 @behave.when('its {field:w} file becomes {content}')
-def spoil(context, field, content):
+def replace_file(context, field, content):
     path = context.folder / f'{context.server.name}.{field}.pem'
     context.key = path.with_name(f'{context.server.name}.key.pem').read_text()
     data = make_content(context, field, content)
@@ -469,7 +473,7 @@
 
 @behave.given('the files and settings of agent "{name}" with TLS')
 def write_settings(context, name):
-    issuer = find_fleet(context)
+    issuer = get_authority(context)
     context.server = Process(context, 'agent', name, None)
     context.settings = {
         'role': 'agent',
--- a/features/steps/waiting.py
+++ b/features/steps/waiting.py
@@ -3,16 +3,16 @@
 from dunlintide_trials import processes
 
 
-def make_wait(patience):
+def make_wait(default_seconds):
     """Build the wait function of a steps module.
 
-    :param patience: default seconds after which a wait fails
+    :param default_seconds: default seconds after which a wait fails
     """
 
-    def wait_until(condition, what='a condition', seconds=patience):
+    def wait_until(condition, what='a condition', seconds=default_seconds):
         # A callable builds the failure message once the wait has failed.
         if not processes.wait_for(condition, seconds):
-            said = what() if callable(what) else what
-            raise AssertionError(f'not within {seconds} s: {said}')
+            message = what() if callable(what) else what
+            raise AssertionError(f'not within {seconds} s: {message}')
 
     return wait_until
