--- a/features/steps/subset.py
+++ b/features/steps/subset.py
@@ -46,10 +46,10 @@
 
 
 def _start_agent(context, number):
-    cell = []
+    peers = []
 
     def say_hello():
-        peer = cell[0]
+        peer = peers[0]
         return link_pb2.Hello(
             name=peer.name,
             role=peer.role,
@@ -64,17 +64,17 @@
 
     def take(link, frames):
         orders = [f.order for f in frames if f.WhichOneof('body') == 'order']
-        context.orders += [(cell[0].name, order) for order in orders]
+        context.orders += [(peers[0].name, order) for order in orders]
 
     handlers = links.Handlers(ignore, take, ignore)
     server = linkserver.LinkServer('127.0.0.1:0', say_hello, handlers)
     start = number // 3 % 2 * _LAYERS
     address = f'127.0.0.1:{server.port}'
-    cell.append(_make_peer(fleet.Role.AGENT, number, address, start))
+    peers.append(_make_peer(fleet.Role.AGENT, number, address, start))
     server.start()
     context.stack.callback(server.stop)
-    context.servers[cell[0].name] = server
-    return cell[0]
+    context.servers[peers[0].name] = server
+    return peers[0]
 
 
 @behave.given(
@@ -129,10 +129,10 @@
         lambda: context.now,
     )
     context.roster = roster.Roster('entry-0', source, 4, 4)
-    _take(context)
+    _refresh_subset(context)
 
 
-def _take(context):
+def _refresh_subset(context):
     # A time far ahead, so that no subset computation is deferred.
     context.now = getattr(context, 'now', 0.0) + 1000.0
     assert context.roster.refresh(context.now)
@@ -163,15 +163,15 @@
     assert [len(each) for each in domains.values()] == [2, 2], domains
 
 
-@behave.when('an agent outside the subset is asked for by its life')
-def reach(context):
+@behave.when('an agent outside the subset is requested by its incarnation')
+def connect_outside(context):
     outside = context.agents.keys() - context.roster.wanted
     context.outside = min(outside)
     assert context.fleet.find(context.outside, 2) is None
     context.reached = context.fleet.connect(context.outside, 2)
 
 
-@behave.then('it is linked, and also under work for long after')
+@behave.then('it is linked, and stays so for as long as it has work')
 def check_reached(context):
     assert context.reached.peer.name == context.outside
     context.fleet.add_work([context.outside], 1)
@@ -181,7 +181,7 @@
     assert context.fleet.find(context.outside, 2) is not None
 
 
-@behave.when('that work has ended for long')
+@behave.when('that work ended long ago')
 def end_work(context):
     context.fleet.add_work([context.outside], -1)
     context.fleet.drop_idle(context.later + entry_fleet.IDLE_SECONDS / 2)
@@ -197,7 +197,7 @@
         record = context.view.get(name)
         doubted = attrs.evolve(record, witnesses=('entry-1',))
         context.view.merge(1.0, doubted)
-    _take(context)
+    _refresh_subset(context)
 
 
 @behave.then('other agents are linked besides, and the old ones are usable')
@@ -207,8 +207,8 @@
     _wait_for(lambda: _list_linked(context) == wanted | context.before)
 
 
-@behave.then('asking for an older life of an agent outside finds nobody')
-def reach_older(context):
+@behave.then('requesting an older incarnation of an agent outside gives none')
+def connect_older(context):
     outside = min(context.agents.keys() - context.roster.wanted)
     assert context.fleet.connect(outside, 1) is None
 
@@ -248,7 +248,7 @@
     context.before = set(context.roster.wanted)
     _wait_for(lambda: _list_linked(context) == context.before)
     context.leaving = context.before
-    _take(context)
+    _refresh_subset(context)
 
 
 @behave.then(
@@ -263,12 +263,12 @@
 @behave.when("the platform's list says that they stay")
 def list_staying(context):
     context.leaving = set()
-    _take(context)
+    _refresh_subset(context)
     context.fleet.drop_idle(time.monotonic() + 10 * entry_fleet.IDLE_SECONDS)
     context.fleet.drop_idle(time.monotonic() + 20 * entry_fleet.IDLE_SECONDS)
 
 
-def _look(context):
+def _take_snapshot(context):
     if 'engine_view' not in context:
         context.engine_view = engineview.EngineView(
             'entry-0', 'domain-0', context.fleet
@@ -277,16 +277,16 @@
     return context.engine_view.take_snapshot()
 
 
-def _count_doubted(context):
-    engines = _look(context).engines
+def _count_suspected(context):
+    engines = _take_snapshot(context).engines
     return len(engines), sum(one.suspected for one in engines)
 
 
-@behave.then('it sees 12 engines for placement, none in doubt, over 4 links')
+@behave.then('it sees 12 engines for placement, none suspected, over 4 links')
 def check_seen(context):
     _wait_for(lambda: _list_linked(context) == context.roster.wanted)
-    assert _count_doubted(context) == (12, 0)
-    assert _look(context).has_sufficient_view
+    assert _count_suspected(context) == (12, 0)
+    assert _take_snapshot(context).has_sufficient_view
     assert len(context.fleet.describe()['dialled']) == 4
 
 
@@ -336,14 +336,14 @@
 
 
 @behave.then(
-    'it sees {count:d} engines for placement, {doubted:d} of them in doubt'
+    'it sees {count:d} engines for placement, {suspected:d} of them suspected'
 )
-def check_doubted(context, count, doubted):
-    assert _count_doubted(context) == (count, doubted)
+def check_suspected(context, count, suspected):
+    assert _count_suspected(context) == (count, suspected)
 
 
-@behave.when('a process of {whose} failure domain misses the same agents')
-def miss(context, whose):
+@behave.when('a process of {whose} failure domain suspects the same agents')
+def add_suspicion(context, whose):
     witness = 'entry-3' if whose == 'its' else 'entry-1'
     assert context.view.get(witness).peer.failure_domain == (
         'domain-0' if whose == 'its' else 'domain-1'
@@ -357,8 +357,8 @@
     context.engine_view.update_hosts(context.roster.hosts)
 
 
-@behave.when('an agent outside its subset tells that its engine is away')
-def tell_away(context):
+@behave.when('an agent outside its subset reports that its engine is away')
+def report_away(context):
     _wait_for(lambda: _list_linked(context) == context.roster.wanted)
     name = min(context.agents.keys() - context.roster.wanted)
     agent = membership.View(context.agents[name])
@@ -367,7 +367,7 @@
     message = peercodec.encode_peer(agent.own_record.peer)
     told = attrs.evolve(agent.own_record, peer=peercodec.decode_peer(message))
     assert context.view.merge(2.0, told)
-    _take(context)
+    _refresh_subset(context)
 
 
 @behave.then(
--- a/features/subset.feature
+++ b/features/subset.feature
@@ -6,9 +6,9 @@
     Given 12 agents of two layer ranges and 6 entries in three failure domains
     When an entry that may have 4 agents follows the membership
     Then it has links to 2 agents of each layer range in 2 failure domains
-    When an agent outside the subset is asked for by its life
-    Then it is linked, and also under work for long after
-    When that work has ended for long
+    When an agent outside the subset is requested by its incarnation
+    Then it is linked, and stays so for as long as it has work
+    When that work ended long ago
     Then it has links to 2 agents of each layer range in 2 failure domains
 
   Scenario: Suspected agents give their place to others
@@ -28,7 +28,7 @@
   Scenario: A life that is gone is not reached
     Given 12 agents of two layer ranges and 6 entries in three failure domains
     When an entry that may have 4 agents follows the membership
-    Then asking for an older life of an agent outside finds nobody
+    Then requesting an older incarnation of an agent outside gives none
 
   Scenario: What an engine holds follows it through the fleet
     Given a process that knows an engine by its first record
@@ -38,7 +38,7 @@
   Scenario: Whoever leads a model sees all engines over its subset's links
     Given 12 agents of two layer ranges and 6 entries in three failure domains
     When an entry that may have 4 agents follows the membership
-    Then it sees 12 engines for placement, none in doubt, over 4 links
+    Then it sees 12 engines for placement, none suspected, over 4 links
     When the only spare engine is outside its subset and gets an order
     Then the order comes there, over a link that is closed once it is done
 
@@ -46,17 +46,17 @@
     Given 12 agents of two layer ranges and 6 entries in three failure domains
     When an entry that may have 4 agents follows the membership
     And each of its links breaks and cannot be made again
-    Then it sees 12 engines for placement, 4 of them in doubt
-    When a process of its failure domain misses the same agents
-    Then it sees 12 engines for placement, 4 of them in doubt
-    When a process of another failure domain misses the same agents
-    Then it sees 8 engines for placement, 0 of them in doubt
+    Then it sees 12 engines for placement, 4 of them suspected
+    When a process of its failure domain suspects the same agents
+    Then it sees 12 engines for placement, 4 of them suspected
+    When a process of another failure domain suspects the same agents
+    Then it sees 8 engines for placement, 0 of them suspected
 
   Scenario: An engine that is away counts as lost without a link to it
     Given 12 agents of two layer ranges and 6 entries in three failure domains
     When an entry that may have 4 agents follows the membership
-    And an agent outside its subset tells that its engine is away
-    Then it sees 11 engines for placement, 0 of them in doubt
+    And an agent outside its subset reports that its engine is away
+    Then it sees 11 engines for placement, 0 of them suspected
 
   Scenario: Links outside the subset are few, and the oldest gives way
     Given 12 agents of two layer ranges and 6 entries in three failure domains
