--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -1,4 +1,4 @@
-"""Steps for the recovery of streams, with an entry that names chains."""
+"""Steps for the recovery of streams, with an entry that picks chains."""
 
 from concurrent import futures
 from unittest import mock
@@ -25,7 +25,7 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """One request of the recovering entry."""
+    """One request of the entry that recovers streams."""
 
     message: link_pb2.Open
     tokens: list = attrs.field(factory=list)
@@ -34,12 +34,12 @@
 
 
 class Entry:
-    """Opens streams and replaces the agents that fail them."""
+    """Open streams and replace agents that fail."""
 
     def __init__(self, context):
         self.context = context
         self.streams = {}
-        self.avoid = set()
+        self.failed_agents = set()
         self.links = {}
         self.events = []
 
@@ -60,15 +60,15 @@
             self.links[name] = up
         return self.links[name][-1]
 
-    def _choose(self):
+    def _choose_chain(self):
         pairs = zip(self.context.agents, self.context.spares)
         return [
-            spare if main.settings.name in self.avoid else main
+            spare if main.settings.name in self.failed_agents else main
             for main, spare in pairs
         ]
 
     def open(self, stream):
-        chain = self._choose()
+        chain = self._choose_chain()
         del stream.message.chain[:]
         for agent, span in zip(chain, self.context.ranges):
             stream.message.chain.add(
@@ -86,9 +86,9 @@
         frame = link_pb2.Frame(open=stream.message)
         self._link(chain[0]).send(frame)
 
-    def _take(self, event):
+    def _handle_event(self, event):
         if isinstance(event, str):
-            self.avoid.add(event)
+            self.failed_agents.add(event)
             for stream in self.streams.values():
                 if stream.head == event and not stream.finished:
                     self.open(stream)
@@ -107,12 +107,12 @@
             stream.finished = True
         elif body == 'fail':
             assert part.code in ('link-lost', 'endpoint-failed'), part
-            self.avoid.add(part.agent)
+            self.failed_agents.add(part.agent)
             self.open(stream)
 
     def pump(self):
         while self.events:
-            self._take(self.events.pop(0))
+            self._handle_event(self.events.pop(0))
 
     def wait(self, condition, what):
         def check():
@@ -206,7 +206,7 @@
     name = f'agent-{stage - 1}'
     agent = context.agents[stage - 1]
     assert agent.settings.name == name
-    # Its links go first, so it says nothing more.
+    # Closing its links first keeps it from sending anything more.
     agent._peers.close()
     agent._server.stop()
     agent.__exit__(None, None, None)
@@ -219,7 +219,7 @@
 
 
 def lose_tokens(context, count):
-    """Take away what was on its way from a head that died."""
+    """Discard tokens that a dead first stage had not yet delivered."""
     entry = context.entry
     wait_until(lambda: 'agent-0' in entry.events, 'the loss of the head')
     del entry.events[: entry.events.index('agent-0')]
@@ -239,7 +239,7 @@
 def end_outer(context, count):
     end_agent(context, 1)
     end_agent(context, 3)
-    context.entry.avoid.add(context.agents[2].settings.name)
+    context.entry.failed_agents.add(context.agents[2].settings.name)
     lose_tokens(context, count)
 
 
@@ -268,7 +268,7 @@
 
 
 @behave.when('nothing is waited for')
-def go_on(context):
+def continue_at_once(context):
     pass
 
 
@@ -303,9 +303,9 @@
 
 @behave.then('the engines of the other stages ran each position once')
 def check_survivors(context):
-    avoid = context.entry.avoid
+    failed_agents = context.entry.failed_agents
     for agent, engine in zip(context.agents, context.engines):
-        if agent.settings.name not in avoid:
+        if agent.settings.name not in failed_agents:
             found = count_positions(engine)
             assert found == expect_positions(context), found
 
@@ -400,7 +400,7 @@
 
 
 def find_middle(context):
-    """Return a middle agent whose engine is in the midst of a stream."""
+    """Return a middle agent whose engine is running a stream."""
     for agent in context.running.plan.agents:
         if agent.endpoint.settings.get('layer_start'):
             name = agent.endpoint.standin.name
@@ -443,7 +443,7 @@
 
 
 def read_last_runs(context):
-    """Return what the other engines ran for each stream."""
+    """Return the last runs of the other engines for each stream."""
     name = context.paused.endpoint.standin.name
     return [
         run
--- a/features/steps/replanning.py
+++ b/features/steps/replanning.py
@@ -1,4 +1,4 @@
-"""Steps of replanning.feature; the entry is that of entry.feature."""
+"""Steps of replanning.feature; the entry comes from entry.feature."""
 
 import json
 import threading
@@ -14,7 +14,7 @@
 
 
 class _Reports:
-    """Load reports of fake agents, until the scenario ends."""
+    """Send load reports of fake agents until the scenario ends."""
 
     def __init__(self, agents):
         self.step_seconds = {agent.name: 0.01 for agent in agents}
@@ -45,8 +45,8 @@
     return plans[0] if plans else {}
 
 
-def _read_part(context):
-    """Part of the plan that the first agent has."""
+def _read_first_share(context):
+    """Return the fraction of the plan that goes to the first agent."""
     shares = _read_plan(context)['shares']
     name = context.entry.engines[0].name
     return shares[name] / sum(shares.values())
@@ -68,7 +68,7 @@
     context.stack.callback(context.reports.stop)
     for agent, milliseconds in zip(engines, (first, second)):
         context.reports.step_seconds[agent.name] = milliseconds / 1000
-    # The usual duration must be known before it can change.
+    # A slowdown shows only against a known usual duration.
     _wait_until(
         lambda: _read_plan(context).get('observations', 0) >= 10,
         context.entry.role.describe,
@@ -88,13 +88,15 @@
 @behave.then("the entry's plan gives the first agent under a quarter")
 def check_small(context):
     _wait_until(
-        lambda: _read_part(context) < 0.25, context.entry.role.describe
+        lambda: _read_first_share(context) < 0.25, context.entry.role.describe
     )
 
 
 @behave.then("the entry's plan gives the first agent over two fifths")
 def check_large(context):
-    _wait_until(lambda: _read_part(context) > 0.4, context.entry.role.describe)
+    _wait_until(
+        lambda: _read_first_share(context) > 0.4, context.entry.role.describe
+    )
 
 
 @behave.then(
--- a/features/steps/starting.py
+++ b/features/steps/starting.py
@@ -1,4 +1,4 @@
-"""Steps about how an entry and a platform start."""
+"""Steps for the start and stop of entries and of a platform."""
 
 import signal
 import time
@@ -42,7 +42,7 @@
 
 
 @behave.given('an entry "{name}" in "{domain}" before any engine')
-def make_lone_entry(context, name, domain):
+def make_single_entry(context, name, domain):
     scene = edge_scene.Scene(context.pick_ports, context.make_folder())
     context.scene = scene
     context.stack.callback(scene.close)
@@ -114,6 +114,8 @@
 
 @behave.then('the store does not list the entry')
 def check_unlisted(context):
-    assert context.entry.process.poll() is None, 'it has ended'
+    assert (
+        context.entry.process.poll() is None
+    ), 'the entry process has already exited'
     keys = context.scene.store.list_keys('dunlintide/entries/')
     assert not [key for key in keys if key.endswith('/one')], keys
