--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -153,7 +153,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop after the running commit; queued claims end as unbound."""
+        """Stop after the running commit; queued claims are not committed."""
         with self._ready:
             self._stopped = True
             self._ready.notify_all()
@@ -183,7 +183,8 @@
         """Queue a claim without waiting for it.
 
         :param wanted: the claim
-        :param timeout: seconds after which the claim is dropped
+        :param timeout: seconds after which it is no longer tried; it may
+            still have been committed
         """
         pending = Pending(wanted, time.monotonic() + timeout)
         self.put(pending)
--- a/packages/adapters/src/dunlintide_adapters/endpointhttp.py
+++ b/packages/adapters/src/dunlintide_adapters/endpointhttp.py
@@ -294,7 +294,7 @@
             self._waiter.set_result(None)
 
     def abandon(self) -> None:
-        """Fail the call in progress, whose answer is known to be lost."""
+        """Fail the call in progress; no answer to it will come."""
         if not self._complete and self._failure is None:
             self._failure = FailureKind.ABANDONED
         self._wake()
--- a/packages/adapters/src/dunlintide_adapters/links.py
+++ b/packages/adapters/src/dunlintide_adapters/links.py
@@ -202,8 +202,8 @@
             except _Refused as refused:
                 return f'refused: {refused}'
             except Exception:
-                # An error in one frame must not end the link, which also
-                # carries the frames of other requests.
+                # An error in a handler must not end the link, which also
+                # carries other requests; the rest of this batch is lost.
                 logging.exception('failed to handle a batch of frames')
         return 'closed by the peer'
 
--- a/packages/core/src/dunlintide_core/peerselection.py
+++ b/packages/core/src/dunlintide_core/peerselection.py
@@ -132,7 +132,7 @@
         self._eager_rounds_left = self._timing.eager_rounds
 
     def call_next(self, name: str) -> None:
-        """Schedule a peer as a target for the next rounds."""
+        """Schedule a peer as the target of the next round."""
         if name not in self._scheduled:
             self._scheduled.append(name)
 
--- a/packages/core/src/dunlintide_core/pipeline/chainsearch.py
+++ b/packages/core/src/dunlintide_core/pipeline/chainsearch.py
@@ -3,8 +3,8 @@
 Layers are cut into segments at every layer where some engine's range begins or
 ends. The search extends the cheapest routes to each failure domain segment by
 segment. It does not check whether a route uses an engine twice, which engines
-do not accept; such a route is rare. If the search finds one, it is repeated
-once for each way to exclude the repetition.
+do not accept; such a route is rare. If the search finds one, it searches
+again, once with each exclusion that removes the repetition.
 """
 
 import math
--- a/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
+++ b/packages/core/src/dunlintide_core/pipeline/endpointhealth.py
@@ -1,11 +1,11 @@
 """Outlier ejection of endpoints, from the outcome of requests.
 
 A stalled run suspects only those endpoints of its chain on which other
-streams, of this entry or of others, should make progress and do not: their
-intersection identifies the failed endpoint without a probe. If that covers
-most of the chain, no endpoint is suspected. A suspect is ejected for a time
-that doubles with each failure. Afterwards one request at a time probes it,
-until it makes progress again.
+streams, of this entry or of others, should make progress and do not: an
+endpoint stalled for all streams that use it is probably the failed one. If
+that covers most of the chain, no endpoint is suspected. A suspect is ejected
+for a time that doubles with each failure. Afterwards one request at a time
+probes it, until it makes progress again.
 """
 
 from typing import Iterable, Sequence
@@ -139,7 +139,7 @@
         return record.ejected_until <= now and not record.is_probing
 
     def list_unusable(self, now: float) -> set[str]:
-        """Return the endpoints that are ejected or expected to refuse."""
+        """Return endpoints ejected, being probed or expected to refuse."""
         self._flagged = {
             name
             for name in self._flagged
@@ -169,8 +169,8 @@
 
         It is full, draining or dead. A full endpoint continues its streams; a
         dead one refuses all requests until it is removed from the listing. A
-        draining one does both, and each request sent to it in vain takes a
-        retry.
+        draining one continues its streams and refuses all new requests, and
+        each request sent to it in vain takes a retry.
 
         :param had_capacity: whether its known usage is far from full
         :returns: maximum time for which it is avoided, in seconds
@@ -331,7 +331,7 @@
         self._records.pop(name, None)
 
     def list_ejected(self, now: float) -> list[str]:
-        """List the endpoints that are avoided for this entry's observations.
+        """List endpoints that this entry ejected or that keep refusing it.
 
         Reports of other entries are excluded: if entries repeated them to each
         other, they would never expire.
--- a/packages/core/src/dunlintide_core/pipeline/failover.py
+++ b/packages/core/src/dunlintide_core/pipeline/failover.py
@@ -18,21 +18,22 @@
 # Fraction of the target for the first event, or of the longest allowed pause,
 # after which a stalled run with suspects may be moved.
 STALL_FRACTION = 0.6
-# A run whose silence is unusual is examined sooner: after this multiple of the
-# typical longest pause, but not before MIN_STALL_FRACTION of its target. The
-# new chain has to read its prompt again within the remaining time.
+# A run whose silence is unusual may be moved sooner if it has suspects: after
+# this multiple of the typical longest pause, but not before MIN_STALL_FRACTION
+# of its target. The new chain has to read its prompt again within the
+# remaining time.
 UNUSUAL_FACTOR = 1.5
 MIN_STALL_FRACTION = 0.3
 # Multiple of the target after which a stalled run is moved even if nothing
 # shows which of its endpoints failed.
 MAX_STALL_FACTOR = 2.0
-# The same as a multiple of the typical longest pause. When an engine on the
-# only chain of a failure domain dies, the whole chain stalls and there is no
-# suspect; its streams must be moved in time for their prompts to be read
-# again.
+# Without suspects, a run is moved after this multiple of the typical longest
+# pause, within the limits above. When an engine on the only chain of a failure
+# domain dies, the whole chain stalls and there is no suspect; its streams must
+# be moved in time for their prompts to be read again.
 UNCLEAR_FACTOR = 2.2
-# Latest fraction of a run's silence in which an endpoint must have made no
-# progress to be suspected. Runs through a dead endpoint stop one by one,
+# An endpoint is suspected if it made no progress in this last fraction of the
+# run's silence. Runs through a dead endpoint stop one by one,
 # within the time of an event, so all but the last see progress on it after
 # their own last event, and would not suspect it if their entire silence
 # counted.
@@ -50,7 +51,7 @@
     """State of the endpoints of a stalled run.
 
     :cvar SUSPECTS: a few of them are stalled for all streams on them
-    :cvar UNCLEAR: some made no progress, but no other streams use them
+    :cvar UNCLEAR: some made no progress, but it cannot be told which failed
     :cvar SOUND: all of them make progress
     """
 
--- a/packages/core/src/dunlintide_core/placement.py
+++ b/packages/core/src/dunlintide_core/placement.py
@@ -75,7 +75,8 @@
     :ivar max_layers: maximum number of layers that the engine can hold, 0
         for no limit
     :ivar suspected: whether the engine may be gone; it gets no order, and
-        its layers are neither relied on nor replaced
+        its layers count as present, but a shortage without them starts the
+        delay before a replacement
     """
 
     agent: str
--- a/packages/core/src/dunlintide_core/poison.py
+++ b/packages/core/src/dunlintide_core/poison.py
@@ -1,10 +1,10 @@
 """Identification of poison requests, which crash endpoints.
 
-The suspects of a crash are all requests with a step in progress. Suspects
-are only ever removed, so that copies of the evidence in several processes
+The suspects of a crash are all requests with a step in progress. A recorded
+crash never gains suspects, so that copies of the evidence in several processes
 can be merged in any order. A suspect that later runs past the position of
-the crash is cleared. Until then each endpoint runs it in isolation, so
-that the next crash has a single suspect.
+the crash is cleared. Until then endpoints with any of the same layers run
+it alone, so that the next crash has a single suspect.
 """
 
 import collections
--- a/packages/core/src/dunlintide_core/queueing.py
+++ b/packages/core/src/dunlintide_core/queueing.py
@@ -190,7 +190,7 @@
         return None
 
     def find(self, is_allowed: Callable[[str], bool]) -> Ticket | None:
-        """Return the first request of a team that is allowed to start."""
+        """Return the first request of an allowed team, whatever its credit."""
         for flows in (self._new_flows, self._ring):
             for team, flow in flows.items():
                 self._is_ready(flow)
--- a/packages/daemon/src/dunlintide_daemon/agent/driver.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/driver.py
@@ -174,7 +174,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """Stop the threads after their current calls have returned."""
+        """Stop the threads; wait up to ``_STOP_SECONDS`` for each."""
         with self._wake:
             self._stopped = True
             self._wake.notify_all()
--- a/packages/daemon/src/dunlintide_daemon/agent/gate.py
+++ b/packages/daemon/src/dunlintide_daemon/agent/gate.py
@@ -311,7 +311,7 @@
         self.fences.end(request.request_id, request.epoch)
 
     def end(self, request: requests.Request, *, stop: bool = False) -> None:
-        """End a request whose answer, if any, has been sent completely.
+        """Remove a request and settle its claim.
 
         :param stop: whether the run must be stopped first
         """
--- a/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/dispatch.py
@@ -23,7 +23,8 @@
 ]
 
 # Interval at which a request that waits checks that its caller is still
-# connected; a request that sends learns that from the connection.
+# connected; a request that is sending an answer notices a disconnection when
+# the write fails.
 CALLER_POLL_SECONDS = 0.5
 # The request itself may be what makes an endpoint fail, so the bound keeps
 # one request from crashing one endpoint after another.
@@ -45,7 +46,7 @@
 
     :ivar may_have_run: whether anything of the request may have run, here
         or under an earlier request with the same key
-    :ivar avoid: agents that failed this request
+    :ivar avoid: agent instances that failed an attempt of this request
     """
 
     def __init__(self, context: jobs.Context, job: jobs.Job) -> None:
@@ -166,8 +167,8 @@
             return self._record_failure(
                 code, 'the link to the endpoint was lost', ''
             )
-        # The executor knows about all attempts under the claim: a sealed
-        # one never ran, whatever was unknown before.
+        # A sealed refusal means that the agent that executes the claim has
+        # closed it without running it, so no earlier attempt ran either.
         self.may_have_run = not event.sealed and (
             self.may_have_run or event.ran
         )
--- a/packages/daemon/src/dunlintide_daemon/entry/fleet.py
+++ b/packages/daemon/src/dunlintide_daemon/entry/fleet.py
@@ -207,8 +207,8 @@
         """Return an agent, dialling it if it is outside the subset.
 
         :param incarnation: required incarnation, None for any
-        :returns: None if that incarnation is not linked within
-            ``CONNECT_SECONDS``
+        :returns: None if that incarnation is not linked; waits up to
+            ``CONNECT_SECONDS``, for an on-demand link only
         """
         now = time.monotonic()
         end = now + CONNECT_SECONDS
--- a/packages/daemon/src/dunlintide_daemon/gateway/runs.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/runs.py
@@ -33,13 +33,14 @@
 # How long the engines of a run that was moved because it stalled still hold
 # it, in seconds: those before a dead engine wait for it.
 HELD_SECONDS = 1.5
-# Time after the send from which a refusal means that an endpoint is dead, in
-# seconds; an earlier one means that it is full or leaving.
+# Time after the send from which a refusal means that an endpoint of the chain
+# does not respond, in seconds; an earlier one means that it is full or
+# leaving.
 DEAD_AFTER_SECONDS = 0.5
 # Time over which the mean interval of events is measured, in seconds; single
 # gaps vary too much.
 PACE_WINDOW_SECONDS = 0.25
-# Faults for which the first endpoint of the chain is not to blame.
+# Faults that do not show that the first endpoint of the chain failed.
 _INCONCLUSIVE_FAULTS = (
     endpointhttp.FailureKind.TIMEOUT,
     endpointhttp.FailureKind.ABANDONED,
--- a/packages/daemon/src/dunlintide_daemon/gateway/state.py
+++ b/packages/daemon/src/dunlintide_daemon/gateway/state.py
@@ -80,8 +80,8 @@
     :ivar listing_read_at: monotonic time of the last answer of the store, in
         seconds
     :ivar known_entries: names of all entries that were ever listed
-    :ivar listed_entries: names of the other entries that are listed, which
-        one that stops is not
+    :ivar listed_entries: names of the other entries that are listed; an
+        entry that stops is no longer listed
     :ivar backlogs: queues of waiting requests by service
     :ivar retry_budgets: retry budgets by service
     :ivar waking_services: services whose queues are about to be woken
--- a/packages/trials/src/dunlintide_trials/edge/soak.py
+++ b/packages/trials/src/dunlintide_trials/edge/soak.py
@@ -28,7 +28,8 @@
 # duration of a fault. The values make faults overlap and come in series.
 FAULT_GAP_SECONDS = (0.1, 1.2)
 FAULT_SECONDS = (0.3, 4.0)
-# Maximum seconds from the last fault until all entries serve.
+# Maximum seconds from the restart of stopped entries, after all faults, until
+# all entries serve.
 RECOVERY_SECONDS = 15.0
 # Consecutive requests that must succeed after the recovery.
 RECOVERY_REQUESTS = 20
