--- a/packages/adapters/src/dunlintide_adapters/claims.py
+++ b/packages/adapters/src/dunlintide_adapters/claims.py
@@ -88,7 +88,10 @@
         self._done.wait(max(0.0, self.deadline - time.monotonic()))
         if self._outcome is None:
             return result.Err(
-                Unbound('claim was not committed before its deadline')
+                Unbound(
+                    'the commit of the claim was not confirmed before its'
+                    ' deadline'
+                )
             )
         return self._outcome
 
